--- a/packages/daemon/src/plankspindle_daemon/membership/member.py
+++ b/packages/daemon/src/plankspindle_daemon/membership/member.py
@@ -13,9 +13,9 @@
 if TYPE_CHECKING:
     from plankspindle_daemon.peer_messages.heartbeat import Heartbeat
 
-UNHEARD = 0
+UNKNOWN_INCARNATION = 0
 """Incarnation of a member that is listed but was never heard."""
-AGREEING = 2
+SUSPICION_QUORUM = 2
 """Watchers that must no longer hear a member before it is suspected here.
 
 One alone may be cut off itself, in one direction.
@@ -34,7 +34,7 @@
         Where heartbeats go.
     failure_domain : str
         Where it stands; empty until it is listed or heard.
-    counted_since : float
+    known_since : float
         When it was first listed or heard, monotonic seconds.
     caller_endpoint : Endpoint, optional
         Where callers reach it.
@@ -42,7 +42,7 @@
         Of the newest heartbeat.
     readiness : Readiness
         As last heard.
-    last_heard : float, optional
+    last_heartbeat_at : float, optional
         Monotonic time in seconds; None before the first heartbeat.
     view_digest : int
         Digest of the members it counts.
@@ -58,13 +58,13 @@
 
     name: str
     peer_endpoint: Endpoint
-    counted_since: float
+    known_since: float
     failure_domain: str = ""
     caller_endpoint: Endpoint | None = None
-    incarnation: int = UNHEARD
+    incarnation: int = UNKNOWN_INCARNATION
     sequence: int = 0
     readiness: Readiness = Readiness.STARTING
-    last_heard: float | None = None
+    last_heartbeat_at: float | None = None
     view_digest: int = 0
     over_share: frozenset[str] = frozenset()
     configuration_version: int = 0
@@ -73,30 +73,33 @@
 
     def is_silent(self, *, now: float, suspect_after_s: float) -> bool:
         """Tell whether no heartbeat came here for longer than allowed."""
-        return self.last_heard is None or now - self.last_heard > suspect_after_s
+        return (
+            self.last_heartbeat_at is None
+            or now - self.last_heartbeat_at > suspect_after_s
+        )
 
     def is_suspected(self, *, now: float, suspect_after_s: float) -> bool:
         """Tell whether it fell silent, as heard here or by its watchers."""
-        if len(self.suspected_by) >= AGREEING:
+        if len(self.suspected_by) >= SUSPICION_QUORUM:
             return True
         return self.is_silent(now=now, suspect_after_s=suspect_after_s)
 
-    def is_late(self, heartbeat: Heartbeat) -> bool:
+    def is_outdated(self, heartbeat: Heartbeat) -> bool:
         """Tell whether a heartbeat is older than the newest one of its process."""
         same = heartbeat.incarnation == self.incarnation
         return same and heartbeat.sequence <= self.sequence
 
-    def is_changed_by(self, heartbeat: Heartbeat) -> bool:
+    def affects_lookups(self, heartbeat: Heartbeat) -> bool:
         """Tell whether look-ups may have to name it otherwise than before."""
         return (
-            self.last_heard is None
+            self.last_heartbeat_at is None
             or bool(self.suspected_by)
             or self.readiness is not heartbeat.readiness
             or self.caller_endpoint != heartbeat.caller_endpoint
             or self.failure_domain != heartbeat.failure_domain
         )
 
-    def take(self, heartbeat: Heartbeat, now: float) -> None:
+    def apply_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
         """Take what it says of itself, heard at a time in monotonic seconds."""
         self.incarnation = heartbeat.incarnation
         self.sequence = heartbeat.sequence
@@ -107,4 +110,4 @@
         self.view_digest = heartbeat.view_digest
         self.over_share = frozenset(heartbeat.over_share)
         self.configuration_version = heartbeat.configuration_version
-        self.last_heard = now
+        self.last_heartbeat_at = now
--- a/packages/daemon/src/plankspindle_daemon/membership/member_view.py
+++ b/packages/daemon/src/plankspindle_daemon/membership/member_view.py
@@ -25,7 +25,7 @@
     digest: int
 
     @classmethod
-    def of(cls, identities: list[tuple[str, int]]) -> MemberView:
+    def from_identities(cls, identities: list[tuple[str, int]]) -> MemberView:
         """Work them out from the sorted names and incarnations."""
         text = "\n".join(f"{name} {number}" for name, number in identities)
         digest = hashlib.sha256(text.encode()).digest()
--- a/packages/daemon/src/plankspindle_daemon/membership/membership.py
+++ b/packages/daemon/src/plankspindle_daemon/membership/membership.py
@@ -14,7 +14,7 @@
 from attrs import field
 
 from plankspindle_core.classes import define
-from plankspindle_daemon.membership.failure_detector import WATCH_S
+from plankspindle_daemon.membership.failure_detector import WATCHER_HEARTBEAT_S
 from plankspindle_daemon.membership.failure_detector import FailureDetector
 from plankspindle_daemon.membership.member import Member
 from plankspindle_daemon.membership.member_view import MemberView
@@ -24,12 +24,12 @@
 from plankspindle_daemon.membership.messages import LiveListRead
 from plankspindle_daemon.membership.messages import MembershipEffect
 from plankspindle_daemon.membership.messages import MembershipEvent
-from plankspindle_daemon.membership.messages import Paused
+from plankspindle_daemon.membership.messages import ProcessPaused
 from plankspindle_daemon.membership.messages import SendHeartbeat
 from plankspindle_daemon.membership.messages import SuspicionReceived
 from plankspindle_daemon.membership.messages import TimePassed
 from plankspindle_daemon.membership.messages import ViewChanged
-from plankspindle_daemon.peer_messages.heartbeat import EVERY_UPSTREAM
+from plankspindle_daemon.peer_messages.heartbeat import ALL_UPSTREAMS
 from plankspindle_daemon.peer_messages.peer_message import SendToPeer
 from plankspindle_daemon.peer_messages.readiness import Readiness
 from plankspindle_daemon.platform.live_list import ListedVm
@@ -41,18 +41,18 @@
 
 HEARTBEAT_BYTES = 200
 """Upper estimate of one heartbeat on the wire, IP and UDP headers included."""
-UNHEARD_WAIT_S = 10.0
+MAX_FIRST_HEARTBEAT_WAIT_S = 10.0
 """Longest wait for a member that is listed but was never heard, in seconds.
 
 It may stand still with slots of its own, so a new process waits as long as its work can
 run; with work of minutes it does not wait for all of it, since the upstreams shed what
 passes their slots, while a domain without slots serves nobody.
 """
-ANNOUNCE_GAP_S = 1.0
+MIN_ROUND_INTERVAL_S = 1.0
 """Least time between two rounds of heartbeats to all members, in seconds."""
 HEARTBEAT_BYTES_PER_S = 5_000
 """Share of a node's 14 KB/s of control traffic that heartbeats may send."""
-ROUND_BYTES_PER_S = 2_000
+WATCHED_HEARTBEAT_BYTES_PER_S = 2_000
 """The same where members have watchers.
 
 News is told at once then, and rounds only repair what was lost: ten heartbeats a second
@@ -77,7 +77,7 @@
         When members that did not say goodbye stopped counting, monotonic seconds.
     listed_by_name : dict of str to ListedVm
         The newest list of the platform, of all failure domains and kinds.
-    changes : int
+    change_count : int
         Count of what may concern look-ups: members, what they say of themselves, who
         suspects them, and the list.
     """
@@ -90,10 +90,10 @@
     _next_heartbeat: float = 0.0
     _last_round: float = -math.inf
     _was_listed: bool = False
-    _was_told_to_leave: bool = False
+    _leave_requested: bool = False
     _view: MemberView | None = None
-    changes: int = 0
-    _views: int = 0
+    change_count: int = 0
+    _view_changes: int = 0
 
     def __attrs_post_init__(self) -> None:
         self.detector = FailureDetector(
@@ -117,54 +117,56 @@
         list of MembershipEffect
             What the shell must do.
         """
-        before = self._views
+        before = self._view_changes
         effects: list[MembershipEffect] = []
         match event:
             case HeartbeatReceived(heartbeat=heartbeat):
-                self._take_heartbeat(heartbeat, now)
+                self._apply_heartbeat(heartbeat, now)
             case LiveListRead(vms=vms):
-                effects += self._take_list(vms, now)
+                effects += self._apply_list(vms, now)
             case TimePassed():
                 effects += self._due_heartbeats(now)
-                effects += self._watch(now)
-            case Paused():
-                self._forgive_silence(now)
-                self.announce(now)
+                effects += self._watcher_effects(now)
+            case ProcessPaused():
+                self._reset_silence(now)
+                self.schedule_heartbeat_round(now)
             case SuspicionReceived(suspicion=suspicion):
-                self.changes += 1
-                if self.detector.take(suspicion, self.options.incarnation, now):
-                    self.announce(now)
-        if self._views != before:
+                self.change_count += 1
+                if self.detector.apply_suspicion(
+                    suspicion, self.options.incarnation, now
+                ):
+                    self.schedule_heartbeat_round(now)
+        if self._view_changes != before:
             effects.append(ViewChanged())
         return effects
 
-    def view(self) -> tuple[str, ...]:
+    def member_names(self) -> tuple[str, ...]:
         """Names of all members that count, this VM included, sorted."""
-        return self._present().names
+        return self._current_view().names
 
     def view_digest(self) -> int:
         """Digest of the members and their incarnations, 64 bits."""
-        return self._present().digest
+        return self._current_view().digest
 
-    def _present(self) -> MemberView:
+    def _current_view(self) -> MemberView:
         if self._view is None:
             others = self.members_by_name.values()
             identities = [(each.name, each.incarnation) for each in others]
             own = (self.options.vm, self.options.incarnation)
-            self._view = MemberView.of(sorted([own, *identities]))
+            self._view = MemberView.from_identities(sorted([own, *identities]))
         return self._view
 
-    def _forget_view(self) -> None:
+    def _invalidate_view(self) -> None:
         self._view = None
-        self._views += 1
-        self.changes += 1
+        self._view_changes += 1
+        self.change_count += 1
 
     def heartbeat_period_s(self) -> float:
         """Period of heartbeats to each peer, stretched to keep the byte budget."""
         sent = len(self.members_by_name) * HEARTBEAT_BYTES
         budgeted = sent / HEARTBEAT_BYTES_PER_S
-        if budgeted > WATCH_S:
-            return sent / ROUND_BYTES_PER_S
+        if budgeted > WATCHER_HEARTBEAT_S:
+            return sent / WATCHED_HEARTBEAT_BYTES_PER_S
         return max(self.options.heartbeat_s, budgeted)
 
     def suspect_after_s(self) -> float:
@@ -172,7 +174,9 @@
         stretch = self.heartbeat_period_s() / self.options.heartbeat_s
         return self.options.suspect_after_s * stretch
 
-    def may_grow(self, upstream: str, *, now: float, longest_work_s: float) -> bool:
+    def may_grow_share(
+        self, upstream: str, *, now: float, max_request_s: float
+    ) -> bool:
         """Tell whether no other member can still use slots beyond its present share.
 
         Parameters
@@ -181,7 +185,7 @@
             Upstream whose share is asked for.
         now : float
             Monotonic time in seconds.
-        longest_work_s : float
+        max_request_s : float
             Longest timeout of a request at this upstream, in seconds.
 
         Returns
@@ -191,33 +195,37 @@
             run nothing any more, and removed members can run nothing any more.
         """
         removals = self.removed_at_by_name.values()
-        if any(now - at < longest_work_s for at in removals):
+        if any(now - at < max_request_s for at in removals):
             return False
         digest = self.view_digest()
         return all(
-            self._leaves_room(member, upstream, digest, now, longest_work_s)
+            self._permits_growth(member, upstream, digest, now, max_request_s)
             for member in self.members_by_name.values()
         )
 
-    def _leaves_room(
+    def _permits_growth(
         self,
         member: Member,
         upstream: str,
         digest: int,
         now: float,
-        longest_work_s: float,
+        max_request_s: float,
     ) -> bool:
-        if member.last_heard is None:
-            unheard_s = max(self.suspect_after_s(), min(longest_work_s, UNHEARD_WAIT_S))
-            return now - member.counted_since > unheard_s
+        if member.last_heartbeat_at is None:
+            unheard_s = max(
+                self.suspect_after_s(), min(max_request_s, MAX_FIRST_HEARTBEAT_WAIT_S)
+            )
+            return now - member.known_since > unheard_s
         if member.is_silent(now=now, suspect_after_s=self.suspect_after_s()):
-            return now - member.last_heard > longest_work_s
-        over = {upstream, EVERY_UPSTREAM} & member.over_share
+            return now - member.last_heartbeat_at > max_request_s
+        over = {upstream, ALL_UPSTREAMS} & member.over_share
         return member.view_digest == digest and not over
 
-    def _take_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
+    def _apply_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
         own = self.options
-        if heartbeat.sender == own.vm or not self._is_near(heartbeat.failure_domain):
+        if heartbeat.sender == own.vm or not self._is_in_scope(
+            heartbeat.failure_domain
+        ):
             return
         member = self.members_by_name.get(heartbeat.sender)
         if member is None:
@@ -226,40 +234,40 @@
             member = Member(
                 name=heartbeat.sender,
                 peer_endpoint=heartbeat.peer_endpoint,
-                counted_since=now,
+                known_since=now,
             )
             self.members_by_name[member.name] = member
-            self._forget_view()
-        if member.is_late(heartbeat):
+            self._invalidate_view()
+        if member.is_outdated(heartbeat):
             return
         if member.incarnation != heartbeat.incarnation:
-            self._forget_view()
+            self._invalidate_view()
         if member.incarnation not in (heartbeat.incarnation, 0):
             self.removed_at_by_name[f"{member.name}#{member.incarnation}"] = now
-        self.changes += member.is_changed_by(heartbeat)
-        member.take(heartbeat, now)
-        self.detector.note_heard(member, is_watched=heartbeat.is_watched)
+        self.change_count += member.affects_lookups(heartbeat)
+        member.apply_heartbeat(heartbeat, now)
+        self.detector.record_heartbeat(member, is_watched=heartbeat.is_watched)
         if heartbeat.readiness is Readiness.LEFT:
             del self.members_by_name[member.name]
-            self.detector.forget(member.name)
-            self._forget_view()
+            self.detector.remove(member.name)
+            self._invalidate_view()
 
-    def _take_list(
+    def _apply_list(
         self, vms: tuple[ListedVm, ...], now: float
     ) -> list[MembershipEffect]:
-        self.changes += 1
+        self.change_count += 1
         self.listed_by_name = {each.name: each for each in vms}
         for listed in vms:
             self._add_listed(listed, now)
         self._remove_unlisted(now)
-        self._put_off_round()
-        return self._told_to_leave()
+        self._postpone_round()
+        return self._leave_requests()
 
     def _add_listed(self, listed: ListedVm, now: float) -> None:
         own = self.options
         is_peer = (
             listed.kind is VmKind.ENTRY
-            and self._is_near(listed.failure_domain)
+            and self._is_in_scope(listed.failure_domain)
             and listed.name != own.vm
             and listed.peer_endpoint is not None
         )
@@ -272,14 +280,14 @@
                 peer_endpoint=listed.peer_endpoint,
                 caller_endpoint=listed.caller_endpoint,
                 failure_domain=listed.failure_domain,
-                counted_since=now,
+                known_since=now,
             )
             self.members_by_name[member.name] = member
-            self._forget_view()
+            self._invalidate_view()
         if member is not None:
             member.listed_leaving = listed.leaving
 
-    def _is_near(self, failure_domain: str) -> bool:
+    def _is_in_scope(self, failure_domain: str) -> bool:
         own = self.options
         return own.all_domains or failure_domain == own.failure_domain
 
@@ -294,17 +302,17 @@
             if listed or not member.is_suspected(now=now, suspect_after_s=silence):
                 continue
             del self.members_by_name[name]
-            self._forget_view()
+            self._invalidate_view()
             self.removed_at_by_name[f"{name}#{member.incarnation}"] = now
 
-    def _told_to_leave(self) -> list[MembershipEffect]:
+    def _leave_requests(self) -> list[MembershipEffect]:
         listed = self.listed_by_name.get(self.options.vm)
         if listed is not None and not listed.leaving:
             self._was_listed = True
             return []
-        if self._was_told_to_leave or (listed is None and not self._was_listed):
+        if self._leave_requested or (listed is None and not self._was_listed):
             return []
-        self._was_told_to_leave = True
+        self._leave_requested = True
         reason = "listed as leaving" if listed else "no longer listed"
         return [LeaveRequested(reason)]
 
@@ -315,25 +323,25 @@
         self._last_round = now
         return [SendHeartbeat(endpoint) for endpoint in self.peer_endpoints()]
 
-    def _put_off_round(self) -> None:
+    def _postpone_round(self) -> None:
         """Let the first round to a large fleet wait until this VM may be ready.
 
         A process that starts greets few, learns of all by the list, and is ready soon
         after that: one round tells both. Where all of 195 VMs start, a round of each is
         38,000 messages.
         """
-        if self.heartbeat_period_s() > WATCH_S:
+        if self.heartbeat_period_s() > WATCHER_HEARTBEAT_S:
             self._next_heartbeat = max(
-                self._next_heartbeat, self._last_round + ANNOUNCE_GAP_S
+                self._next_heartbeat, self._last_round + MIN_ROUND_INTERVAL_S
             )
 
-    def announce(self, now: float) -> None:
+    def schedule_heartbeat_round(self, now: float) -> None:
         """Greet all members soon, since something changed that they must know.
 
         Otherwise they learn of it at the next round, which a large fleet sends seldom.
         """
         self._next_heartbeat = min(
-            self._next_heartbeat, max(now, self._last_round + ANNOUNCE_GAP_S)
+            self._next_heartbeat, max(now, self._last_round + MIN_ROUND_INTERVAL_S)
         )
 
     def is_watched_by(self, endpoint: Endpoint) -> bool:
@@ -344,12 +352,12 @@
             for name in self.detector.watchers()
         )
 
-    def _watch(self, now: float) -> list[MembershipEffect]:
+    def _watcher_effects(self, now: float) -> list[MembershipEffect]:
         """Greet the watchers, and tell of the members that this VM watches."""
-        if not self.detector.is_due(now):
+        if not self.detector.is_heartbeat_due(now):
             return []
         alive: list[Member] = []
-        if self.heartbeat_period_s() > WATCH_S:
+        if self.heartbeat_period_s() > WATCHER_HEARTBEAT_S:
             silence_s = self.suspect_after_s()
             alive = [
                 member
@@ -358,8 +366,8 @@
             ]
         names = self.detector.choose_watchers(alive, now)
         known = (self.members_by_name.get(name) for name in names)
-        told = self.detector.suspicions(now)
-        self.changes += len(told)
+        told = self.detector.due_suspicions(now)
+        self.change_count += len(told)
         return [
             *(SendHeartbeat(each.peer_endpoint) for each in known if each is not None),
             *(
@@ -386,11 +394,11 @@
         listed = self.listed_by_name.get(vm)
         return listed.caller_endpoint if listed is not None else None
 
-    def _forgive_silence(self, now: float) -> None:
+    def _reset_silence(self, now: float) -> None:
         """After a pause the silence of others is this process's own."""
         for member in self.members_by_name.values():
-            if member.last_heard is not None:
-                member.last_heard = now
+            if member.last_heartbeat_at is not None:
+                member.last_heartbeat_at = now
             member.view_digest = 0
 
     def expire_removals(self, *, before: float) -> None:
--- a/packages/daemon/src/plankspindle_daemon/membership/messages.py
+++ b/packages/daemon/src/plankspindle_daemon/membership/messages.py
@@ -30,7 +30,7 @@
 
 
 @frozen
-class Paused:
+class ProcessPaused:
     """The process noticed that it was not running for a while."""
 
 
@@ -42,7 +42,7 @@
 
 
 MembershipEvent = (
-    HeartbeatReceived | LiveListRead | TimePassed | Paused | SuspicionReceived
+    HeartbeatReceived | LiveListRead | TimePassed | ProcessPaused | SuspicionReceived
 )
 
 
--- a/packages/daemon/src/plankspindle_daemon/membership/peer_link.py
+++ b/packages/daemon/src/plankspindle_daemon/membership/peer_link.py
@@ -113,7 +113,7 @@
         try:
             frame = self._frame_of(message)
         except NOT_ENCODABLE as error:
-            self._note_not_encodable(message, error)
+            self._record_not_encodable(message, error)
             return
         if len(frame) > MAX_FRAME_BYTES:
             self.dropped_by_reason["too-long-to-send"] += 1
@@ -133,7 +133,7 @@
             self._last_sent = (message, self._sealer.seal(encode(message)))
         return self._last_sent[1]
 
-    def _note_not_encodable(self, message: PeerMessage, error: Exception) -> None:
+    def _record_not_encodable(self, message: PeerMessage, error: Exception) -> None:
         """Count a message that cannot be sent, and log the first."""
         if not self.dropped_by_reason["not-encodable"]:
             kind = type(message).__name__
@@ -145,7 +145,7 @@
         heard = [
             each.peer_endpoint
             for each in self._membership.members_by_name.values()
-            if each.last_heard is not None
+            if each.last_heartbeat_at is not None
         ]
         if heard:
             await self.send(message, self._random.choice(sorted(heard)))
--- a/packages/daemon/src/plankspindle_daemon/node/configuration_follower.py
+++ b/packages/daemon/src/plankspindle_daemon/node/configuration_follower.py
@@ -13,7 +13,7 @@
 from plankspindle_daemon.platform.read_watch import RETRY_S
 from plankspindle_daemon.platform.read_watch import ReadWatch
 
-LOOK_S = 0.5
+CHECK_PERIOD_S = 0.5
 """Period of looking whether this VM is to read, while others do, in seconds."""
 
 
@@ -40,27 +40,30 @@
     effects: EffectRunner
     period_s: float
     all_read: bool
-    _watch: ReadWatch = field(factory=lambda: ReadWatch(subject="configuration"))
+    _read_monitor: ReadWatch = field(factory=lambda: ReadWatch(subject="configuration"))
 
     async def run(self) -> None:
         """Follow for ever."""
         while True:
             await sleep(self._pause_s() * self.node.random.uniform(0.8, 1.2))
-            if self._is_to_read(monotonic()):
+            if self._should_read(monotonic()):
                 await self._read()
 
     def _pause_s(self) -> float:
-        if self._watch.is_failing:
+        if self._read_monitor.is_failing:
             return RETRY_S
         now = monotonic()
-        if not self.all_read or self._is_to_read(now):
+        if not self.all_read or self._should_read(now):
             return self.period_s
-        return min(LOOK_S, self.node.reads.configuration_rest_s(self.node.version, now))
+        return min(
+            CHECK_PERIOD_S,
+            self.node.shared_reads.configuration_check_delay_s(self.node.version, now),
+        )
 
-    def _is_to_read(self, now: float) -> bool:
+    def _should_read(self, now: float) -> bool:
         if not self.all_read:
             return self.node.versions.is_reader(now)
-        return self.node.reads.reads_configuration(self.node.version, now)
+        return self.node.shared_reads.should_read_configuration(self.node.version, now)
 
     def _wait_s(self, now: float) -> float | None:
         """Give the longest wait for a version.
@@ -68,9 +71,9 @@
         A wait that is made while the platform is away is lost, and its return would be
         noticed only at the end of it: after a failure nothing is waited for.
         """
-        if self._watch.is_failing:
+        if self._read_monitor.is_failing:
             return 0.0
-        return self.node.reads.configuration_wait_s(now)
+        return self.node.shared_reads.configuration_wait_s(now)
 
     async def _read(self) -> None:
         began = monotonic()
@@ -78,12 +81,16 @@
         read = await self.reader.read_newer(self.node.version, wait_s)
         if read.is_err():
             detail, held = read.unwrap_err().detail, self.node.version
-            self._watch.note_failed(detail, began=began, now=monotonic(), version=held)
+            self._read_monitor.note_failed(
+                detail, began=began, now=monotonic(), version=held
+            )
             return
-        self._watch.note_read(monotonic())
+        self._read_monitor.note_read(monotonic())
         self.node.versions.head.note_read(monotonic())
         newer = read.unwrap()
         if newer is not None:
             await self.effects.adopt(newer)
-        told = self.node.reads.note_configuration_read(self.node.version, monotonic())
+        told = self.node.shared_reads.record_configuration_read(
+            self.node.version, monotonic()
+        )
         await self.effects.perform([*told])
--- a/packages/daemon/src/plankspindle_daemon/node/dispatch_runner.py
+++ b/packages/daemon/src/plankspindle_daemon/node/dispatch_runner.py
@@ -14,20 +14,20 @@
 from plankspindle_core.http.fetch import fetch
 from plankspindle_core.steady_clock import monotonic
 from plankspindle_core.supervisor import Supervisor
-from plankspindle_daemon.dispatch.messages import Arrived
-from plankspindle_daemon.dispatch.messages import AskSlots
 from plankspindle_daemon.dispatch.messages import Assign
 from plankspindle_daemon.dispatch.messages import GrantSlots
-from plankspindle_daemon.dispatch.messages import Probe
-from plankspindle_daemon.dispatch.messages import Probed
+from plankspindle_daemon.dispatch.messages import ProbeCompleted
 from plankspindle_daemon.dispatch.messages import Reject
-from plankspindle_daemon.dispatch.messages import Stated
-from plankspindle_daemon.dispatch.messages import Withdrawn
+from plankspindle_daemon.dispatch.messages import RequestArrived
+from plankspindle_daemon.dispatch.messages import RequestSlots
+from plankspindle_daemon.dispatch.messages import RequestWithdrawn
+from plankspindle_daemon.dispatch.messages import SendProbe
+from plankspindle_daemon.dispatch.messages import StatementReceived
 from plankspindle_daemon.membership.peer_link import PeerLink
-from plankspindle_daemon.node.effects import OfService
+from plankspindle_daemon.node.effects import ServiceEffect
 from plankspindle_daemon.node.node import Node
 from plankspindle_daemon.peer_messages.peer_message import SendToPeer
-from plankspindle_daemon.stories.steps import Queued
+from plankspindle_daemon.traces.steps import Queued
 from plankspindle_daemon.upstreams.load_report import parse_load_report
 
 if TYPE_CHECKING:
@@ -36,7 +36,7 @@
     from plankspindle_daemon.admission.ticket import Ticket
     from plankspindle_daemon.dispatch.messages import DispatchEvent
     from plankspindle_daemon.node.effects import NodeEffect
-    from plankspindle_daemon.stories.story import Story
+    from plankspindle_daemon.traces.request_trace import RequestTrace
     from plankspindle_daemon.upstreams.load_report import LoadReport
 
 PROBE_TARGET = "/load"
@@ -65,17 +65,19 @@
 
     Attributes
     ----------
-    begins_to_wait : Event
+    request_queued : Event
         Set when a request begins to wait for an upstream.
     """
 
     node: Node
     peers: PeerLink
     supervisor: Supervisor
-    begins_to_wait: Any = field(factory=Event)
+    request_queued: Any = field(factory=Event)
     _waiters_by_ticket: dict[int, _Waiter] = field(factory=dict)
 
-    async def find(self, service: str, ticket: Ticket, story: Story) -> Assign | Reject:
+    async def await_upstream(
+        self, service: str, ticket: Ticket, trace: RequestTrace
+    ) -> Assign | Reject:
         """Wait until a request gets an upstream or is refused one.
 
         Parameters
@@ -84,48 +86,48 @@
             The service asked for.
         ticket : Ticket
             The request.
-        story : Story
+        trace : RequestTrace
             What happened to it, where the decision is kept.
         """
         waiter = _Waiter()
         self._waiters_by_ticket[ticket.id] = waiter
         try:
-            await self.tell(service, Arrived(ticket))
+            await self.handle(service, RequestArrived(ticket))
             if waiter.decision is None:
-                await self.begins_to_wait.set()
-                self._note_queued(service, ticket, story)
+                await self.request_queued.set()
+                self._record_queued(service, ticket, trace)
             while waiter.decision is None:
                 await waiter.event.wait()
         except BaseException:
-            await self._give_back(service, waiter.decision)
+            await self._release(service, waiter.decision)
             raise
         finally:
             del self._waiters_by_ticket[ticket.id]
         if waiter.decision.step is not None:
-            story.note(waiter.decision.step, monotonic())
+            trace.record(waiter.decision.step, monotonic())
         return waiter.decision
 
     @property
-    def has_waiting(self) -> bool:
+    def has_waiting_requests(self) -> bool:
         """Whether any request waits for an upstream."""
         return bool(self._waiters_by_ticket)
 
-    def _note_queued(self, service: str, ticket: Ticket, story: Story) -> None:
+    def _record_queued(self, service: str, ticket: Ticket, trace: RequestTrace) -> None:
         dispatcher = self.node.dispatchers_by_service.get(service)
         if dispatcher is not None:
             queue = dispatcher.queue
             ahead = queue.count_ahead(ticket.rank)
-            story.note(Queued(ahead=ahead, limit=queue.limit), monotonic())
+            trace.record(Queued(ahead=ahead, limit=queue.limit), monotonic())
 
-    async def _give_back(self, service: str, decision: Assign | Reject | None) -> None:
+    async def _release(self, service: str, decision: Assign | Reject | None) -> None:
         """Return a slot whose request was interrupted before it learned of it."""
         if isinstance(decision, Assign):
-            await self.tell(service, decision.given_back())
+            await self.handle(service, decision.cancellation())
 
-    def usual_s(self, service: str, ticket: Ticket) -> float:
+    def expected_duration_s(self, service: str, ticket: Ticket) -> float:
         """Give the usual duration of a request, in seconds."""
         dispatcher = self.node.dispatchers_by_service.get(service)
-        return 0.0 if dispatcher is None else dispatcher.usual_s(ticket)
+        return 0.0 if dispatcher is None else dispatcher.expected_duration_s(ticket)
 
     def answered_at(self, service: str, upstream: str) -> float:
         """Give when an upstream last answered this VM, monotonic seconds."""
@@ -143,37 +145,37 @@
             return False
         return dispatcher.could_place_elsewhere(ticket, upstream, monotonic())
 
-    async def take_statement(self, service: str, stated: Stated) -> None:
+    async def apply_statement(self, service: str, stated: StatementReceived) -> None:
         """Take what an upstream says of itself, unless that is nothing as before."""
         dispatcher = self.node.dispatchers_by_service.get(service)
         known = None if dispatcher is None else dispatcher.upstreams_by_name
         state = None if known is None else known.get(stated.upstream)
         if state is None:
             return
-        is_silent = stated.statement.is_empty and state.stated.is_empty
-        if not is_silent or state.limit_gate() is not None:
-            await self.tell(service, stated)
+        is_silent = stated.statement.is_empty and state.last_statement.is_empty
+        if not is_silent or state.fleet_limiter() is not None:
+            await self.handle(service, stated)
 
     async def withdraw(self, service: str, ticket: Ticket) -> None:
         """Stop waiting with a request."""
-        await self.tell(service, Withdrawn(ticket.id))
+        await self.handle(service, RequestWithdrawn(ticket.id))
 
-    async def tell(self, service: str, event: DispatchEvent) -> None:
+    async def handle(self, service: str, event: DispatchEvent) -> None:
         """Give an event to a dispatcher and carry out what follows."""
-        await self.perform(self.node.take_dispatch(service, event, monotonic()))
+        await self.perform(self.node.handle_dispatch(service, event, monotonic()))
 
     async def perform(self, effects: Iterable[NodeEffect]) -> None:
         """Carry out effects of dispatchers; others are left to the daemon."""
         for effect in effects:
             match effect:
-                case OfService():
+                case ServiceEffect():
                     await self._perform_one(effect)
                 case SendToPeer(message=message, to=to):
                     await self.peers.send(message, to)
                 case _:
                     pass
 
-    async def _perform_one(self, effect: OfService) -> None:
+    async def _perform_one(self, effect: ServiceEffect) -> None:
         match effect.effect:
             case Assign() | Reject() as decision:
                 waiter = self._waiters_by_ticket.get(decision.ticket.id)
@@ -181,28 +183,28 @@
                     waiter.decision = decision
                     await waiter.event.set()
                 else:
-                    await self._give_back(effect.service, decision)
-            case Probe() as probe:
+                    await self._release(effect.service, decision)
+            case SendProbe() as probe:
                 await self.supervisor.spawn(self._probe, effect.service, probe)
-            case AskSlots(request=request):
+            case RequestSlots(request=request):
                 await self.peers.send_to_random_member(request)
             case GrantSlots(grant=grant, to=to):
                 await self.peers.send(grant, to)
 
-    async def _probe(self, service: str, probe: Probe) -> None:
-        await self.supervisor.contain(self._ask_load, service, probe)
+    async def _probe(self, service: str, probe: SendProbe) -> None:
+        await self.supervisor.contain(self._fetch_load_report, service, probe)
 
-    async def _ask_load(self, service: str, probe: Probe) -> None:
+    async def _fetch_load_report(self, service: str, probe: SendProbe) -> None:
         answer = await fetch(
             probe.endpoint, target=PROBE_TARGET, timeout_s=PROBE_TIMEOUT_S
         )
         report: LoadReport | None = None
         if answer.is_ok() and answer.unwrap().status == _OK:
             report = parse_load_report(answer.unwrap().body).unwrap_or(None)
-        probed = Probed(
+        probed = ProbeCompleted(
             upstream=probe.upstream,
             report=report,
             wall=time.time(),
             reached=not isinstance(answer.err(), ConnectFailed),
         )
-        await self.tell(service, probed)
+        await self.handle(service, probed)
--- a/packages/daemon/src/plankspindle_daemon/node/effect_runner.py
+++ b/packages/daemon/src/plankspindle_daemon/node/effect_runner.py
@@ -45,7 +45,7 @@
     from plankspindle_daemon.node.effects import NodeEffect
     from plankspindle_daemon.peer_messages.peer_message import PeerMessage
 
-LAST_HEARTBEATS = 3
+FINAL_HEARTBEAT_COUNT = 3
 
 
 @define(kw_only=True)
@@ -64,7 +64,7 @@
         What tells waiting requests whether they have a token.
     leave : callable
         Begins the planned stop, for a reason.
-    take_news : callable, optional
+    on_list_update : callable, optional
         Takes what another entry VM has read of the platform.
     """
 
@@ -73,7 +73,7 @@
     dispatch: DispatchRunner
     quotas: QuotaRunner
     leave: Callable[[str], None]
-    take_news: Callable[[ListNews], Awaitable[None]] | None = None
+    on_list_update: Callable[[ListNews], Awaitable[None]] | None = None
 
     async def perform(self, effects: list[NodeEffect]) -> None:
         """Carry out effects in order."""
@@ -85,7 +85,7 @@
                 case BeginLeaving(reason=reason):
                     self.leave(reason)
                 case TokenTaken() | TokenRefused():
-                    await self.quotas.decide(effect)
+                    await self.quotas.deliver_decision(effect)
                 case _:
                     pass
         await self.dispatch.perform(effects)
@@ -105,19 +105,19 @@
         """Give the node what another entry VM sent."""
         match message:
             case Heartbeat():
-                await self._take_membership(HeartbeatReceived(message))
+                await self._handle_membership(HeartbeatReceived(message))
             case Suspicion():
-                await self._take_membership(SuspicionReceived(message))
+                await self._handle_membership(SuspicionReceived(message))
             case ContentRequest() | ContentChunk():
                 await self._receive_content(message, sender)
             case ListNews():
-                if self.take_news is not None:
-                    await self.take_news(message)
+                if self.on_list_update is not None:
+                    await self.on_list_update(message)
             case CrashNews():
-                news = self.node.quarantine.take(message, sender, monotonic())
+                news = self.node.quarantine.handle_update(message, sender, monotonic())
                 await self.perform([*news])
             case LoadDigest():
-                self.node.talk.digests.take(message, monotonic())
+                self.node.digest_exchange.digests.take(message, monotonic())
             case (
                 ShareClaim()
                 | ShareLease()
@@ -125,16 +125,16 @@
                 | TokenGrant()
                 | LimitNews()
             ):
-                taken = self.node.limited.receive(message, sender, monotonic())
+                taken = self.node.limited_dispatch.receive(message, sender, monotonic())
                 await self.perform(taken)
             case SlotRequest() | SlotGrant() | HeadroomRequest() | HeadroomGrant():
-                await self._receive_loan(message, sender)
+                await self._receive_lending(message, sender)
 
-    async def _take_membership(self, event: MembershipEvent) -> None:
-        effects = self.node.take_membership(event, now=monotonic(), wall=time.time())
+    async def _handle_membership(self, event: MembershipEvent) -> None:
+        effects = self.node.handle_membership(event, now=monotonic(), wall=time.time())
         await self.perform(effects)
 
-    async def _receive_loan(
+    async def _receive_lending(
         self,
         message: SlotRequest | SlotGrant | HeadroomRequest | HeadroomGrant,
         sender: Endpoint,
@@ -142,29 +142,29 @@
         """Take what is asked or given of slots and headroom."""
         match message:
             case SlotRequest():
-                lent = self.node.slots.lend(message, sender, monotonic())
+                lent = self.node.shared_slots.lend(message, sender, monotonic())
                 await self.perform([*lent])
             case SlotGrant():
                 service = self.node.services.service_of(message.upstream)
-                await self.dispatch.tell(service, SlotsGranted(message))
+                await self.dispatch.handle(service, SlotsGranted(message))
             case HeadroomRequest():
                 await self.perform(
-                    self.node.take_headroom_request(message, sender, monotonic())
+                    self.node.handle_headroom_request(message, sender, monotonic())
                 )
             case HeadroomGrant():
-                self.node.headroom.grants.take_grant(message, monotonic())
+                self.node.headroom.grants.accept_grant(message, monotonic())
 
     async def _receive_content(
         self, message: ContentRequest | ContentChunk, sender: Endpoint
     ) -> None:
         if isinstance(message, ContentChunk):
-            await self._take_chunk(message)
+            await self._receive_chunk(message)
         else:
             await self.perform([*self.node.versions.answer(message, sender)])
 
-    async def _take_chunk(self, chunk: ContentChunk) -> None:
+    async def _receive_chunk(self, chunk: ContentChunk) -> None:
         before = self.node.version
-        effects = self.node.take_content_chunk(chunk, monotonic())
+        effects = self.node.receive_content_chunk(chunk, monotonic())
         if self.node.version != before:
             self._log_adopted(before=before, plan=None, source=chunk.sender)
         await self.perform(effects)
@@ -189,9 +189,9 @@
             routes=None if configuration is None else len(configuration.routes_by_name),
         )
 
-    async def send_last_heartbeats(self) -> None:
+    async def send_final_heartbeats(self) -> None:
         """Tell the others that nothing of this process runs any more."""
-        for _ in range(LAST_HEARTBEATS):
+        for _ in range(FINAL_HEARTBEAT_COUNT):
             heartbeat = self.node.heartbeat(now=monotonic(), left=True)
             for endpoint in self.node.membership.peer_endpoints():
                 await self.peers.send(heartbeat, endpoint)
--- a/packages/daemon/src/plankspindle_daemon/node/effects.py
+++ b/packages/daemon/src/plankspindle_daemon/node/effects.py
@@ -11,7 +11,7 @@
 
 
 @frozen
-class OfService:
+class ServiceEffect:
     """An effect of one service's dispatcher."""
 
     service: str
@@ -26,5 +26,10 @@
 
 
 NodeEffect = (
-    OfService | SendHeartbeat | BeginLeaving | SendToPeer | TokenTaken | TokenRefused
+    ServiceEffect
+    | SendHeartbeat
+    | BeginLeaving
+    | SendToPeer
+    | TokenTaken
+    | TokenRefused
 )
--- a/packages/daemon/src/plankspindle_daemon/node/list_follower.py
+++ b/packages/daemon/src/plankspindle_daemon/node/list_follower.py
@@ -24,7 +24,7 @@
 from plankspindle_daemon.platform.platform_client import PlatformClient
 from plankspindle_daemon.platform.read_watch import RETRY_S
 from plankspindle_daemon.platform.read_watch import ReadWatch
-from plankspindle_daemon.sharing.shared_reads import LOOK_S
+from plankspindle_daemon.sharing.shared_reads import MIN_CHECK_DELAY_S
 
 if TYPE_CHECKING:
     from result import Result
@@ -33,10 +33,10 @@
     from plankspindle_daemon.platform.errors import PlatformUnavailable
     from plankspindle_daemon.platform.live_list import ListedVm
 
-LIST_VMS_PER_S = 50.0
+LIST_ENTRIES_PER_S = 50.0
 """Entries of the list that one node reads each second, about 5.5 kB."""
-LEAST_PAUSE = 0.8
-MOST_PAUSE = 1.2
+MIN_PAUSE_FACTOR = 0.8
+MAX_PAUSE_FACTOR = 1.2
 """Parts of a pause between which chance picks, so that VMs don't read in step."""
 
 
@@ -61,43 +61,45 @@
     effects: EffectRunner
     period_s: float
     _task: Any = None
-    _lacks_change: Any = field(factory=Event)
+    _change_missing: Any = field(factory=Event)
     _paused_s: float = 0.0
-    _watch: ReadWatch = field(factory=lambda: ReadWatch(subject="list"))
+    _read_monitor: ReadWatch = field(factory=lambda: ReadWatch(subject="list"))
 
     async def run(self) -> None:
         """Follow for ever."""
         while True:
-            if not self.node.reads.reads_list(monotonic()):
-                await self._rest()
-                await self._drop_kept()
+            if not self.node.shared_reads.should_read_list(monotonic()):
+                await self._wait_for_readers()
+                await self._expire_retained()
                 continue
-            await self._read_and_take()
+            await self._read_and_apply()
 
-    async def _rest(self) -> None:
+    async def _wait_for_readers(self) -> None:
         """Let others read, until their word may be stale or says of something new."""
         now = monotonic()
-        rest_s = min(self.node.reads.list_rest_s(now), self._left_to_keep_s(now))
+        rest_s = min(
+            self.node.shared_reads.list_check_delay_s(now), self._retention_left_s(now)
+        )
         with suppress(TaskTimeout):
-            await within(max(rest_s, LOOK_S), self._lacks_change.wait)
-        self._lacks_change.clear()
+            await within(max(rest_s, MIN_CHECK_DELAY_S), self._change_missing.wait)
+        self._change_missing.clear()
 
-    async def _read_and_take(self) -> None:
+    async def _read_and_apply(self) -> None:
         began = monotonic()
-        reads = self.node.reads
+        reads = self.node.shared_reads
         reads.is_reading = True
         try:
             read = await self._read()
             if read is not None and read.is_ok():
-                self._watch.note_read(monotonic())
-                await self._take_read(read.unwrap())
+                self._read_monitor.note_read(monotonic())
+                await self._apply_read(read.unwrap())
         finally:
             reads.is_reading = False
         if read is None:
             # The process stood still until now, whenever the platform was away.
             self.node.services.listed.note_failed(away_at=monotonic())
         elif read.is_err():
-            self._note_unread(read.unwrap_err().detail, began)
+            self._record_failed_read(read.unwrap_err().detail, began)
             await self._pause(RETRY_S)
         else:
             await self._pause_after_read(monotonic())
@@ -124,42 +126,42 @@
         watch_s = self.platform.watch_s
         if watch_s is None:
             return None
-        shared_s = self.node.reads.list_wait_s(now)
-        stretched_s = max(0.0, self._paused_s - MOST_PAUSE * self.period_s)
+        shared_s = self.node.shared_reads.list_wait_s(now)
+        stretched_s = max(0.0, self._paused_s - MAX_PAUSE_FACTOR * self.period_s)
         wait_s = watch_s - stretched_s if shared_s is None else min(shared_s, watch_s)
-        return max(0.0, min(wait_s, self._left_to_keep_s(now)))
+        return max(0.0, min(wait_s, self._retention_left_s(now)))
 
     async def _pause_after_read(self, now: float) -> None:
-        shared_s = self.node.reads.list_pause_s(now)
-        pause_s = self._stretched_s() if shared_s is None else shared_s
+        shared_s = self.node.shared_reads.list_pause_s(now)
+        pause_s = self._scaled_period_s() if shared_s is None else shared_s
         longest_s = math.inf
         if self.platform.watch_s is not None:
-            longest_s = MOST_PAUSE * self.period_s + self.platform.watch_s
-        await self._pause(pause_s, min(longest_s, self._left_to_keep_s(now)))
+            longest_s = MAX_PAUSE_FACTOR * self.period_s + self.platform.watch_s
+        await self._pause(pause_s, min(longest_s, self._retention_left_s(now)))
 
-    def _left_to_keep_s(self, now: float) -> float:
+    def _retention_left_s(self, now: float) -> float:
         """Give the time until missing entries are to be left; infinity if none are."""
         kept_until = self.node.services.listed.kept_until
         return math.inf if kept_until is None else max(0.0, kept_until - now)
 
-    async def _drop_kept(self) -> None:
+    async def _expire_retained(self) -> None:
         """Leave what is missing once it is kept no longer, while others read."""
         listed = self.node.services.listed
         if listed.kept_until is not None and not listed.is_lenient(monotonic()):
             read_at = listed.read_at
-            await self._take_again()
+            await self._reapply()
             listed.correct_read_at(read_at)
 
-    async def _take_again(self) -> None:
+    async def _reapply(self) -> None:
         """Take the list that this VM holds, as it would be taken now."""
-        await self._take(list(self.node.membership.listed_by_name.values()))
+        await self._apply(list(self.node.membership.listed_by_name.values()))
 
-    async def _take_read(self, vms: list[ListedVm]) -> None:
+    async def _apply_read(self, vms: list[ListedVm]) -> None:
         listed = self.node.services.listed
         listed.note_unreadable(self.platform.unreadable_names)
-        await self._take(vms)
+        await self._apply(vms)
         now = monotonic()
-        news = self.node.reads.note_list_read(
+        news = self.node.shared_reads.record_list_read(
             vms,
             version=self.platform.list_version,
             configuration_version=self.node.version,
@@ -168,61 +170,63 @@
         )
         await self.effects.perform([*news])
 
-    async def _take(self, vms: list[ListedVm]) -> None:
+    async def _apply(self, vms: list[ListedVm]) -> None:
         event = LiveListRead(tuple(vms))
         await self.effects.perform(
-            self.node.take_membership(event, now=monotonic(), wall=time.time())
+            self.node.handle_membership(event, now=monotonic(), wall=time.time())
         )
 
-    async def take_news(self, news: ListNews) -> None:
+    async def apply_update(self, update: ListNews) -> None:
         """Take what another entry VM has read of the platform."""
-        if not self.node.reads.knows(news.sender):
+        if not self.node.shared_reads.is_in_group(update.sender):
             return
         now = monotonic()
-        self.node.versions.head.note_heard(news.configuration_age_ms, now)
+        self.node.versions.head.note_heard(update.configuration_age_ms, now)
         listed = self.node.services.listed
-        change = self.node.reads.take_news(news, now)
+        change = self.node.shared_reads.apply_update(update, now)
         if change is not None:
-            if news.after_gap:
-                keep_s = news.keep_ms / 1000 or RETURN_S
+            if update.after_gap:
+                keep_s = update.keep_ms / 1000 or RETURN_S
                 listed.keep_until(now + min(keep_s, RETURN_S))
             vms = self.platform.take_list_change(
                 version=change.version, changed=change.changed, gone=change.gone
             )
-            await self._take(vms)
-            listed.correct_read_at(now - news.list_age_ms / 1000)
-        elif self.node.reads.is_told_current(news):
+            await self._apply(vms)
+            listed.correct_read_at(now - update.list_age_ms / 1000)
+        elif self.node.shared_reads.confirms_list(update):
             if listed.is_to_be_taken_again:
-                await self._take_again()
-            listed.note_current(now - news.list_age_ms / 1000)
-        if self.node.reads.lacks_a_change():
-            await self._lacks_change.set()
+                await self._reapply()
+            listed.note_current(now - update.list_age_ms / 1000)
+        if self.node.shared_reads.lacks_change():
+            await self._change_missing.set()
         await self.effects.perform(
             [
-                *self.node.versions.hear_version(
-                    news.sender, news.configuration_version, now
+                *self.node.versions.receive_version(
+                    update.sender, update.configuration_version, now
                 )
             ]
         )
 
-    async def read_anew(self) -> None:
+    async def restart_read(self) -> None:
         """Give up a read that may have waited through a pause of the process."""
         if self._task is not None and not self._task.terminated:
             await self._task.cancel(blocking=False)
 
-    def _note_unread(self, detail: str, began: float) -> None:
+    def _record_failed_read(self, detail: str, began: float) -> None:
         listed = self.node.services.listed
         listed.note_failed(away_at=self.platform.list_away_at)
-        self._watch.note_failed(
+        self._read_monitor.note_failed(
             detail, began=began, now=monotonic(), upstreams=len(listed.by_name)
         )
 
-    def _stretched_s(self) -> float:
+    def _scaled_period_s(self) -> float:
         """Stretch the period with the length of the list, which each reader pays."""
         listed = len(self.node.membership.listed_by_name)
-        return self.period_s * max(1.0, listed / LIST_VMS_PER_S)
+        return self.period_s * max(1.0, listed / LIST_ENTRIES_PER_S)
 
     async def _pause(self, seconds: float, longest_s: float = math.inf) -> None:
-        varied_s = seconds * self.node.random.uniform(LEAST_PAUSE, MOST_PAUSE)
+        varied_s = seconds * self.node.random.uniform(
+            MIN_PAUSE_FACTOR, MAX_PAUSE_FACTOR
+        )
         self._paused_s = min(varied_s, longest_s)
         await sleep(self._paused_s)
--- a/packages/daemon/src/plankspindle_daemon/node/make_node.py
+++ b/packages/daemon/src/plankspindle_daemon/node/make_node.py
@@ -19,7 +19,7 @@
 
     from plankspindle_daemon.settings.daemon_settings import DaemonSettings
 
-ID_MEMORY_S = 3_600.0
+ID_RETENTION_S = 3_600.0
 
 
 def make_node(
@@ -67,8 +67,8 @@
             incarnation=incarnation,
             secret=secrets.token_bytes(32),
             ttl_s=settings.requests.request_id_ttl_ms / 1000,
-            memory_s=ID_MEMORY_S,
-            max_remembered=settings.requests.max_remembered_ids,
+            retention_s=ID_RETENTION_S,
+            max_retained=settings.requests.max_remembered_ids,
         ),
         leave=Leave(leave_s=timing.leave_ms / 1000, linger_s=timing.linger_ms / 1000),
         needs_list=lists_upstreams,
--- a/packages/daemon/src/plankspindle_daemon/node/node.py
+++ b/packages/daemon/src/plankspindle_daemon/node/node.py
@@ -19,8 +19,8 @@
 from plankspindle_daemon.configuration.version_exchange import LearnedContent
 from plankspindle_daemon.digests.domain_talk import DomainTalk
 from plankspindle_daemon.dispatch import messages as dispatch
-from plankspindle_daemon.dispatch.service_book import ServiceBook
-from plankspindle_daemon.dispatch.silence_hints import SilenceHints
+from plankspindle_daemon.dispatch.service_registry import ServiceRegistry
+from plankspindle_daemon.dispatch.unresponsive_hint_relay import UnresponsiveHintRelay
 from plankspindle_daemon.drains.vm_drains import VmDrains
 from plankspindle_daemon.headroom.headroom_manager import HeadroomManager
 from plankspindle_daemon.idempotency.issued_ids import IssuedIds
@@ -30,10 +30,10 @@
 from plankspindle_daemon.node.effects import BeginLeaving
 from plankspindle_daemon.node.effects import NodeEffect
 from plankspindle_daemon.node.limited_dispatch import LimitedDispatch
-from plankspindle_daemon.node.look_ups import LookUps
 from plankspindle_daemon.node.self_report import SelfReport
 from plankspindle_daemon.node.shared_slots import SharedSlots
-from plankspindle_daemon.node.version_talk import VersionTalk
+from plankspindle_daemon.node.steering_updater import SteeringUpdater
+from plankspindle_daemon.node.version_gossip import VersionGossip
 from plankspindle_daemon.platform.listed_upstreams import RECOVERY_S
 from plankspindle_daemon.platform.listed_upstreams import ListedUpstreams
 from plankspindle_daemon.quarantine.quarantine import Quarantine
@@ -55,7 +55,7 @@
     from plankspindle_daemon.peer_messages.readiness import Readiness
     from plankspindle_daemon.steering.steering import Steering
 
-REFRESH_S = 0.25
+REFRESH_PERIOD_S = 0.25
 
 
 @define(kw_only=True)
@@ -126,34 +126,36 @@
     adopted_at: float | None = None
     directory: CallerDirectory | None = None
     routes: RouteTable = Factory(lambda: RouteTable(routes_by_name={}))
-    services: ServiceBook = field(init=False)
+    services: ServiceRegistry = field(init=False)
     vm_drains: VmDrains = field(init=False)
-    meter: ShiftMeter = Factory(lambda: ShiftMeter.create(region=None))
+    shift_meter: ShiftMeter = Factory(lambda: ShiftMeter.create(region=None))
     headroom: HeadroomManager = field(init=False)
-    slots: SharedSlots = field(init=False)
-    talk: DomainTalk = field(init=False)
-    versions: VersionTalk = field(init=False)
+    shared_slots: SharedSlots = field(init=False)
+    digest_exchange: DomainTalk = field(init=False)
+    versions: VersionGossip = field(init=False)
     quarantine: Quarantine = field(init=False)
     quotas: Quotas = field(init=False)
-    limited: LimitedDispatch = field(init=False)
-    reads: SharedReads = field(init=False)
+    limited_dispatch: LimitedDispatch = field(init=False)
+    shared_reads: SharedReads = field(init=False)
     self_report: SelfReport = field(init=False)
-    look_ups: LookUps = field(init=False)
-    _next_refresh: float = 0.0
-    _wall_ahead_s: float = 0.0
+    steering_updater: SteeringUpdater = field(init=False)
+    _next_refresh_at: float = 0.0
+    _wall_offset_s: float = 0.0
 
     def __attrs_post_init__(self) -> None:
         self.headroom = HeadroomManager(
             vm=self.vm, incarnation=self.incarnation, random=self.random
         )
-        self.talk = DomainTalk(
+        self.digest_exchange = DomainTalk(
             vm=self.vm,
             failure_domain=self.failure_domain,
             random=self.random,
             membership=self.membership,
             headroom=self.headroom,
         )
-        self.quarantine = Quarantine.of(self.vm, self.failure_domain, self.membership)
+        self.quarantine = Quarantine.create(
+            self.vm, self.failure_domain, self.membership
+        )
         self.quotas = Quotas(
             vm=self.vm,
             failure_domain=self.failure_domain,
@@ -164,10 +166,10 @@
             membership=self.membership,
             options=self.quota_options,
         )
-        self.versions = VersionTalk(
+        self.versions = VersionGossip(
             vm=self.vm, membership=self.membership, random=self.random
         )
-        self.reads = SharedReads(
+        self.shared_reads = SharedReads(
             group=ReaderGroup(
                 vm=self.vm,
                 failure_domain=self.failure_domain,
@@ -175,24 +177,26 @@
             ),
             period_s=self.shared_read_s,
         )
-        self.services = ServiceBook(
+        self.services = ServiceRegistry(
             vm=self.vm,
             failure_domain=self.failure_domain,
             incarnation=self.incarnation,
             random=self.random,
             membership=self.membership,
-            probe_s=self.probe_s,
-            new_from=self.started_at + self.settle_s,
+            probe_period_s=self.probe_s,
+            ramping_from=self.started_at + self.settle_s,
             listed=ListedUpstreams(recovery_s=self.recovery_s),
         )
-        self.limited = LimitedDispatch(services=self.services, quotas=self.quotas)
+        self.limited_dispatch = LimitedDispatch(
+            services=self.services, quotas=self.quotas
+        )
         self.vm_drains = VmDrains(
             vm=self.vm,
             failure_domain=self.failure_domain,
             clock=self.services.drains,
             membership=self.membership,
         )
-        self.slots = SharedSlots(
+        self.shared_slots = SharedSlots(
             vm=self.vm,
             membership=self.membership,
             services=self.services,
@@ -214,7 +218,7 @@
             head=self.versions.head,
             quarantine=self.quarantine,
         )
-        self.look_ups = LookUps(
+        self.steering_updater = SteeringUpdater(
             failure_domain=self.failure_domain,
             membership=self.membership,
             vm_drains=self.vm_drains,
@@ -229,7 +233,7 @@
     @property
     def steering(self) -> Steering | None:
         """Answers to look-ups; None before a version is in force."""
-        return self.look_ups.steering
+        return self.steering_updater.steering
 
     def adopt(
         self, configuration: Configuration, *, version: int, now: float
@@ -260,24 +264,28 @@
         self.adopted_at = now
         check_invariant("configuration-never-reverts", self.version > before)
         self.directory = CallerDirectory(configuration=configuration)
-        self.look_ups.use(configuration)
+        self.steering_updater.use_configuration(configuration)
         region = configuration.region_of(self.failure_domain)
-        if region != self.meter.region:
-            self.meter = ShiftMeter.create(region=region)
-        self.meter.use_shifts(configuration.shifts_by_id, now)
+        if region != self.shift_meter.region:
+            self.shift_meter = ShiftMeter.create(region=region)
+        self.shift_meter.use_shifts(configuration.shifts_by_id, now)
         self.routes = self.routes.replaced_by(configuration.routes_by_name)
-        self.quotas.use(configuration)
-        wall = now + self._wall_ahead_s
-        self.services.use(configuration, version=version, now=now, wall=wall)
-        self.look_ups.refresh(self.version, now)
+        self.quotas.update_configuration(configuration)
+        wall = now + self._wall_offset_s
+        self.services.apply_configuration(
+            configuration, version=version, now=now, wall=wall
+        )
+        self.steering_updater.refresh(self.version, now)
         return [
-            *self.versions.spread(),
-            *self.slots.update_shares(self.configuration, now),
+            *self.versions.announce(),
+            *self.shared_slots.update_shares(self.configuration, now),
         ]
 
-    def take_content_chunk(self, chunk: ContentChunk, now: float) -> list[NodeEffect]:
+    def receive_content_chunk(
+        self, chunk: ContentChunk, now: float
+    ) -> list[NodeEffect]:
         """Take a part of a higher version, and adopt it once it is whole."""
-        taken = self.versions.take_chunk(chunk, now)
+        taken = self.versions.receive_chunk(chunk, now)
         if not isinstance(taken, LearnedContent):
             return [*taken]
         decoded = decode_configuration(taken.content)
@@ -285,7 +293,7 @@
             return []
         return self.adopt(decoded.unwrap(), version=taken.version, now=now)
 
-    def take_membership(
+    def handle_membership(
         self, event: MembershipEvent, *, now: float, wall: float
     ) -> list[NodeEffect]:
         """Give an event to the membership and take its consequences.
@@ -300,20 +308,20 @@
             Seconds since the Unix epoch, to place planned leaves.
         """
         handled = self.membership.handle(event, now)
-        effects = [each for effect in handled for each in self._take_effect(effect)]
+        effects = [each for effect in handled for each in self._convert_effect(effect)]
         if isinstance(event, membership.HeartbeatReceived):
-            effects += self.versions.hear_heartbeat(event.heartbeat, now)
-            SilenceHints(services=self.services).take(event.heartbeat, now)
-            effects += self.quarantine.hear(event.heartbeat, now)
+            effects += self.versions.receive_heartbeat(event.heartbeat, now)
+            UnresponsiveHintRelay(services=self.services).apply(event.heartbeat, now)
+            effects += self.quarantine.handle_heartbeat(event.heartbeat, now)
         if isinstance(event, membership.LiveListRead):
             self.self_report.list_read_at = now
-            self._wall_ahead_s = wall - now
-            self.services.take_list(event.vms, now=now, wall=wall)
+            self._wall_offset_s = wall - now
+            self.services.apply_list(event.vms, now=now, wall=wall)
             self._apply_drains(now=now, wall=wall)
-            self.look_ups.refresh(self.version, now)
-        return [*effects, *self.slots.update_shares(self.configuration, now)]
+            self.steering_updater.refresh(self.version, now)
+        return [*effects, *self.shared_slots.update_shares(self.configuration, now)]
 
-    def _take_effect(self, effect: MembershipEffect) -> list[NodeEffect]:
+    def _convert_effect(self, effect: MembershipEffect) -> list[NodeEffect]:
         match effect:
             case membership.LeaveRequested(reason=reason):
                 return [BeginLeaving(reason)]
@@ -324,36 +332,36 @@
             case _:
                 return [effect]
 
-    def take_dispatch(
+    def handle_dispatch(
         self, service: str, event: DispatchEvent, now: float
     ) -> list[NodeEffect]:
         """Give an event to the dispatcher of a service."""
-        return self.limited.handle(service, event, now)
+        return self.limited_dispatch.handle(service, event, now)
 
     def tick(self, *, now: float, wall: float) -> list[NodeEffect]:
         """Let some time pass."""
-        effects = self.take_membership(membership.TimePassed(), now=now, wall=wall)
+        effects = self.handle_membership(membership.TimePassed(), now=now, wall=wall)
         for service in self.dispatchers_by_service:
-            effects += self.take_dispatch(service, dispatch.TimePassed(), now)
-        if now >= self._next_refresh:
-            self._next_refresh = now + REFRESH_S
+            effects += self.handle_dispatch(service, dispatch.TimePassed(), now)
+        if now >= self._next_refresh_at:
+            self._next_refresh_at = now + REFRESH_PERIOD_S
             self._apply_drains(now=now, wall=wall)
-            self.services.note_room(now)
-            self.look_ups.refresh(self.version, now)
-            self.look_ups.announce_readiness(self.version, now)
+            self.services.update_region_capacity(now)
+            self.steering_updater.refresh(self.version, now)
+            self.steering_updater.announce_readiness(self.version, now)
             self.ids.expire(now)
-            self.slots.forget_removals(self.configuration, now)
+            self.shared_slots.expire_removals(self.configuration, now)
         effects += self.versions.tick(now)
         effects += self.quarantine.tick(now)
-        effects += self.limited.tick(
+        effects += self.limited_dispatch.tick(
             readiness=self.readiness(),
-            knows_list=self.self_report.list_read_at is not None,
+            has_list=self.self_report.list_read_at is not None,
             now=now,
         )
-        effects += self.talk.tick(
+        effects += self.digest_exchange.tick(
             self.dispatchers_by_service,
             version=self.version,
-            shifts=self.meter.shifts(),
+            shifts=self.shift_meter.shifts(),
             configuration=self.configuration,
             drained=self.vm_drains.drained,
             now=now,
@@ -368,23 +376,23 @@
         """Tell whether new requests are accepted here."""
         return self.self_report.accepts(now)
 
-    def take_headroom_request(
+    def handle_headroom_request(
         self, request: HeadroomRequest, reply_to: Endpoint, now: float
     ) -> list[NodeEffect]:
         """Promise headroom, unless this VM refuses requests."""
         dispatcher = self.dispatchers_by_service.get(request.service)
         if dispatcher is None or not self.accepts(now):
             return []
-        return [*self.headroom.answer(request, dispatcher, reply_to, now)]
+        return [*self.headroom.handle_request(request, dispatcher, reply_to, now)]
 
-    def wake_from_pause(self, *, now: float, wall: float) -> list[NodeEffect]:
+    def recover_from_pause(self, *, now: float, wall: float) -> list[NodeEffect]:
         """Distrust what was agreed before the process stood still."""
-        self.slots.distrust(now)
-        self.reads.distrust()
-        self.headroom.grants.drop_all()
-        effects = self.take_membership(membership.Paused(), now=now, wall=wall)
+        self.shared_slots.invalidate(now)
+        self.shared_reads.invalidate()
+        self.headroom.grants.discard_all()
+        effects = self.handle_membership(membership.ProcessPaused(), now=now, wall=wall)
         for service in self.dispatchers_by_service:
-            effects += self.take_dispatch(service, dispatch.Paused(), now)
+            effects += self.handle_dispatch(service, dispatch.ProcessPaused(), now)
         return effects
 
     def readiness(self) -> Readiness:
--- a/packages/daemon/src/plankspindle_daemon/node/pause_watch.py
+++ b/packages/daemon/src/plankspindle_daemon/node/pause_monitor.py
@@ -16,7 +16,7 @@
 
 
 @define(kw_only=True)
-class PauseWatch:
+class PauseMonitor:
     """Have the node distrust what was agreed before a pause.
 
     Parameters
@@ -25,9 +25,9 @@
         The decisions.
     effects : EffectRunner
         What carries them out.
-    lists : ListFollower
+    list_follower : ListFollower
         What may have waited through the pause.
-    pause_s : callable
+    min_pause_s : callable
         Gives the time without a look from which on the process stood still, in seconds.
 
     Notes
@@ -39,18 +39,18 @@
 
     node: Node
     effects: EffectRunner
-    lists: ListFollower
-    pause_s: Callable[[], float]
-    _looked_at: float = field(factory=monotonic)
+    list_follower: ListFollower
+    min_pause_s: Callable[[], float]
+    _checked_at: float = field(factory=monotonic)
 
-    async def look(self) -> None:
+    async def check(self) -> None:
         """Notice a pause since the last look."""
         now = monotonic()
-        gap_s, self._looked_at = now - self._looked_at, now
-        if gap_s <= self.pause_s():
+        gap_s, self._checked_at = now - self._checked_at, now
+        if gap_s <= self.min_pause_s():
             return
         log_event("paused", seconds=round(gap_s, 3))
         # Before any wait, during which another request would be decided on.
-        effects = self.node.wake_from_pause(now=now, wall=time.time())
-        await self.lists.read_anew()
+        effects = self.node.recover_from_pause(now=now, wall=time.time())
+        await self.list_follower.restart_read()
         await self.effects.perform(effects)
--- a/packages/daemon/src/plankspindle_daemon/node/presence_keeper.py
+++ b/packages/daemon/src/plankspindle_daemon/node/presence_maintainer.py
@@ -9,15 +9,15 @@
 from plankspindle_core.classes import define
 from plankspindle_core.logs.key_value_destination import log_event
 from plankspindle_core.steady_clock import monotonic
-from plankspindle_daemon.membership.list_sweep import ListSweep
+from plankspindle_daemon.membership.dead_vm_selector import DeadVmSelector
 from plankspindle_daemon.node.node import Node
 from plankspindle_daemon.platform.presence_port import PresencePort
 
-PERIOD_S = 0.5
+CHECK_PERIOD_S = 0.5
 
 
 @define(kw_only=True)
-class PresenceKeeper:
+class PresenceMaintainer:
     """Enter this VM in the platform's list, and take it out once it leaves.
 
     Parameters
@@ -30,7 +30,7 @@
 
     node: Node
     presence: PresencePort | None
-    _sweep: ListSweep = field(factory=ListSweep)
+    _sweep: DeadVmSelector = field(factory=DeadVmSelector)
     _is_missing: bool = False
 
     async def run(self) -> None:
@@ -42,7 +42,7 @@
             if not self.presence.is_present:
                 await self._announce(self.presence)
             await self._remove_dead(self.presence)
-            await sleep(PERIOD_S * self.node.random.uniform(0.8, 1.2))
+            await sleep(CHECK_PERIOD_S * self.node.random.uniform(0.8, 1.2))
         withdrawn = await self.presence.withdraw()
         if withdrawn.is_ok():
             log_event("withdrawn")
@@ -59,7 +59,7 @@
         self._is_missing = announced.is_err()
 
     async def _remove_dead(self, presence: PresencePort) -> None:
-        name = self._sweep.choose(self.node.membership, monotonic())
+        name = self._sweep.select(self.node.membership, monotonic())
         if name is not None:
             removed = await presence.remove(name)
             failure = removed.err()
--- a/packages/daemon/src/plankspindle_daemon/node/quota_runner.py
+++ b/packages/daemon/src/plankspindle_daemon/node/quota_runner.py
@@ -18,10 +18,10 @@
 from plankspindle_daemon.peer_messages.peer_message import SendToPeer
 from plankspindle_daemon.quotas.messages import TokenRefused
 from plankspindle_daemon.quotas.messages import TokenTaken
-from plankspindle_daemon.quotas.quota_borrower import NEAR_TIMEOUT_S
+from plankspindle_daemon.quotas.token_requester import LOCAL_ANSWER_TIMEOUT_S
 
 if TYPE_CHECKING:
-    from plankspindle_daemon.quotas.quota_borrower import BorrowerEffect
+    from plankspindle_daemon.quotas.token_requester import TokenRequesterEffect
 
 
 @define(kw_only=True)
@@ -45,44 +45,44 @@
     node: Node
     peers: PeerLink
     _tickets: count[int] = field(factory=count)
-    _waiter_by_ticket: dict[int, _Waiter] = field(factory=dict)
+    _waiters_by_ticket: dict[int, _Waiter] = field(factory=dict)
 
-    async def take(self, workspace: str) -> TokenTaken | TokenRefused:
+    async def acquire(self, workspace: str) -> TokenTaken | TokenRefused:
         """Wait until a request has a token or is refused one."""
         ticket = next(self._tickets)
-        waiter = self._waiter_by_ticket[ticket] = _Waiter()
+        waiter = self._waiters_by_ticket[ticket] = _Waiter()
         quotas = self.node.quotas
         try:
-            await self._perform(quotas.want(ticket, workspace, monotonic()))
+            await self._perform(quotas.request_token(ticket, workspace, monotonic()))
             while waiter.decision is None:
                 try:
-                    await within(NEAR_TIMEOUT_S, waiter.event.wait)
+                    await within(LOCAL_ANSWER_TIMEOUT_S, waiter.event.wait)
                 except TaskTimeout:
-                    await self._perform(quotas.borrower.tick(monotonic()))
+                    await self._perform(quotas.token_requester.tick(monotonic()))
         except BaseException:
             if isinstance(waiter.decision, TokenTaken):
-                self.give_back(workspace)
-            quotas.borrower.withdraw(ticket, workspace)
+                self.return_token(workspace)
+            quotas.token_requester.cancel(ticket, workspace)
             raise
         finally:
-            del self._waiter_by_ticket[ticket]
+            del self._waiters_by_ticket[ticket]
         return waiter.decision
 
-    def give_back(self, workspace: str) -> None:
+    def return_token(self, workspace: str) -> None:
         """Return the token of a request that was sent to no upstream."""
-        self.node.quotas.borrower.give_back(workspace, monotonic())
+        self.node.quotas.token_requester.return_token(workspace, monotonic())
 
-    async def decide(self, decision: TokenTaken | TokenRefused) -> None:
+    async def deliver_decision(self, decision: TokenTaken | TokenRefused) -> None:
         """Wake the request that a decision is about."""
-        waiter = self._waiter_by_ticket.get(decision.ticket)
+        waiter = self._waiters_by_ticket.get(decision.ticket)
         if waiter is not None:
             waiter.decision = decision
             await waiter.event.set()
 
-    async def _perform(self, effects: list[BorrowerEffect]) -> None:
+    async def _perform(self, effects: list[TokenRequesterEffect]) -> None:
         for effect in effects:
             match effect:
                 case SendToPeer(message=message, to=to):
                     await self.peers.send(message, to)
                 case TokenTaken() | TokenRefused():
-                    await self.decide(effect)
+                    await self.deliver_decision(effect)
--- a/packages/daemon/src/plankspindle_daemon/node/self_report.py
+++ b/packages/daemon/src/plankspindle_daemon/node/self_report.py
@@ -5,12 +5,12 @@
 from plankspindle_core.classes import define
 from plankspindle_core.endpoint import Endpoint
 from plankspindle_daemon.configuration.head_watch import HeadWatch
-from plankspindle_daemon.dispatch.service_book import ServiceBook
-from plankspindle_daemon.dispatch.silence_hints import SilenceHints
+from plankspindle_daemon.dispatch.service_registry import ServiceRegistry
+from plankspindle_daemon.dispatch.unresponsive_hint_relay import UnresponsiveHintRelay
 from plankspindle_daemon.drains.vm_drains import VmDrains
 from plankspindle_daemon.leaving.leave import Leave
 from plankspindle_daemon.membership.membership import Membership
-from plankspindle_daemon.peer_messages.heartbeat import EVERY_UPSTREAM
+from plankspindle_daemon.peer_messages.heartbeat import ALL_UPSTREAMS
 from plankspindle_daemon.peer_messages.heartbeat import Heartbeat
 from plankspindle_daemon.peer_messages.readiness import Readiness
 from plankspindle_daemon.quarantine.quarantine import Quarantine
@@ -38,7 +38,7 @@
         Members of the failure domain.
     leave : Leave
         The planned stop of this VM.
-    services : ServiceBook
+    services : ServiceRegistry
         Services in force.
     vm_drains : VmDrains
         Drained entry VMs.
@@ -61,7 +61,7 @@
     needs_list: bool
     membership: Membership
     leave: Leave
-    services: ServiceBook
+    services: ServiceRegistry
     vm_drains: VmDrains
     head: HeadWatch
     quarantine: Quarantine
@@ -82,12 +82,12 @@
         """
         if self.leave.is_leaving or self.vm in self.vm_drains.drained:
             return Readiness.LEAVING
-        if version == 0 or self._lacks_list():
+        if version == 0 or self._is_list_missing():
             return Readiness.STARTING
         overloaded = self.services.is_overloaded()
         return Readiness.OVERLOADED if overloaded else Readiness.READY
 
-    def _lacks_list(self) -> bool:
+    def _is_list_missing(self) -> bool:
         """Tell whether upstreams come from a list that was never read."""
         return self.needs_list and self.list_read_at is None
 
@@ -123,7 +123,7 @@
             Whether it goes to watchers of this VM.
         """
         self._sequence += 1
-        silent = SilenceHints(services=self.services).give(now)
+        silent = UnresponsiveHintRelay(services=self.services).collect(now)
         return Heartbeat(
             sender=self.vm,
             incarnation=self.incarnation,
@@ -139,11 +139,11 @@
             silent_upstreams=tuple(each.name for each in silent),
             silent_incarnations=tuple(each.incarnation for each in silent),
             is_watched=is_watched,
-            quarantine_digest=self.quarantine.listed.digest,
+            quarantine_digest=self.quarantine.quarantine_list.digest,
         )
 
     def _over_share(self, now: float) -> tuple[str, ...]:
-        names = self.services.over_share(now)
+        names = self.services.upstreams_over_share(now)
         if len(names) > MAX_OVER_SHARE_NAMED:
-            return (EVERY_UPSTREAM,)
+            return (ALL_UPSTREAMS,)
         return tuple(names)
--- a/packages/daemon/src/plankspindle_daemon/node/shared_slots.py
+++ b/packages/daemon/src/plankspindle_daemon/node/shared_slots.py
@@ -7,13 +7,13 @@
 from attrs import field
 
 from plankspindle_core.classes import define
-from plankspindle_daemon.dispatch.messages import SlotsAsked
+from plankspindle_daemon.dispatch.messages import SlotsRequested
 from plankspindle_daemon.dispatch.messages import TimePassed
-from plankspindle_daemon.dispatch.service_book import ServiceBook
+from plankspindle_daemon.dispatch.service_registry import ServiceRegistry
 from plankspindle_daemon.leaving.leave import Leave
 from plankspindle_daemon.membership.membership import Membership
-from plankspindle_daemon.node.effects import OfService
-from plankspindle_daemon.upstreams.share_keeper import ShareKeeper
+from plankspindle_daemon.node.effects import ServiceEffect
+from plankspindle_daemon.upstreams.share_manager import ShareManager
 
 if TYPE_CHECKING:
     from plankspindle_core.configuration.configuration import Configuration
@@ -32,7 +32,7 @@
         Name of this VM.
     membership : Membership
         The members.
-    services : ServiceBook
+    services : ServiceRegistry
         Services in force.
     leave : Leave
         The planned stop of this VM.
@@ -45,27 +45,27 @@
 
     vm: str
     membership: Membership
-    services: ServiceBook
+    services: ServiceRegistry
     leave: Leave
     started_at: float
     settle_s: float
-    _shares: ShareKeeper = field(init=False)
+    _shares: ShareManager = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self._shares = ShareKeeper(
+        self._shares = ShareManager(
             vm=self.vm,
             membership=self.membership,
             started_at=self.started_at,
             settle_s=self.settle_s,
         )
 
-    def distrust(self, now: float) -> None:
+    def invalidate(self, now: float) -> None:
         """Listen for peers anew, as after a pause."""
-        self._shares.distrust(now)
+        self._shares.restart_settling(now)
 
     def update_shares(
         self, configuration: Configuration | None, now: float
-    ) -> list[OfService]:
+    ) -> list[ServiceEffect]:
         """Bring all shares closer to their targets.
 
         Parameters
@@ -77,12 +77,12 @@
 
         Returns
         -------
-        list of OfService
+        list of ServiceEffect
             What follows for requests that wait for a share that grew.
         """
         if configuration is None:
             return []
-        effects: list[OfService] = []
+        effects: list[ServiceEffect] = []
         for service, dispatcher in self.services.dispatchers_by_service.items():
             declared = configuration.services_by_name.get(service)
             # Asked at each heartbeat: without the last question it took 0.07 of 0.9 s
@@ -91,14 +91,14 @@
                 continue
             longest_s = declared.longest_timeout_ms / 1000
             if self._shares.update_all(
-                dispatcher.upstreams_by_name.values(), longest_work_s=longest_s, now=now
+                dispatcher.upstreams_by_name.values(), max_request_s=longest_s, now=now
             ):
-                effects += self._tell(service, TimePassed(), now)
+                effects += self._handle(service, TimePassed(), now)
         return effects
 
     def lend(
         self, request: SlotRequest, reply_to: Endpoint, now: float
-    ) -> list[OfService]:
+    ) -> list[ServiceEffect]:
         """Lend slots to a member, unless this VM leaves.
 
         Parameters
@@ -117,14 +117,16 @@
         known = request.sender in self.membership.members_by_name
         if not known or self.leave.is_leaving:
             return []
-        asked = SlotsAsked(request=request, reply_to=reply_to)
-        return self._tell(self.services.service_of(request.upstream), asked, now)
+        asked = SlotsRequested(request=request, reply_to=reply_to)
+        return self._handle(self.services.service_of(request.upstream), asked, now)
 
-    def _tell(self, service: str, event: DispatchEvent, now: float) -> list[OfService]:
+    def _handle(
+        self, service: str, event: DispatchEvent, now: float
+    ) -> list[ServiceEffect]:
         effects = self.services.handle(service, event, now)
-        return [OfService(service, each) for each in effects]
+        return [ServiceEffect(service, each) for each in effects]
 
-    def forget_removals(self, configuration: Configuration | None, now: float) -> None:
+    def expire_removals(self, configuration: Configuration | None, now: float) -> None:
         """Forget removed members whose work at shared slots must have ended.
 
         Parameters
--- a/packages/daemon/src/plankspindle_daemon/node/look_ups.py
+++ b/packages/daemon/src/plankspindle_daemon/node/steering_updater.py
@@ -11,12 +11,12 @@
 from plankspindle_daemon.membership.membership import Membership
 from plankspindle_daemon.node.self_report import SelfReport
 from plankspindle_daemon.peer_messages.readiness import Readiness
-from plankspindle_daemon.steering.entry_vms import KnownEntryVms
+from plankspindle_daemon.steering.known_entry_vms import KnownEntryVms
 from plankspindle_daemon.steering.steering import Steering
 
 if TYPE_CHECKING:
     from plankspindle_core.configuration.configuration import Configuration
-SILENCE_S = 1.0
+UNRESPONSIVE_CHECK_PERIOD_S = 1.0
 """Period of looking for members that have fallen silent meanwhile, in seconds.
 
 Only time tells it, where no watcher does. Looking takes 3 us a member.
@@ -24,7 +24,7 @@
 
 
 @define(kw_only=True)
-class LookUps:
+class SteeringUpdater:
     """Tell look-ups of the entry VMs, and members of the readiness of this one.
 
     Parameters
@@ -50,19 +50,19 @@
     self_report: SelfReport
     steering: Steering | None = None
     _entry_vms: KnownEntryVms = field(init=False)
-    _was_open: bool = False
-    _known: tuple[object, ...] = ()
-    _next_at: float = 0.0
+    _was_accepting: bool = False
+    _applied_state: tuple[object, ...] = ()
+    _next_refresh_at: float = 0.0
 
     def __attrs_post_init__(self) -> None:
         self._entry_vms = KnownEntryVms(membership=self.membership)
 
-    def use(self, configuration: Configuration) -> None:
+    def use_configuration(self, configuration: Configuration) -> None:
         """Answer look-ups by another version of the configuration."""
         self.steering = Steering(
             configuration=configuration, home_domain=self.failure_domain
         )
-        self._known = ()
+        self._applied_state = ()
 
     def refresh(self, version: int, now: float) -> None:
         """Take the present set of entry VMs, if it may have changed.
@@ -78,14 +78,14 @@
             return
         own = self.self_report.entry_vm(version)
         drained = frozenset(self.vm_drains.drained)
-        known = (self.membership.changes, own, drained)
-        if known == self._known and now < self._next_at:
+        known = (self.membership.change_count, own, drained)
+        if known == self._applied_state and now < self._next_refresh_at:
             return
-        self._known = known
-        self._next_at = now + SILENCE_S
-        entries = self._entry_vms.present(drained=self.vm_drains.drained, now=now)
+        self._applied_state = known
+        self._next_refresh_at = now + UNRESPONSIVE_CHECK_PERIOD_S
+        entries = self._entry_vms.snapshot(drained=self.vm_drains.drained, now=now)
         entries[own.name] = own
-        self.steering.use_vms(entries.values())
+        self.steering.update_vms(entries.values())
 
     def announce_readiness(self, version: int, now: float) -> None:
         """Tell all members soon that this VM takes work now, or no longer.
@@ -105,6 +105,6 @@
         """
         readiness = self.self_report.readiness(version)
         is_open = readiness in (Readiness.READY, Readiness.OVERLOADED)
-        if is_open is not self._was_open:
-            self._was_open = is_open
-            self.membership.announce(now)
+        if is_open is not self._was_accepting:
+            self._was_accepting = is_open
+            self.membership.schedule_heartbeat_round(now)
--- a/packages/daemon/src/plankspindle_daemon/node/version_talk.py
+++ b/packages/daemon/src/plankspindle_daemon/node/version_gossip.py
@@ -27,7 +27,7 @@
 
 
 @define(kw_only=True)
-class VersionTalk:
+class VersionGossip:
     """Tell members of versions, and learn higher ones from them.
 
     Parameters
@@ -58,48 +58,54 @@
 
     def is_reader(self, now: float) -> bool:
         """Tell whether this VM is to poll the platform for a new version."""
-        members = self.membership.view()
+        members = self.membership.member_names()
         return self.exchange.is_reader(members, now, self.head.heard_at)
 
-    def spread(self) -> list[SendHeartbeat]:
+    def announce(self) -> list[SendHeartbeat]:
         """Tell some members of a new version at once; heartbeats tell the rest."""
         targets = spread_targets(
-            me=self.vm, members=self.membership.view(), random=self.random
+            me=self.vm, members=self.membership.member_names(), random=self.random
         )
         members = self.membership.members_by_name
         return [SendHeartbeat(members[name].peer_endpoint) for name in targets]
 
-    def hear_heartbeat(self, heartbeat: Heartbeat, now: float) -> list[SendToPeer]:
+    def receive_heartbeat(self, heartbeat: Heartbeat, now: float) -> list[SendToPeer]:
         """Take what a member's heartbeat says of the configuration."""
         if heartbeat.sender not in self.membership.members_by_name:
             return []
         self.head.note_heard(heartbeat.head_read_ago_ms, now)
-        return self.hear_version(heartbeat.sender, heartbeat.configuration_version, now)
+        return self.receive_version(
+            heartbeat.sender, heartbeat.configuration_version, now
+        )
 
-    def hear_version(self, sender: str, version: int, now: float) -> list[SendToPeer]:
+    def receive_version(
+        self, sender: str, version: int, now: float
+    ) -> list[SendToPeer]:
         """Take the version that another entry VM has in force."""
-        return self._ask(sender, self.exchange.hear_version(sender, version, now))
+        return self._request(sender, self.exchange.hear_version(sender, version, now))
 
     def answer(self, request: ContentRequest, reply_to: Endpoint) -> list[SendToPeer]:
         """Give a part of the version in force."""
         chunk = self.exchange.answer(request)
         return [] if chunk is None else [SendToPeer(message=chunk, to=reply_to)]
 
-    def take_chunk(
+    def receive_chunk(
         self, chunk: ContentChunk, now: float
     ) -> LearnedContent | list[SendToPeer]:
         """Take a part of a higher version; give the whole, or what is asked next."""
         taken = self.exchange.take_chunk(chunk, now).unwrap_or([])
         if isinstance(taken, LearnedContent):
             return taken
-        return self._ask(chunk.sender, taken)
+        return self._request(chunk.sender, taken)
 
     def tick(self, now: float) -> list[SendToPeer]:
         """Ask again for parts that did not come."""
         source, asked = self.exchange.tick(now)
-        return self._ask(source, asked)
+        return self._request(source, asked)
 
-    def _ask(self, name: str, requests: Iterable[ContentRequest]) -> list[SendToPeer]:
+    def _request(
+        self, name: str, requests: Iterable[ContentRequest]
+    ) -> list[SendToPeer]:
         member = self.membership.members_by_name.get(name)
         if member is None:
             return []
--- a/packages/daemon/src/plankspindle_daemon/observability/instruments.py
+++ b/packages/daemon/src/plankspindle_daemon/observability/instruments.py
@@ -100,7 +100,7 @@
 
     def _keys_leaving_region(self) -> Iterable[Observation]:
         return [
-            Observation(each.placement.plan.part, {"service": service})
+            Observation(each.placement.plan.remote_share, {"service": service})
             for service, each in self._measures.node.dispatchers_by_service.items()
             if each.placement is not None
         ]
@@ -112,14 +112,14 @@
         ]
 
     def _crashes_reported(self) -> Iterable[Observation]:
-        return [Observation(self._measures.node.quarantine.reported)]
+        return [Observation(self._measures.node.quarantine.crashes_reported)]
 
     def _held_back(self) -> Iterable[Observation]:
-        return [Observation(self._measures.node.quarantine.refused)]
+        return [Observation(self._measures.node.quarantine.requests_refused)]
 
     def _quota_requests(self) -> Iterable[Observation]:
         """Give counts of the workspaces with most refusals; the rest go together."""
-        borrower = self._measures.node.quotas.borrower
+        borrower = self._measures.node.quotas.token_requester
         for decision, counts in (
             ("admitted", borrower.admitted_by_workspace),
             ("refused", borrower.refused_by_workspace),
@@ -143,7 +143,7 @@
         return [
             Observation(
                 sum(
-                    upstream.stated.limit_per_s is not None
+                    upstream.last_statement.limit_per_s is not None
                     for upstream in each.upstreams_by_name.values()
                 ),
                 {"service": service},
@@ -152,7 +152,7 @@
         ]
 
     def _quarantined(self) -> Iterable[Observation]:
-        listed = self._measures.node.quarantine.listed
+        listed = self._measures.node.quarantine.quarantine_list
         return [Observation(len(listed.entries_by_identity))]
 
     def _lines_dropped(self) -> Iterable[Observation]:
--- a/packages/daemon/src/plankspindle_daemon/observability/metrics.py
+++ b/packages/daemon/src/plankspindle_daemon/observability/metrics.py
@@ -9,17 +9,17 @@
 
 from plankspindle_core.classes import define
 from plankspindle_core.histogram import Histogram
-from plankspindle_daemon.stories.steps import AttemptEnded
-from plankspindle_daemon.stories.steps import Placed
-from plankspindle_daemon.stories.steps import Queued
-from plankspindle_daemon.stories.steps import Rejected
-from plankspindle_daemon.stories.steps import RetryDecided
+from plankspindle_daemon.traces.steps import AttemptEnded
+from plankspindle_daemon.traces.steps import Placed
+from plankspindle_daemon.traces.steps import Queued
+from plankspindle_daemon.traces.steps import Rejected
+from plankspindle_daemon.traces.steps import RetryDecided
 
 if TYPE_CHECKING:
     from collections.abc import Hashable
     from typing import TypeVar
 
-    from plankspindle_daemon.stories.story import Story
+    from plankspindle_daemon.traces.request_trace import RequestTrace
 
     Key = TypeVar("Key", bound=Hashable)
 
@@ -59,22 +59,22 @@
         """Count a look-up."""
         self.lookups += 1
 
-    def note_request(self, story: Story, now: float) -> None:
+    def note_request(self, trace: RequestTrace, now: float) -> None:
         """Count a request that has ended, with its attempts and waits.
 
         Parameters
         ----------
-        story : Story
+        trace : RequestTrace
             What happened to it.
         now : float
             Monotonic seconds.
         """
-        service = story.service or NO_SERVICE
-        rank = -1 if story.rank is None else story.rank
-        key = (service, rank, story.ending.value)
-        _of(self.seconds_by_key, key, REQUEST_BOUNDS_S).note(now - story.began_at)
+        service = trace.service or NO_SERVICE
+        rank = -1 if trace.rank is None else trace.rank
+        key = (service, rank, trace.completion.value)
+        _of(self.seconds_by_key, key, REQUEST_BOUNDS_S).note(now - trace.started_at)
         queued_at = None
-        for at, step in story.steps:
+        for at, step in trace.steps:
             match step:
                 case Queued():
                     queued_at = at
--- a/packages/daemon/src/plankspindle_daemon/observability/state_dump.py
+++ b/packages/daemon/src/plankspindle_daemon/observability/state_dump.py
@@ -56,7 +56,7 @@
                 "total": metered.total,
                 "moved": metered.moved,
             }
-            for shift_id, metered in node.meter.counts_by_id().items()
+            for shift_id, metered in node.shift_meter.counts_by_id().items()
         },
         "quarantine": _dump_quarantine(node, now),
         "workspaces": _dump_workspaces(node, now),
@@ -70,7 +70,7 @@
         "request_ids": {
             "issued": node.ids.issued,
             "ran": node.ids.ran,
-            "remembered": node.ids.remembered,
+            "remembered": node.ids.retained,
         },
         "steering": _dump_steering(node),
         "invariants_checked": dict(checks_by_name),
@@ -94,8 +94,8 @@
             "share_held": round(quotas.holder.share_of(shard_of(name), now), 4),
             "tokens_given": quotas.holder.granted_by_workspace.get(name, 0),
             "tokens_denied": quotas.holder.denied_by_workspace.get(name, 0),
-            "admitted": quotas.borrower.admitted_by_workspace.get(name, 0),
-            "refused": quotas.borrower.refused_by_workspace.get(name, 0),
+            "admitted": quotas.token_requester.admitted_by_workspace.get(name, 0),
+            "refused": quotas.token_requester.refused_by_workspace.get(name, 0),
         }
         for name, workspace in configuration.workspaces_by_name.items()
     }
@@ -118,7 +118,7 @@
     membership = node.membership
     read_at = node.self_report.list_read_at
     return {
-        "view": list(membership.view()),
+        "view": list(membership.member_names()),
         "view_digest": f"{membership.view_digest():016x}",
         "watchers": list(membership.detector.watchers()),
         "heartbeat_period_s": round(membership.heartbeat_period_s(), 3),
@@ -127,8 +127,8 @@
             name: {
                 "readiness": member.readiness.value,
                 "silent_s": None
-                if member.last_heard is None
-                else round(now - member.last_heard, 3),
+                if member.last_heartbeat_at is None
+                else round(now - member.last_heartbeat_at, 3),
                 "suspected": membership.is_silent(member, now),
                 "suspected_by": sorted(member.suspected_by),
                 "agrees": member.view_digest == membership.view_digest(),
@@ -143,7 +143,9 @@
 def _dump_dispatcher(dispatcher: Dispatcher, now: float) -> dict[str, Any]:
     placement = dispatcher.placement
     return {
-        "keys_leaving_region": None if placement is None else placement.plan.part,
+        "keys_leaving_region": None
+        if placement is None
+        else placement.plan.remote_share,
         "queued": len(dispatcher.queue),
         "assigned": dispatcher.assigned,
         "rejected": {
@@ -158,19 +160,19 @@
 
 
 def _dump_upstream(upstream: UpstreamState, now: float) -> dict[str, Any]:
-    gate = upstream.limit_gate()
+    gate = upstream.fleet_limiter()
     return {
-        "standing": upstream.standing(now).value,
+        "standing": upstream.status(now).value,
         "evidence": upstream.evidence,
         "slots": upstream.ledger.slots,
         "share": upstream.ledger.share,
-        "limit": upstream.limit(now),
+        "limit": upstream.usable_slots(now),
         "in_flight": upstream.ledger.in_flight,
         "health": type(upstream.health.state).__name__,
         "leaving": upstream.leaving,
         "fleet_limit_per_s": None if gate is None else gate.limit_per_s,
         "fleet_limit_used": 0 if gate is None else gate.used,
-        "rests_ms": round(1000 * (upstream.health.rests_until(now) - now)),
+        "rests_ms": round(1000 * (upstream.health.retry_at(now) - now)),
         "relative_latency": round(upstream.relative_latency, 3),
     }
 
@@ -180,31 +182,31 @@
     return {
         "requests": {
             identity_text(each.identity): {
-                "for_s": round(now - each.since, 3),
-                "trials": each.trials,
-                "next_trial_s": round(each.trial_at - now, 3),
+                "for_s": round(now - each.quarantined_at, 3),
+                "trials": each.probe_attempts,
+                "next_trial_s": round(each.next_probe_at - now, 3),
             }
-            for each in quarantine.listed.entries_by_identity.values()
+            for each in quarantine.quarantine_list.entries_by_identity.values()
         },
         "counted": {
-            identity_text(case.identity): list(case.ended_at_by_life)
-            for case in quarantine.cases.cases_by_identity.values()
+            identity_text(case.identity): list(case.crashed_at_by_incarnation)
+            for case in quarantine.crash_records.records_by_identity.values()
         },
-        "held_back": quarantine.refused,
-        "crashes_reported": quarantine.reported,
+        "held_back": quarantine.requests_refused,
+        "crashes_reported": quarantine.crashes_reported,
     }
 
 
 def _dump_domains(node: Node, now: float) -> dict[str, Any]:
     if node.configuration is None:
         return {}
-    heard = node.talk.digests.heard_by_vm.values()
+    heard = node.digest_exchange.digests.heard_by_vm.values()
     dumped = {}
     for domain, declared in node.configuration.failure_domains_by_name.items():
         digests = [each for each in heard if each.digest.failure_domain == domain]
         versions = [each.digest.configuration_version for each in digests]
         loads = {
-            service: node.talk.digests.load_of(
+            service: node.digest_exchange.digests.load_of(
                 service=service, domains={domain}, now=now
             )
             for service in node.configuration.services_by_name
--- a/packages/daemon/src/plankspindle_daemon/peer_messages/heartbeat.py
+++ b/packages/daemon/src/plankspindle_daemon/peer_messages/heartbeat.py
@@ -6,7 +6,7 @@
 from plankspindle_core.endpoint import Endpoint
 from plankspindle_daemon.peer_messages.readiness import Readiness
 
-EVERY_UPSTREAM = "*"
+ALL_UPSTREAMS = "*"
 """Stands in ``over_share`` for more upstreams than a heartbeat can name."""
 
 
--- a/packages/daemon/src/plankspindle_daemon/peer_messages/quota_messages.py
+++ b/packages/daemon/src/plankspindle_daemon/peer_messages/quota_messages.py
@@ -4,7 +4,7 @@
 
 from plankspindle_core.classes import frozen
 
-OF_WORKSPACE = -1.0
+NO_UPSTREAM_LIMIT = -1.0
 """Limit of a request for tokens of a workspace's quota."""
 
 
@@ -83,7 +83,7 @@
     request_id: int
     workspace: str
     count: int
-    limit_per_s: float = OF_WORKSPACE
+    limit_per_s: float = NO_UPSTREAM_LIMIT
     heard_ago_ms: int = 0
 
     @property
--- a/packages/daemon/src/plankspindle_daemon/peer_messages/news_outbox.py
+++ b/packages/daemon/src/plankspindle_daemon/peer_messages/resend_queue.py
@@ -7,16 +7,16 @@
 from plankspindle_core.classes import define
 from plankspindle_daemon.peer_messages.peer_message import SendToPeer
 
-REPEATS = 2
+RESENDS = 2
 """Times that news is sent again."""
-REPEAT_S = 0.4
+RESEND_INTERVAL_S = 0.4
 """Time between two sendings of the same news, in seconds."""
-MAX_WAITING = 1_024
+MAX_QUEUED = 1_024
 """News that waits to be sent again; older news goes."""
 
 
 @define(kw_only=True)
-class _Repeat:
+class _Resend:
     """News that is to be sent again."""
 
     effects: list[SendToPeer]
@@ -25,10 +25,10 @@
 
 
 @define(kw_only=True)
-class NewsOutbox:
+class ResendQueue:
     """Messages that wait to be sent again."""
 
-    _waiting: list[_Repeat] = Factory(list)
+    _waiting: list[_Resend] = Factory(list)
 
     def __len__(self) -> int:
         """Count the news that waits."""
@@ -36,24 +36,24 @@
 
     def send(self, effects: list[SendToPeer], now: float) -> list[SendToPeer]:
         """Keep messages that are sent now, to be sent again; give them as they are."""
-        self._keep(_Repeat(effects=effects, due=now + REPEAT_S, left=REPEATS))
+        self._keep(_Resend(effects=effects, due=now + RESEND_INTERVAL_S, left=RESENDS))
         return effects
 
     def send_later(self, effects: list[SendToPeer], now: float) -> None:
         """Keep messages where none can be sent, to be sent from the next tick on."""
-        self._keep(_Repeat(effects=effects, due=now, left=1 + REPEATS))
+        self._keep(_Resend(effects=effects, due=now, left=1 + RESENDS))
 
-    def take_due(self, now: float) -> list[SendToPeer]:
+    def pop_due(self, now: float) -> list[SendToPeer]:
         """Give what is to be sent at this moment."""
         due = [each for each in self._waiting if now >= each.due]
         if not due:
             return []
         for each in due:
-            each.due = now + REPEAT_S
+            each.due = now + RESEND_INTERVAL_S
             each.left -= 1
         self._waiting = [each for each in self._waiting if each.left > 0]
         return [effect for each in due for effect in each.effects]
 
-    def _keep(self, repeat: _Repeat) -> None:
+    def _keep(self, repeat: _Resend) -> None:
         if repeat.effects:
-            self._waiting = [*self._waiting, repeat][-MAX_WAITING:]
+            self._waiting = [*self._waiting, repeat][-MAX_QUEUED:]
--- a/packages/daemon/src/plankspindle_daemon/quarantine/counting_vms.py
+++ b/packages/daemon/src/plankspindle_daemon/quarantine/aggregator_selector.py
@@ -6,16 +6,16 @@
 from plankspindle_core.classes import frozen
 from plankspindle_core.endpoint import Endpoint
 from plankspindle_core.stable_hash import stable_hash
-from plankspindle_daemon.membership.member import AGREEING
+from plankspindle_daemon.membership.member import SUSPICION_QUORUM
 from plankspindle_daemon.membership.membership import Membership
 from plankspindle_daemon.platform.live_list import VmKind
 
-COUNTING = 3
+AGGREGATORS_PER_REQUEST = 3
 """Entry VMs that count for one request, in as many failure domains."""
 
 
 @frozen(kw_only=True)
-class PeerVm:
+class CandidateVm:
     """Another entry VM.
 
     Parameters
@@ -32,7 +32,7 @@
 
 
 @define(kw_only=True)
-class CountingVms:
+class AggregatorSelector:
     """Choose them by a hash, so that all entry VMs choose the same.
 
     Parameters
@@ -47,7 +47,7 @@
     failure_domain: str
     membership: Membership
 
-    def of(self, identity: int, now: float) -> list[PeerVm]:
+    def select(self, identity: int, now: float) -> list[CandidateVm]:
         """Choose for a request, the one that tries it out first.
 
         Notes
@@ -60,14 +60,14 @@
             [self._own(), *self._alive(now)],
             key=lambda each: stable_hash(f"{identity} {each.name}"),
         )
-        chosen: dict[str, PeerVm] = {}
+        chosen: dict[str, CandidateVm] = {}
         for each in ranked:
             chosen.setdefault(each.failure_domain, each)
-        first = list(chosen.values())[:COUNTING]
+        first = list(chosen.values())[:AGGREGATORS_PER_REQUEST]
         rest = [each for each in ranked if each not in first]
-        return [*first, *rest][:COUNTING]
+        return [*first, *rest][:AGGREGATORS_PER_REQUEST]
 
-    def others(self) -> list[Endpoint]:
+    def peer_endpoints(self) -> list[Endpoint]:
         """Give the addresses of all other entry VMs, of all failure domains."""
         endpoints = set(self.membership.peer_endpoints())
         endpoints |= {each.endpoint for each in self._listed() if each.endpoint}
@@ -76,10 +76,12 @@
             endpoints.discard(own.peer_endpoint)
         return sorted(endpoints)
 
-    def _own(self) -> PeerVm:
-        return PeerVm(name=self.vm, failure_domain=self.failure_domain, endpoint=None)
+    def _own(self) -> CandidateVm:
+        return CandidateVm(
+            name=self.vm, failure_domain=self.failure_domain, endpoint=None
+        )
 
-    def _alive(self, now: float) -> list[PeerVm]:
+    def _alive(self, now: float) -> list[CandidateVm]:
         """Give members that are not known as silent; those not heard yet count.
 
         A process that has just started would else choose among the few that it heard,
@@ -88,20 +90,23 @@
         silence_s = self.membership.suspect_after_s()
         members = self.membership.members_by_name
         alive = [
-            PeerVm(
+            CandidateVm(
                 name=each.name,
                 failure_domain=each.failure_domain,
                 endpoint=each.peer_endpoint,
             )
             for each in members.values()
-            if len(each.suspected_by) < AGREEING
-            and (each.last_heard is None or now - each.last_heard <= silence_s)
+            if len(each.suspected_by) < SUSPICION_QUORUM
+            and (
+                each.last_heartbeat_at is None
+                or now - each.last_heartbeat_at <= silence_s
+            )
         ]
         return [*alive, *(each for each in self._listed() if each.name not in members)]
 
-    def _listed(self) -> list[PeerVm]:
+    def _listed(self) -> list[CandidateVm]:
         return [
-            PeerVm(
+            CandidateVm(
                 name=each.name,
                 failure_domain=each.failure_domain,
                 endpoint=each.peer_endpoint,
--- a/packages/daemon/src/plankspindle_daemon/quarantine/crash_probe.py
+++ b/packages/daemon/src/plankspindle_daemon/quarantine/crash_detector.py
@@ -25,18 +25,18 @@
     from plankspindle_core.endpoint import Endpoint
     from plankspindle_daemon.dispatch.messages import Assign
 
-CONNECT_S = 0.5
+CONNECT_TIMEOUT_S = 0.5
 """Longest wait for a connection to an upstream that broke a request off, in seconds."""
-LIFE_S = 5.0
+UNNUMBERED_INCARNATION_S = 5.0
 """Time in which an upstream whose lives nobody numbers ends once, in seconds."""
-SETTLE_S = 0.03
+CONNECTION_CLOSE_WAIT_S = 0.03
 """Time in which the ends of all connections of a process arrive, in seconds."""
-MAX_ENDED = 1_024
+MAX_CRASHED_INCARNATIONS = 1_024
 """Lives that are known to have ended."""
 
 
 @define(kw_only=True)
-class _Lost:
+class _LostRequest:
     """A request whose connection was lost, and when, in monotonic seconds."""
 
     identity: RequestIdentity
@@ -44,7 +44,7 @@
 
 
 @define(kw_only=True)
-class CrashProbe:
+class CrashDetector:
     """Tell the quarantine of requests that were in flight where an upstream ended.
 
     Parameters
@@ -55,7 +55,7 @@
         Connections to upstreams.
     supervisor : Supervisor
         Starter of tasks.
-    perform : callable
+    send_messages : callable
         Sends messages to other entry VMs.
 
     Notes
@@ -70,11 +70,13 @@
     quarantine: Quarantine
     pool: ConnectionPool
     supervisor: Supervisor
-    perform: Callable[[list[SendToPeer]], Awaitable[None]]
-    _lost_by_life: dict[str, list[_Lost]] = Factory(dict)
-    _ended: OrderedDict[str, None] = Factory(OrderedDict)
+    send_messages: Callable[[list[SendToPeer]], Awaitable[None]]
+    _lost_by_incarnation: dict[str, list[_LostRequest]] = Factory(dict)
+    _crashed: OrderedDict[str, None] = Factory(OrderedDict)
 
-    async def note_lost(self, identity: RequestIdentity, assigned: Assign) -> None:
+    async def handle_connection_loss(
+        self, identity: RequestIdentity, assigned: Assign
+    ) -> None:
         """Take the loss of a connection with a request in flight.
 
         Parameters
@@ -84,48 +86,50 @@
         assigned : Assign
             Where it was.
         """
-        life = _life_of(assigned)
-        lost = _Lost(identity=identity, at=monotonic())
-        if life in self._ended:
+        life = _incarnation_id_of(assigned)
+        lost = _LostRequest(identity=identity, at=monotonic())
+        if life in self._crashed:
             await self._report(life, [lost])
-        elif life in self._lost_by_life:
-            self._lost_by_life[life].append(lost)
+        elif life in self._lost_by_incarnation:
+            self._lost_by_incarnation[life].append(lost)
         else:
-            self._lost_by_life[life] = [lost]
-            await self.supervisor.spawn(self._probe, life, assigned.endpoint)
+            self._lost_by_incarnation[life] = [lost]
+            await self.supervisor.spawn(self._start_check, life, assigned.endpoint)
 
-    async def note_answered(self, identity: RequestIdentity) -> None:
+    async def handle_completion(self, identity: RequestIdentity) -> None:
         """Take that an upstream ran a request to its end."""
         if self.quarantine.is_active:
             now = monotonic()
-            await self.perform(self.quarantine.note_answered(identity.value, now))
+            await self.send_messages(
+                self.quarantine.record_completion(identity.value, now)
+            )
 
-    async def _probe(self, life: str, endpoint: Endpoint) -> None:
-        await self.supervisor.contain(self._take_probe, life, endpoint)
+    async def _start_check(self, life: str, endpoint: Endpoint) -> None:
+        await self.supervisor.contain(self._check, life, endpoint)
 
-    async def _take_probe(self, life: str, endpoint: Endpoint) -> None:
+    async def _check(self, life: str, endpoint: Endpoint) -> None:
         try:
-            has_ended = await self._has_ended(endpoint)
+            has_ended = await self._has_crashed(endpoint)
         finally:
-            lost = self._lost_by_life.pop(life)
+            lost = self._lost_by_incarnation.pop(life)
         if not has_ended:
             return
-        self._ended[life] = None
-        while len(self._ended) > MAX_ENDED:
-            self._ended.popitem(last=False)
+        self._crashed[life] = None
+        while len(self._crashed) > MAX_CRASHED_INCARNATIONS:
+            self._crashed.popitem(last=False)
         await self._report(life, lost)
 
-    async def _has_ended(self, endpoint: Endpoint) -> bool:
-        await sleep(SETTLE_S)
-        if self.pool.has_quiet(endpoint):
+    async def _has_crashed(self, endpoint: Endpoint) -> bool:
+        await sleep(CONNECTION_CLOSE_WAIT_S)
+        if self.pool.has_live_idle(endpoint):
             return False
         connection = ClientConnection(endpoint=endpoint)
-        started = await connection.start(timeout_s=CONNECT_S)
+        started = await connection.start(timeout_s=CONNECT_TIMEOUT_S)
         await connection.close()
         failure = started.err()
         return failure is not None and failure.is_refused
 
-    async def _report(self, life: str, lost: list[_Lost]) -> None:
+    async def _report(self, life: str, lost: list[_LostRequest]) -> None:
         for each in lost:
             identity, now = each.identity, monotonic()
             log_event(
@@ -137,13 +141,13 @@
                 caller=identity.caller,
                 in_flight=len(lost),
             )
-            await self.perform(
-                self.quarantine.note_crash(identity.value, life, at=each.at, now=now)
+            await self.send_messages(
+                self.quarantine.record_crash(identity.value, life, at=each.at, now=now)
             )
 
 
-def _life_of(assigned: Assign) -> str:
+def _incarnation_id_of(assigned: Assign) -> str:
     """Name the life of an upstream, at all entry VMs alike."""
     if assigned.incarnation:
         return f"{assigned.upstream}#{assigned.incarnation}"
-    return f"{assigned.upstream}@{int(time.time() / LIFE_S)}"
+    return f"{assigned.upstream}@{int(time.time() / UNNUMBERED_INCARNATION_S)}"
--- a/packages/daemon/src/plankspindle_daemon/quarantine/quarantine_list.py
+++ b/packages/daemon/src/plankspindle_daemon/quarantine/quarantine_list.py
@@ -8,17 +8,17 @@
 from plankspindle_core.classes import frozen
 from plankspindle_core.stable_hash import stable_hash
 
-TRIAL_S = 60.0
+FIRST_PROBE_DELAY_S = 60.0
 """Time until a quarantined request is let through for the first time, in seconds.
 
 Each further one comes after twice the time. A trial costs an upstream if the request
 still crashes it, and all that is in flight there.
 """
-MAX_TRIAL_S = 3_600.0
-KEPT_S = 86_400.0
+MAX_PROBE_DELAY_S = 3_600.0
+ENTRY_RETENTION_S = 86_400.0
 """Time after which a quarantined request is forgotten, in seconds."""
 MAX_ENTRIES = 256
-AGE_SLACK_S = 2.0
+AGE_TOLERANCE_S = 2.0
 """Time by which ages that entry VMs tell may be off, in seconds.
 
 A clearance of up to that much earlier goes before a quarantine.
@@ -33,23 +33,27 @@
     ----------
     identity : int
         The request.
-    since : float
+    quarantined_at : float
         When it was put in quarantine, monotonic seconds.
-    trials : int
+    probe_attempts : int
         How often it was let through since then.
     """
 
     identity: int
-    since: float
-    trials: int = 0
+    quarantined_at: float
+    probe_attempts: int = 0
 
     @property
-    def trial_at(self) -> float:
+    def next_probe_at(self) -> float:
         """When it is let through next, monotonic seconds."""
         waited_s = 0.0
-        for trial in range(min(self.trials + 1, int(KEPT_S / TRIAL_S))):
-            waited_s += min(MAX_TRIAL_S, TRIAL_S * 2.0 ** min(trial, 16))
-        return self.since + waited_s
+        for trial in range(
+            min(self.probe_attempts + 1, int(ENTRY_RETENTION_S / FIRST_PROBE_DELAY_S))
+        ):
+            waited_s += min(
+                MAX_PROBE_DELAY_S, FIRST_PROBE_DELAY_S * 2.0 ** min(trial, 16)
+            )
+        return self.quarantined_at + waited_s
 
 
 @define(kw_only=True)
@@ -79,25 +83,28 @@
         follows later.
         """
         cleared_at = self.cleared_at_by_identity.get(entry.identity)
-        if cleared_at is not None and entry.since <= cleared_at + AGE_SLACK_S:
+        if (
+            cleared_at is not None
+            and entry.quarantined_at <= cleared_at + AGE_TOLERANCE_S
+        ):
             return False
         known = self.entries_by_identity.get(entry.identity)
-        if known is not None and known.trials >= entry.trials:
+        if known is not None and known.probe_attempts >= entry.probe_attempts:
             return False
         self.entries_by_identity[entry.identity] = entry
         self.cleared_at_by_identity.pop(entry.identity, None)
-        self._bound()
-        self._note_change()
+        self._evict_oldest()
+        self._update_digest()
         return known is None
 
     def clear(self, identity: int, at: float) -> bool:
         """Take out a request that was answered; tell whether it was held back."""
         known = self.entries_by_identity.get(identity)
-        if known is None or known.since > at + AGE_SLACK_S:
+        if known is None or known.quarantined_at > at + AGE_TOLERANCE_S:
             return False
         del self.entries_by_identity[identity]
         self.cleared_at_by_identity[identity] = at
-        self._note_change()
+        self._update_digest()
         return True
 
     def expire(self, now: float) -> None:
@@ -106,29 +113,31 @@
         self.entries_by_identity = {
             each.identity: each
             for each in self.entries_by_identity.values()
-            if now - each.since <= KEPT_S
+            if now - each.quarantined_at <= ENTRY_RETENTION_S
         }
         self.cleared_at_by_identity = {
             identity: at
             for identity, at in self.cleared_at_by_identity.items()
-            if now - at <= KEPT_S
+            if now - at <= ENTRY_RETENTION_S
         }
         after = len(self.entries_by_identity) + len(self.cleared_at_by_identity)
         if after != before:
-            self._note_change()
+            self._update_digest()
 
-    def _bound(self) -> None:
+    def _evict_oldest(self) -> None:
         while len(self.entries_by_identity) > MAX_ENTRIES:
-            oldest = min(self.entries_by_identity.values(), key=lambda e: e.since)
+            oldest = min(
+                self.entries_by_identity.values(), key=lambda e: e.quarantined_at
+            )
             del self.entries_by_identity[oldest.identity]
         while len(self.cleared_at_by_identity) > MAX_ENTRIES:
             cleared = self.cleared_at_by_identity
             del cleared[min(cleared, key=cleared.__getitem__)]
 
-    def _note_change(self) -> None:
+    def _update_digest(self) -> None:
         digest = 0
         for entry in self.entries_by_identity.values():
-            digest ^= stable_hash(f"{entry.identity} {entry.trials}")
+            digest ^= stable_hash(f"{entry.identity} {entry.probe_attempts}")
         for identity in self.cleared_at_by_identity:
             digest ^= stable_hash(f"{identity} cleared")
         self.digest = digest
--- a/packages/daemon/src/plankspindle_daemon/quarantine/quarantine_store.py
+++ b/packages/daemon/src/plankspindle_daemon/quarantine/quarantine_store.py
@@ -24,16 +24,16 @@
 from plankspindle_daemon.platform.table import RowWrite
 from plankspindle_daemon.platform.table import Transaction
 from plankspindle_daemon.quarantine.quarantine import Quarantine
-from plankspindle_daemon.quarantine.quarantine_list import KEPT_S
+from plankspindle_daemon.quarantine.quarantine_list import ENTRY_RETENTION_S
 from plankspindle_daemon.quarantine.quarantine_list import QuarantineEntry
 from plankspindle_daemon.quarantine.request_identity import identity_text
 
-ROW = "quarantine"
-DOUBT_S = 2.0
+ROW_KEY = "quarantine"
+MIN_REREAD_INTERVAL_S = 2.0
 """Least time between two reads that ends of upstreams lead to, in seconds."""
 RETRY_S = 1.0
 """Pause after a call that failed, in seconds."""
-MAX_TRIALS = 65_535
+MAX_PROBE_ATTEMPTS = 65_535
 
 
 @define(kw_only=True)
@@ -60,7 +60,7 @@
     quarantine: Quarantine
     platform: PlatformClient
     random: Random
-    _wakes: Any = Factory(Event)
+    _wake_event: Any = Factory(Event)
     _read_at: float = -math.inf
 
     async def run(self) -> None:
@@ -68,27 +68,27 @@
         while (await self._read()).is_err():
             await self._pause()
         while True:
-            await self._wakes.wait()
-            self._wakes.clear()
-            if self.quarantine.is_in_doubt:
+            await self._wake_event.wait()
+            self._wake_event.clear()
+            if self.quarantine.needs_reread:
                 await self._read()
             while self.quarantine.is_unsaved:
                 if not await self._save():
                     await self._pause()
 
-    async def look(self) -> None:
+    async def wake_if_needed(self) -> None:
         """Begin to write what was decided here, or to read what others decided."""
-        may_read = monotonic() - self._read_at >= DOUBT_S
-        if self.quarantine.is_unsaved or (self.quarantine.is_in_doubt and may_read):
-            await self._wakes.set()
+        may_read = monotonic() - self._read_at >= MIN_REREAD_INTERVAL_S
+        if self.quarantine.is_unsaved or (self.quarantine.needs_reread and may_read):
+            await self._wake_event.set()
 
     async def _pause(self) -> None:
         await sleep(RETRY_S * self.random.uniform(0.8, 1.2))
 
     async def _read(self) -> Result[Row, PlatformUnavailable]:
-        self.quarantine.is_in_doubt = False
+        self.quarantine.needs_reread = False
         self._read_at = monotonic()
-        read = await self.platform.read_row(ROW)
+        read = await self.platform.read_row(ROW_KEY)
         if read.is_ok():
             for entry in _entries_of(read.unwrap().value):
                 self.quarantine.restore(entry)
@@ -104,7 +104,7 @@
         value = self._value()
         if value == (row.value or {"entries": []}):
             return True
-        write = RowWrite(key=ROW, expected_version=row.version, value=value)
+        write = RowWrite(key=ROW_KEY, expected_version=row.version, value=value)
         committed = await self.platform.commit(Transaction(writes=[write]))
         if committed.is_ok():
             return True
@@ -115,10 +115,14 @@
 
     def _value(self) -> dict[str, Any]:
         ahead_s = time.time() - monotonic()
-        entries = self.quarantine.listed.entries_by_identity.values()
+        entries = self.quarantine.quarantine_list.entries_by_identity.values()
         return {
             "entries": [
-                [identity_text(each.identity), round(each.since + ahead_s), each.trials]
+                [
+                    identity_text(each.identity),
+                    round(each.quarantined_at + ahead_s),
+                    each.probe_attempts,
+                ]
                 for each in sorted(entries, key=lambda each: each.identity)
             ]
         }
@@ -131,10 +135,12 @@
         case Ok(parsed):
             return [
                 QuarantineEntry(
-                    identity=identity, since=at + wall_behind_s, trials=trials
+                    identity=identity,
+                    quarantined_at=at + wall_behind_s,
+                    probe_attempts=trials,
                 )
                 for identity, at, trials in parsed
-                if abs(time.time() - at) < KEPT_S
+                if abs(time.time() - at) < ENTRY_RETENTION_S
             ]
         case Err(detail):
             log_event("quarantine_unreadable", detail=detail)
@@ -150,6 +156,6 @@
     except (KeyError, TypeError, ValueError, OverflowError) as error:
         return Err(f"{type(error).__name__}: {error}")
     for identity, _, trials in parsed:
-        if not (0 <= identity < 1 << 64 and 0 <= trials <= MAX_TRIALS):
+        if not (0 <= identity < 1 << 64 and 0 <= trials <= MAX_PROBE_ATTEMPTS):
             return Err(f"no entry: {identity:x}, {trials}")
     return Ok(parsed)
--- a/packages/daemon/src/plankspindle_daemon/quarantine/recent_identities.py
+++ b/packages/daemon/src/plankspindle_daemon/quarantine/recent_identities.py
@@ -13,28 +13,28 @@
 class RecentIdentities:
     """Requests and when each was named last; the oldest go beyond a bound."""
 
-    _named_at: dict[int, float] = Factory(dict)
+    _added_at: dict[int, float] = Factory(dict)
 
     def __contains__(self, identity: int) -> bool:
         """Tell whether a request was named lately."""
-        return identity in self._named_at
+        return identity in self._added_at
 
     def __len__(self) -> int:
         """Count them."""
-        return len(self._named_at)
+        return len(self._added_at)
 
     def add(self, identity: int, now: float) -> None:
         """Note that a request is named now."""
-        self._named_at.pop(identity, None)
-        self._named_at[identity] = now
-        if len(self._named_at) > MAX_IDENTITIES:
-            del self._named_at[next(iter(self._named_at))]
+        self._added_at.pop(identity, None)
+        self._added_at[identity] = now
+        if len(self._added_at) > MAX_IDENTITIES:
+            del self._added_at[next(iter(self._added_at))]
 
     def remove(self, identity: int) -> bool:
         """Forget a request; tell whether it was there."""
-        return self._named_at.pop(identity, None) is not None
+        return self._added_at.pop(identity, None) is not None
 
     def expire(self, *, before: float) -> None:
         """Forget what was named before a time, in monotonic seconds."""
-        kept = self._named_at.items()
-        self._named_at = {identity: at for identity, at in kept if at >= before}
+        kept = self._added_at.items()
+        self._added_at = {identity: at for identity, at in kept if at >= before}
--- a/packages/daemon/src/plankspindle_daemon/quotas/fleet_size.py
+++ b/packages/daemon/src/plankspindle_daemon/quotas/fleet_size.py
@@ -6,7 +6,7 @@
 
 from plankspindle_core.classes import define
 
-KEEP_S = 30.0
+SIZE_VALID_S = 30.0
 """Time for which a larger number still counts.
 
 A VM that others no longer know may run on: while it does, its share must not be given
@@ -26,7 +26,7 @@
 
     _noted_at_by_size: dict[int, float] = Factory(dict)
 
-    def note(self, size: int, now: float) -> None:
+    def record(self, size: int, now: float) -> None:
         """Take a number of VMs that were counted here or by another VM."""
         if size <= 0:
             return
@@ -34,12 +34,16 @@
         known[size] = now
         if len(known) > 1:
             self._noted_at_by_size = {
-                each: at for each, at in known.items() if now - at <= KEEP_S
+                each: at for each, at in known.items() if now - at <= SIZE_VALID_S
             }
 
     def at(self, now: float) -> int:
         """Give the number; zero if none is known."""
         return max(
-            (size for size, at in self._noted_at_by_size.items() if now - at <= KEEP_S),
+            (
+                size
+                for size, at in self._noted_at_by_size.items()
+                if now - at <= SIZE_VALID_S
+            ),
             default=0,
         )
--- a/packages/daemon/src/plankspindle_daemon/quotas/holder_map.py
+++ b/packages/daemon/src/plankspindle_daemon/quotas/holder_map.py
@@ -51,7 +51,7 @@
     _vm_by_name: dict[str, QuotaVm] = Factory(dict)
     _ranks_by_name: dict[str, list[int]] = Factory(dict)
 
-    def use(self, vms: Iterable[QuotaVm]) -> None:
+    def update(self, vms: Iterable[QuotaVm]) -> None:
         """Take the VMs that take part now."""
         known = frozenset(vms)
         if known == self._known:
@@ -83,11 +83,11 @@
         """Name the regions with holders, sorted."""
         return sorted(self._holders_by_region)
 
-    def vm(self, name: str | None) -> QuotaVm | None:
+    def find_vm(self, name: str | None) -> QuotaVm | None:
         """Give a VM that takes part; None if it does not."""
         return self._vm_by_name.get(name or "")
 
-    def vms_of(self, region: str) -> list[QuotaVm]:
+    def vms_in(self, region: str) -> list[QuotaVm]:
         """Give the VMs of a region."""
         return [vm for vm in self._known if vm.region == region]
 
--- a/packages/daemon/src/plankspindle_daemon/quotas/leased_shares.py
+++ b/packages/daemon/src/plankspindle_daemon/quotas/leased_shares.py
@@ -19,13 +19,13 @@
 
     Parameters
     ----------
-    share_s : float
+    share_integral_s : float
         Share times seconds up to then.
     share : float
         What was left of it.
     """
 
-    share_s: float
+    share_integral_s: float
     share: float
 
 
@@ -43,7 +43,7 @@
     ----------
     share : float
         The sum now, at most one.
-    share_s : float
+    share_integral_s : float
         Its integral over time, in seconds. Pools work out from it what they gained
         since they were last used, so that nothing is done for those that rest.
     drops : deque of ShareDrop
@@ -52,12 +52,12 @@
     """
 
     share: float = 0.0
-    share_s: float = 0.0
+    share_integral_s: float = 0.0
     drops: deque[ShareDrop] = Factory(lambda: deque(maxlen=MAX_DROPS))
     _lease_by_vm: dict[str, _Lease] = Factory(dict)
     _counted_to: float = 0.0
 
-    def take(
+    def add_lease(
         self, vm: str, *, share: float, idle_s: float, ends_at: float, now: float
     ) -> None:
         """Take a lease, or its renewal.
@@ -78,10 +78,10 @@
         if now < ends_at and (known is None or known.ends_at < ends_at):
             self._lease_by_vm[vm] = _Lease(share=share, ends_at=ends_at)
             self._sum_up()
-            self.share_s += share * idle_s
+            self.share_integral_s += share * idle_s
 
     @property
-    def lessors(self) -> int:
+    def lessor_count(self) -> int:
         """Number of VMs that have leased their share."""
         return len(self._lease_by_vm)
 
@@ -101,11 +101,13 @@
         self._count_to(now)
 
     def _count_to(self, at: float) -> None:
-        self.share_s += self.share * max(0.0, at - self._counted_to)
+        self.share_integral_s += self.share * max(0.0, at - self._counted_to)
         self._counted_to = max(self._counted_to, at)
 
     def _sum_up(self) -> None:
         before = self.share
         self.share = min(1.0, sum(each.share for each in self._lease_by_vm.values()))
         if self.share < before:
-            self.drops.append(ShareDrop(share_s=self.share_s, share=self.share))
+            self.drops.append(
+                ShareDrop(share_integral_s=self.share_integral_s, share=self.share)
+            )
--- a/packages/daemon/src/plankspindle_daemon/quotas/quota_holder.py
+++ b/packages/daemon/src/plankspindle_daemon/quotas/quota_holder.py
@@ -25,7 +25,7 @@
 
     from plankspindle_core.configuration.workspace import Workspace
 
-NO_SHARE_S = 0.25
+NO_SHARE_RETRY_S = 0.25
 """Time after which a VM that holds no share may have one."""
 
 
@@ -97,7 +97,7 @@
     )
     _pools_by_workspace: dict[str, TokenPool] = Factory(dict)
 
-    def use(self, workspaces_by_name: Mapping[str, Workspace]) -> None:
+    def update_quotas(self, workspaces_by_name: Mapping[str, Workspace]) -> None:
         """Take the quotas of another version; pools keep what they have given."""
         pools = self._pools_by_workspace
         self._pools_by_workspace = {}
@@ -107,13 +107,13 @@
             known = pools.get(name)
             self._pools_by_workspace[name] = (
                 TokenPool(
-                    workspace=name,
+                    subject=name,
                     holder=self.vm,
-                    terms=terms,
+                    rate_limit=terms,
                     slack_requests=self.options.slack_requests,
                 )
                 if known is None
-                else evolve(known, terms=terms)
+                else evolve(known, rate_limit=terms)
             )
         for counted in (self.granted_by_workspace, self.denied_by_workspace):
             for name in set(counted) - set(self._pools_by_workspace):
@@ -131,7 +131,7 @@
             fleet_size=fleet_size,
         )
 
-    def take_lease(self, lease: ShareLease, now: float) -> None:
+    def add_lease(self, lease: ShareLease, now: float) -> None:
         """Add the share of a VM that answered a claim."""
         if lease.claim_incarnation != self.incarnation or lease.fleet_size <= 0:
             return
@@ -139,7 +139,7 @@
         for shard, idle_ms in zip(lease.shards, lease.idle_ms, strict=False):
             shares = self._shares_by_shard.get(shard)
             if shares is not None:
-                shares.take(
+                shares.add_lease(
                     lease.sender,
                     share=1.0 / lease.fleet_size,
                     idle_s=idle_ms / 1000,
@@ -159,24 +159,24 @@
         shares.advance(now)
         return shares
 
-    def has_all(self, shards: tuple[int, ...], *, vms: int, now: float) -> bool:
+    def has_all_leases(self, shards: tuple[int, ...], *, vms: int, now: float) -> bool:
         """Tell whether so many VMs have leased their share of each shard."""
         for shard in shards:
             self._shares_by_shard[shard].advance(now)
-        return all(self._shares_by_shard[each].lessors >= vms for each in shards)
+        return all(self._shares_by_shard[each].lessor_count >= vms for each in shards)
 
     def answer(self, request: TokenRequest, now: float) -> TokenGrant:
         """Give tokens, as far as there are any."""
-        taken = self.take(request.workspace, request.count, now)
+        taken = self.take_tokens(request.workspace, request.count, now)
         return taken.as_grant(request, sender=self.vm)
 
-    def take(self, workspace: str, wanted: int, now: float) -> TokensTaken:
+    def take_tokens(self, workspace: str, wanted: int, now: float) -> TokensTaken:
         """Take tokens for requests of this VM or another."""
         pool = self._pools_by_workspace.get(workspace)
         shares = self.shares_of(workspace, now)
         if pool is None or shares.share <= 0.0:
-            return TokensTaken(count=0, retry_after_s=NO_SHARE_S, has_share=False)
-        given = pool.take(wanted, shares)
+            return TokensTaken(count=0, retry_after_s=NO_SHARE_RETRY_S, has_share=False)
+        given = pool.take_tokens(wanted, shares)
         _count(self.granted_by_workspace, workspace, given)
         _count(self.denied_by_workspace, workspace, wanted - given)
         return TokensTaken(
--- a/packages/daemon/src/plankspindle_daemon/quotas/quota_options.py
+++ b/packages/daemon/src/plankspindle_daemon/quotas/quota_options.py
@@ -12,7 +12,7 @@
 """
 CLAIM_PERIOD_S = 0.4
 """Period of renewing leases; a claim may be lost."""
-FIRST_CLAIMS_S = 0.15
+FIRST_CLAIM_PERIOD_S = 0.15
 """Period of claims while VMs of the region have not leased their share yet."""
 SHARDS = 4
 """Parts into which workspaces are divided among the holders of a region."""
--- a/packages/daemon/src/plankspindle_daemon/quotas/quotas.py
+++ b/packages/daemon/src/plankspindle_daemon/quotas/quotas.py
@@ -26,18 +26,18 @@
 from plankspindle_daemon.quotas.limit_holder import LimitHolder
 from plankspindle_daemon.quotas.messages import TokenRefused
 from plankspindle_daemon.quotas.messages import TokenTaken
-from plankspindle_daemon.quotas.quota_borrower import QuotaBorrower
 from plankspindle_daemon.quotas.quota_holder import QuotaHolder
 from plankspindle_daemon.quotas.quota_options import CLAIM_PERIOD_S
-from plankspindle_daemon.quotas.quota_options import FIRST_CLAIMS_S
+from plankspindle_daemon.quotas.quota_options import FIRST_CLAIM_PERIOD_S
 from plankspindle_daemon.quotas.quota_options import LEASE_S
 from plankspindle_daemon.quotas.quota_options import QuotaOptions
 from plankspindle_daemon.quotas.share_lessor import ShareLessor
+from plankspindle_daemon.quotas.token_requester import TokenRequester
 from plankspindle_daemon.quotas.upstream_limits import LimitEffect
 from plankspindle_daemon.quotas.upstream_limits import UpstreamLimits
 
 if TYPE_CHECKING:
-    from plankspindle_daemon.quotas.quota_borrower import BorrowerEffect
+    from plankspindle_daemon.quotas.token_requester import TokenRequesterEffect
 
 REFRESH_S = 1.0
 """Longest time after which it is looked which VMs may hold shares."""
@@ -88,7 +88,7 @@
     holders: HolderMap = Factory(HolderMap)
     lessor: ShareLessor = field(init=False)
     holder: QuotaHolder = field(init=False)
-    borrower: QuotaBorrower = field(init=False)
+    token_requester: TokenRequester = field(init=False)
     limits: UpstreamLimits = field(init=False)
     _configuration: Configuration | None = None
     _has_quotas: bool = False
@@ -105,7 +105,7 @@
         self.holder = QuotaHolder(
             vm=self.vm, incarnation=self.incarnation, options=self.options
         )
-        self.borrower = QuotaBorrower(
+        self.token_requester = TokenRequester(
             vm=self.vm,
             random=self.random,
             holder=self.holder,
@@ -114,35 +114,37 @@
         )
         self.limits = self._make_limits()
 
-    def use(self, configuration: Configuration) -> None:
+    def update_configuration(self, configuration: Configuration) -> None:
         """Take the quotas of another version of the configuration."""
         workspaces = configuration.workspaces_by_name
         self._configuration = configuration
         self._has_quotas = any(each.is_limited for each in workspaces.values())
         region = configuration.region_of(self.failure_domain) or ""
-        self.borrower.region = self.limits.borrower.region = region
-        self.holder.use(workspaces)
-        self.borrower.forget(
+        self.token_requester.region = self.limits.token_requester.region = region
+        self.holder.update_quotas(workspaces)
+        self.token_requester.remove_all_except(
             {name for name, each in workspaces.items() if each.is_limited}
         )
         self._next_refresh = 0.0
 
-    def want(self, ticket: int, workspace: str, now: float) -> list[BorrowerEffect]:
+    def request_token(
+        self, ticket: int, workspace: str, now: float
+    ) -> list[TokenRequesterEffect]:
         """Get a token for a request of a workspace."""
         terms = None
         if self._configuration is not None:
             terms = self._configuration.workspaces_by_name.get(workspace)
         if terms is None or not terms.is_limited:
             return [TokenTaken(ticket=ticket)]
-        return self.borrower.want(ticket, workspace, now)
+        return self.token_requester.request_token(ticket, workspace, now)
 
-    def want_for_upstream(
-        self, life: str, service: str, now: float
+    def request_upstream_token(
+        self, incarnation_id: str, service: str, now: float
     ) -> list[LimitEffect]:
         """Get a token for a request to an upstream that names a limit."""
         if now >= self._next_refresh:
             self._refresh(now)
-        return self.limits.want(life, service, now)
+        return self.limits.request_token(incarnation_id, service, now)
 
     def receive(
         self, message: QuotaMessage, reply_to: Endpoint, now: float
@@ -153,19 +155,19 @@
                 lease = self._lease(message, now)
                 return [] if lease is None else [SendToPeer(message=lease, to=reply_to)]
             case ShareLease():
-                self.fleet.note(message.fleet_size, now)
-                self.holder.take_lease(message, now)
+                self.fleet.record(message.fleet_size, now)
+                self.holder.add_lease(message, now)
                 return []
             case TokenRequest():
                 holder = self.limits.holder if message.is_of_limit else self.holder
                 grant = holder.answer(message, now)
                 return [SendToPeer(message=grant, to=reply_to)]
             case TokenGrant(is_of_limit=True):
-                return [*self.limits.take_grant(message, now)]
+                return [*self.limits.handle_grant(message, now)]
             case TokenGrant():
-                return [*self.borrower.take_grant(message, now)]
+                return [*self.token_requester.handle_grant(message, now)]
             case LimitNews():
-                self.limits.take_news(message, now)
+                self.limits.handle_update(message, now)
                 return []
 
     def tick(
@@ -186,8 +188,8 @@
         self._knows_list = knows_list
         if not (self._has_quotas or self.limits.is_needed):
             return []
-        effects = [*self.borrower.tick(now), *self.limits.tick(now)]
-        known = (self.membership.changes, self._takes_part)
+        effects = [*self.token_requester.tick(now), *self.limits.tick(now)]
+        known = (self.membership.change_count, self._takes_part)
         if now >= self._next_refresh or known != self._known:
             self._refresh(now)
         return [*effects, *self._claim(now)]
@@ -199,7 +201,7 @@
             failure_domain=self.failure_domain,
             membership=self.membership,
             holder=holder,
-            borrower=QuotaBorrower(
+            token_requester=TokenRequester(
                 vm=self.vm,
                 random=self.random,
                 holder=holder,
@@ -207,7 +209,7 @@
                 holder_map=self.holders,
             ),
         )
-        limits.borrower.limit_of = limits.limit_of
+        limits.token_requester.limit_of = limits.limit_of
         return limits
 
     def _refresh(self, now: float) -> None:
@@ -215,30 +217,30 @@
         if self._configuration is None:
             return
         self._next_refresh = now + REFRESH_S
-        self._known = (self.membership.changes, self._takes_part)
+        self._known = (self.membership.change_count, self._takes_part)
         if self._knows_list:
-            self.fleet.note(self._count(), now)
+            self.fleet.record(self._count(), now)
         self._use_vms(takes_part=self._takes_part, now=now)
 
     def _lease(self, claim: ShareClaim, now: float) -> ShareLease | None:
-        self.fleet.note(claim.fleet_size, now)
+        self.fleet.record(claim.fleet_size, now)
         return self.lessor.answer(claim, fleet_size=self.fleet.at(now), now=now)
 
     def _claim(self, now: float) -> list[SendToPeer]:
         """Claim the shares of the region for the shards that are held here."""
-        region = self.borrower.region
+        region = self.token_requester.region
         shards = self.holders.shards_of(self.vm, region)
         is_due = shards != self._claimed or now >= self._next_claim
         self._claimed = shards
         if not shards or not is_due:
             return []
-        vms = self.holders.vms_of(region)
-        is_whole = self.holder.has_all(shards, vms=len(vms), now=now)
-        self._next_claim = now + (CLAIM_PERIOD_S if is_whole else FIRST_CLAIMS_S)
+        vms = self.holders.vms_in(region)
+        is_whole = self.holder.has_all_leases(shards, vms=len(vms), now=now)
+        self._next_claim = now + (CLAIM_PERIOD_S if is_whole else FIRST_CLAIM_PERIOD_S)
         claim = self.holder.claim(shards, fleet_size=self.fleet.at(now), now=now)
         own = self._lease(claim, now)
         if own is not None:
-            self.holder.take_lease(own, now)
+            self.holder.add_lease(own, now)
         return [
             SendToPeer(message=claim, to=vm.endpoint)
             for vm in vms
@@ -272,7 +274,7 @@
                 vms[member.name] = self._quota_vm(
                     member.name, member.failure_domain, member.peer_endpoint
                 )
-        self.holders.use(each for each in vms.values() if each is not None)
+        self.holders.update(each for each in vms.values() if each is not None)
 
     def _quota_vm(
         self, name: str, failure_domain: str, endpoint: Endpoint | None
--- a/packages/daemon/src/plankspindle_daemon/quotas/token_pool.py
+++ b/packages/daemon/src/plankspindle_daemon/quotas/token_pool.py
@@ -16,7 +16,7 @@
 _HASH_RANGE = 2.0**64
 
 
-class TokenTerms(Protocol):
+class RateLimit(Protocol):
     """What tokens are given for: a workspace's quota, or an upstream's limit."""
 
     @property
@@ -34,11 +34,11 @@
 
     Parameters
     ----------
-    workspace : str
+    subject : str
         Name of the workspace, or of the upstream's life.
     holder : str
         Name of this VM.
-    terms : TokenTerms
+    rate_limit : RateLimit
         Its quota or limit.
     slack_requests : float
         Requests that the fleet admits beyond the burst.
@@ -49,9 +49,9 @@
     have given its whole burst.
     """
 
-    workspace: str
+    subject: str
     holder: str
-    terms: TokenTerms
+    rate_limit: RateLimit
     slack_requests: float
     _tokens: float = 0.0
     _refused: float = 0.0
@@ -62,23 +62,23 @@
     def empty(
         cls,
         *,
-        workspace: str,
+        subject: str,
         holder: str,
-        terms: TokenTerms,
+        rate_limit: RateLimit,
         slack_requests: float,
         shares: LeasedShares,
     ) -> TokenPool:
         """Make a pool that gathers tokens from now on only."""
         return cls(
-            workspace=workspace,
+            subject=subject,
             holder=holder,
-            terms=terms,
+            rate_limit=rate_limit,
             slack_requests=slack_requests,
-            share_s=shares.share_s,
+            share_s=shares.share_integral_s,
             share=shares.share,
         )
 
-    def take(self, wanted: int, shares: LeasedShares) -> int:
+    def take_tokens(self, wanted: int, shares: LeasedShares) -> int:
         """Take as many of the wanted tokens as there are."""
         self._fill(shares)
         taken = min(wanted, int(self._tokens))
@@ -92,30 +92,30 @@
         Those that were refused before come first, so that not all come at once. Who
         is refused was refused by all holders, so each counts its share of them.
         """
-        per_s = self.terms.rate_per_s * self._share
+        per_s = self.rate_limit.rate_per_s * self._share
         if per_s <= 0.0 or self._capacity(self._share) < 1.0:
             return MAX_RETRY_AFTER_S
         missing = max(0.0, self._refused - self._tokens)
         return min(MAX_RETRY_AFTER_S, missing / per_s)
 
     def _fill(self, shares: LeasedShares) -> None:
-        if shares.drops and self._share_s < shares.drops[0].share_s:
-            self._tokens, self._share_s = 0.0, shares.drops[0].share_s
+        if shares.drops and self._share_s < shares.drops[0].share_integral_s:
+            self._tokens, self._share_s = 0.0, shares.drops[0].share_integral_s
         for drop in shares.drops:
-            if drop.share_s >= self._share_s:
-                self._gain(drop.share_s, drop.share)
-        self._gain(shares.share_s, shares.share)
+            if drop.share_integral_s >= self._share_s:
+                self._gain(drop.share_integral_s, drop.share)
+        self._gain(shares.share_integral_s, shares.share)
 
     def _gain(self, share_s: float, share: float) -> None:
-        gained = self.terms.rate_per_s * (share_s - self._share_s)
+        gained = self.rate_limit.rate_per_s * (share_s - self._share_s)
         self._tokens = min(self._capacity(share), self._tokens + gained)
         self._refused = max(0.0, self._refused - gained)
         self._share_s, self._share = share_s, share
 
     def _capacity(self, share: float) -> float:
-        burst = (max(1.0, self.terms.burst) + self.slack_requests) * share
+        burst = (max(1.0, self.rate_limit.burst) + self.slack_requests) * share
         if burst >= 1.0 or burst <= 0.0:
             return burst
         # Rounded by hash, so that the bursts of all holders together keep their sum.
-        place = stable_hash(f"{self.workspace} {self.holder}") / _HASH_RANGE
+        place = stable_hash(f"{self.subject} {self.holder}") / _HASH_RANGE
         return math.floor(burst + place)
--- a/packages/daemon/src/plankspindle_daemon/quotas/quota_borrower.py
+++ b/packages/daemon/src/plankspindle_daemon/quotas/token_requester.py
@@ -13,37 +13,37 @@
 from plankspindle_core.classes import define
 from plankspindle_core.classes import frozen
 from plankspindle_daemon.peer_messages.peer_message import SendToPeer
-from plankspindle_daemon.peer_messages.quota_messages import OF_WORKSPACE
+from plankspindle_daemon.peer_messages.quota_messages import NO_UPSTREAM_LIMIT
 from plankspindle_daemon.peer_messages.quota_messages import TokenGrant
 from plankspindle_daemon.peer_messages.quota_messages import TokenRequest
 from plankspindle_daemon.quotas.holder_map import HolderMap
 from plankspindle_daemon.quotas.holder_map import QuotaVm
+from plankspindle_daemon.quotas.limit_holder import FleetLimit
 from plankspindle_daemon.quotas.limit_holder import LimitHolder
-from plankspindle_daemon.quotas.limit_holder import NamedLimit
 from plankspindle_daemon.quotas.messages import TokenRefused
 from plankspindle_daemon.quotas.messages import TokenTaken
 from plankspindle_daemon.quotas.quota_holder import QuotaHolder
 from plankspindle_daemon.quotas.quota_holder import shard_of
-from plankspindle_daemon.quotas.quota_options import FIRST_CLAIMS_S
+from plankspindle_daemon.quotas.quota_options import FIRST_CLAIM_PERIOD_S
 from plankspindle_daemon.quotas.share_lessor import ShareLessor
 
 if TYPE_CHECKING:
     from collections.abc import Container
 
-NEAR_TIMEOUT_S = 0.1
-FAR_TIMEOUT_S = 0.25
+LOCAL_ANSWER_TIMEOUT_S = 0.1
+REMOTE_ANSWER_TIMEOUT_S = 0.25
 """Longest wait for a holder of the own region, and of another one."""
-UNANSWERED_S = 1.0
+UNANSWERED_RETRY_S = 1.0
 """Time for which a region whose holder did not answer is not asked again."""
-HOLD_S = 0.4
+MAX_TOKEN_WAIT_S = 0.4
 """Longest wait for a holder that has no shares yet, as after a start."""
-SPARE_S = 0.5
+SPARE_TOKEN_LIFETIME_S = 0.5
 """Life of a token whose request was not sent to an upstream.
 
 It is short, since a token that is used late counts in a later window.
 """
 
-BorrowerEffect = TokenTaken | TokenRefused | SendToPeer
+TokenRequesterEffect = TokenTaken | TokenRefused | SendToPeer
 
 
 @frozen(kw_only=True)
@@ -80,7 +80,7 @@
 
 
 @define(kw_only=True)
-class QuotaBorrower:
+class TokenRequester:
     """Ask holders for tokens, that of the own region first.
 
     Parameters
@@ -109,24 +109,26 @@
     holder: QuotaHolder | LimitHolder
     lessor: ShareLessor
     holder_map: HolderMap
-    limit_of: Callable[[str], NamedLimit | None] | None = None
+    limit_of: Callable[[str], FleetLimit | None] | None = None
     region: str = ""
     admitted_by_workspace: Counter[str] = field(factory=Counter)
     refused_by_workspace: Counter[str] = field(factory=Counter)
     _demand_by_workspace: dict[str, _Demand] = Factory(dict)
     _workspace_by_request: dict[int, str] = field(factory=dict)
 
-    def want(self, ticket: int, workspace: str, now: float) -> list[BorrowerEffect]:
+    def request_token(
+        self, ticket: int, workspace: str, now: float
+    ) -> list[TokenRequesterEffect]:
         """Get a token for a request."""
         demand = self._demand_by_workspace.setdefault(workspace, _Demand())
         while demand.spare_until:
             if demand.spare_until.pop() > now:
                 self.admitted_by_workspace[workspace] += 1
                 return [TokenTaken(ticket=ticket)]
-        demand.waiting.append(_Waiting(ticket=ticket, until=now + HOLD_S))
+        demand.waiting.append(_Waiting(ticket=ticket, until=now + MAX_TOKEN_WAIT_S))
         return self._ask(workspace, demand, now)
 
-    def forget(self, workspaces: Container[str]) -> None:
+    def remove_all_except(self, workspaces: Container[str]) -> None:
         """Forget workspaces that are not among the limited ones any more."""
         for name, demand in list(self._demand_by_workspace.items()):
             if name not in workspaces and not demand.waiting:
@@ -134,19 +136,19 @@
                 del self.admitted_by_workspace[name]
                 del self.refused_by_workspace[name]
 
-    def withdraw(self, ticket: int, workspace: str) -> None:
+    def cancel(self, ticket: int, workspace: str) -> None:
         """Forget a request that no longer waits."""
         demand = self._demand_by_workspace.get(workspace)
         if demand is not None:
             demand.waiting = [each for each in demand.waiting if each.ticket != ticket]
 
-    def give_back(self, workspace: str, now: float) -> None:
+    def return_token(self, workspace: str, now: float) -> None:
         """Take back the token of a request that was sent to no upstream."""
         demand = self._demand_by_workspace.get(workspace)
         if demand is not None:
-            demand.spare_until.append(now + SPARE_S)
+            demand.spare_until.append(now + SPARE_TOKEN_LIFETIME_S)
 
-    def take_grant(self, grant: TokenGrant, now: float) -> list[BorrowerEffect]:
+    def handle_grant(self, grant: TokenGrant, now: float) -> list[TokenRequesterEffect]:
         """Take what a holder answered; nothing if it comes too late."""
         workspace = self._workspace_by_request.pop(grant.request_id, None)
         demand = self._demand_by_workspace.get(workspace or "")
@@ -164,9 +166,9 @@
             )
         return [*effects, *self._ask(workspace, demand, now)]
 
-    def tick(self, now: float) -> list[BorrowerEffect]:
+    def tick(self, now: float) -> list[TokenRequesterEffect]:
         """Give up holders that have not answered in time, and ask again."""
-        effects: list[BorrowerEffect] = []
+        effects: list[TokenRequesterEffect] = []
         for workspace, demand in self._demand_by_workspace.items():
             if demand.ask is not None and demand.ask.until <= now:
                 effects += self._give_up(workspace, demand, demand.ask, now)
@@ -176,20 +178,22 @@
 
     def _give_up(
         self, workspace: str, demand: _Demand, ask: _Ask, now: float
-    ) -> list[BorrowerEffect]:
+    ) -> list[TokenRequesterEffect]:
         self._workspace_by_request.pop(ask.request_id, None)
         demand.ask = None
         demand.closed_by_region[ask.region] = _Closed(
-            until=now + UNANSWERED_S, is_over_quota=False
+            until=now + UNANSWERED_RETRY_S, is_over_quota=False
         )
         return self._ask(workspace, demand, now)
 
-    def _ask(self, workspace: str, demand: _Demand, now: float) -> list[BorrowerEffect]:
+    def _ask(
+        self, workspace: str, demand: _Demand, now: float
+    ) -> list[TokenRequesterEffect]:
         """Ask the next holder for what is wanted.
 
         If none is left, what may wait no longer is refused.
         """
-        effects: list[BorrowerEffect] = []
+        effects: list[TokenRequesterEffect] = []
         while demand.waiting and demand.ask is None:
             region = self._next_region(demand, now)
             if region is None:
@@ -197,7 +201,7 @@
             holder = self._holder(shard_of(workspace), region, now)
             if holder is None:
                 demand.closed_by_region[region] = _Closed(
-                    until=now + UNANSWERED_S, is_over_quota=False
+                    until=now + UNANSWERED_RETRY_S, is_over_quota=False
                 )
             elif holder.name == self.vm:
                 effects += self._take_own(workspace, demand, now)
@@ -219,16 +223,16 @@
     def _holder(self, shard: int, region: str, now: float) -> QuotaVm | None:
         """Give whom to ask; in the own region who has the own share knows best."""
         if region == self.region:
-            known = self.holder_map.vm(self.lessor.holder_of(shard, now))
+            known = self.holder_map.find_vm(self.lessor.holder_of(shard, now))
             if known is not None:
                 return known
         return self.holder_map.holder(shard, region)
 
     def _take_own(
         self, workspace: str, demand: _Demand, now: float
-    ) -> list[BorrowerEffect]:
+    ) -> list[TokenRequesterEffect]:
         wanted = len(demand.waiting)
-        taken = self.holder.take(workspace, wanted, now)
+        taken = self.holder.take_tokens(workspace, wanted, now)
         if taken.count < wanted:
             demand.closed_by_region[self.region] = _Closed(
                 until=now + taken.retry_after_s, is_over_quota=taken.has_share
@@ -248,7 +252,7 @@
             request_id=self.random.getrandbits(63),
             region=region,
             count=len(demand.waiting),
-            until=now + (NEAR_TIMEOUT_S if near else FAR_TIMEOUT_S),
+            until=now + (LOCAL_ANSWER_TIMEOUT_S if near else REMOTE_ANSWER_TIMEOUT_S),
         )
         self._workspace_by_request[demand.ask.request_id] = workspace
         limit = None if self.limit_of is None else self.limit_of(workspace)
@@ -257,26 +261,26 @@
             request_id=demand.ask.request_id,
             workspace=workspace,
             count=demand.ask.count,
-            limit_per_s=OF_WORKSPACE if limit is None else limit.rate_per_s,
-            heard_ago_ms=0 if limit is None else int(1000 * (now - limit.heard_at)),
+            limit_per_s=NO_UPSTREAM_LIMIT if limit is None else limit.rate_per_s,
+            heard_ago_ms=0 if limit is None else int(1000 * (now - limit.announced_at)),
         )
         return SendToPeer(message=request, to=holder.endpoint)
 
     def _share_out(
         self, workspace: str, demand: _Demand, count: int, now: float
-    ) -> list[BorrowerEffect]:
+    ) -> list[TokenRequesterEffect]:
         served, demand.waiting = demand.waiting[:count], demand.waiting[count:]
         self.admitted_by_workspace[workspace] += len(served)
-        demand.spare_until += [now + SPARE_S] * (count - len(served))
+        demand.spare_until += [now + SPARE_TOKEN_LIFETIME_S] * (count - len(served))
         return [TokenTaken(ticket=each.ticket) for each in served]
 
     def _begins_in_s(self, now: float) -> float:
         """Give the time until the shares of a fleet that starts are leased."""
-        return self.lessor.owns_from + FIRST_CLAIMS_S - now
+        return self.lessor.owns_from + FIRST_CLAIM_PERIOD_S - now
 
     def _refuse(
         self, workspace: str, demand: _Demand, now: float
-    ) -> list[BorrowerEffect]:
+    ) -> list[TokenRequesterEffect]:
         closed = demand.closed_by_region.values()
         first = min(closed, key=lambda each: each.until)
         is_over_quota = all(each.is_over_quota for each in closed)
--- a/packages/daemon/src/plankspindle_daemon/sharing/list_history.py
+++ b/packages/daemon/src/plankspindle_daemon/sharing/list_history.py
@@ -15,9 +15,9 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-KEPT = 4
+MAX_RECENT_CHANGES = 4
 """Reads whose changes are told again: a lost message costs its receiver no read."""
-COLD_NOISE_S = 0.25
+COLD_END_TOLERANCE_S = 0.25
 """Difference of two readings of the end of a cold time, which is told as a rest."""
 MAX_BASES = 6
 MAX_CHANGED = 7
@@ -53,11 +53,11 @@
     changed: tuple[ListedVm, ...] = ()
     gone: tuple[str, ...] = ()
 
-    def leads_from(self, version: int) -> bool:
+    def applies_to(self, version: int) -> bool:
         """Tell whether it may be applied to a list of a version."""
         return any(first <= version <= last for first, last in self.bases)
 
-    def then(self, later: ListChange) -> ListChange:
+    def merged_with(self, later: ListChange) -> ListChange:
         """Give this change and the one that follows it as one."""
         latest = {each.name: each for each in (*self.changed, *later.changed)}
         back = {each.name for each in later.changed}
@@ -69,7 +69,7 @@
             gone=tuple(sorted(gone)),
         )
 
-    def fits(self) -> bool:
+    def fits_message(self) -> bool:
         """Tell whether a message can carry it."""
         return (
             len(self.bases) <= MAX_BASES
@@ -77,7 +77,7 @@
             and len(self.gone) <= MAX_GONE
         )
 
-    def in_parts(self) -> list[ListChange]:
+    def split(self) -> list[ListChange]:
         """Give changes that fit a message each and make up this one.
 
         Returns
@@ -107,11 +107,11 @@
     """Changes between the lists that were read or told."""
 
     _by_name: dict[str, ListedVm] = Factory(dict)
-    _changes: deque[ListChange] = Factory(lambda: deque(maxlen=KEPT))
-    _same_since: int | None = None
+    _changes: deque[ListChange] = Factory(lambda: deque(maxlen=MAX_RECENT_CHANGES))
+    _unchanged_since: int | None = None
     _version: int = 0
 
-    def note(
+    def record(
         self, vms: Iterable[ListedVm], *, version: int, now: float
     ) -> ListChange | None:
         """Take a whole list, and keep what has changed in it.
@@ -130,17 +130,17 @@
         )
         gone = tuple(sorted(before.keys() - by_name.keys()))
         change = None
-        if self._same_since is None:
-            self._same_since = version
+        if self._unchanged_since is None:
+            self._unchanged_since = version
         elif changed or gone:
             change = ListChange(
-                bases=((self._same_since, self._version),),
+                bases=((self._unchanged_since, self._version),),
                 version=version,
                 changed=changed,
                 gone=gone,
             )
             self._changes.append(change)
-            self._same_since = version
+            self._unchanged_since = version
         self._version = version
         return change
 
@@ -150,9 +150,9 @@
             self._by_name.pop(name, None)
         self._by_name |= {each.name: each for each in change.changed}
         self._changes.append(change)
-        self._same_since = self._version = change.version
+        self._unchanged_since = self._version = change.version
 
-    def recent(self) -> ListChange:
+    def merge_recent(self) -> ListChange:
         """Give the last changes as one, as many as a message can carry.
 
         Raises
@@ -160,14 +160,14 @@
         ValueError
             If no list was ever taken.
         """
-        if self._same_since is None:
+        if self._unchanged_since is None:
             raise ValueError("no list was taken yet")
         recent = ListChange(
-            bases=((self._same_since, self._version),), version=self._version
+            bases=((self._unchanged_since, self._version),), version=self._version
         )
         for change in reversed(self._changes):
-            longer = change.then(recent)
-            if not longer.fits():
+            longer = change.merged_with(recent)
+            if not longer.fits_message():
                 break
             recent = longer
         return recent
@@ -180,4 +180,4 @@
     if before is None or evolve(after, cold_until=before.cold_until) != before:
         return False
     ends = (max(now, before.cold_until), max(now, after.cold_until))
-    return abs(ends[0] - ends[1]) < COLD_NOISE_S
+    return abs(ends[0] - ends[1]) < COLD_END_TOLERANCE_S
--- a/packages/daemon/src/plankspindle_daemon/sharing/told_upstreams.py
+++ b/packages/daemon/src/plankspindle_daemon/sharing/upstream_codec.py
@@ -8,7 +8,7 @@
 from plankspindle_daemon.platform.live_list import VmKind
 
 
-def told_of(listed: ListedVm, now: float) -> ToldUpstream:
+def encode_upstream(listed: ListedVm, now: float) -> ToldUpstream:
     """Write an upstream of the list; its cold time is told as what is left of it.
 
     A planned time of leaving is not told: lists that have versions have none.
@@ -27,19 +27,19 @@
     )
 
 
-def listed_of(told: ToldUpstream, now: float) -> ListedVm:
+def decode_upstream(encoded: ToldUpstream, now: float) -> ListedVm:
     """Read an upstream as the list would give it."""
     return ListedVm(
-        name=told.name,
+        name=encoded.name,
         kind=VmKind.UPSTREAM,
-        failure_domain=told.failure_domain,
-        leaving=told.leaving,
+        failure_domain=encoded.failure_domain,
+        leaving=encoded.leaving,
         upstream=Upstream(
-            service=told.service,
-            failure_domain=told.failure_domain,
-            endpoint=told.endpoint,
-            slots=told.slots,
+            service=encoded.service,
+            failure_domain=encoded.failure_domain,
+            endpoint=encoded.endpoint,
+            slots=encoded.slots,
         ),
-        cold_until=now + told.cold_ms / 1000,
-        incarnation=told.incarnation,
+        cold_until=now + encoded.cold_ms / 1000,
+        incarnation=encoded.incarnation,
     )
--- a/packages/daemon/src/plankspindle_daemon/beliefs/member_watch.py
+++ b/packages/daemon/src/plankspindle_daemon/status_changes/member_monitor.py
@@ -9,7 +9,7 @@
 
 from plankspindle_core.classes import define
 from plankspindle_core.classes import frozen
-from plankspindle_daemon.beliefs.belief import Belief
+from plankspindle_daemon.status_changes.status_change import StatusChange
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -18,29 +18,29 @@
     from plankspindle_daemon.membership.membership import Membership
 
 
-class Hearing(Enum):
+class HeartbeatStatus(Enum):
     """What is heard of a member."""
 
-    HEARD = "heard"
-    UNHEARD = "never-heard"
+    RECEIVED = "heard"
+    NEVER_RECEIVED = "never-heard"
     SUSPECTED = "suspected"
 
 
 @frozen
 class _Seen:
-    hearing: Hearing
+    hearing: HeartbeatStatus
     incarnation: int
     failure_domain: str | None
 
 
 @define(kw_only=True)
-class MemberWatch:
+class MemberMonitor:
     """Compare the members with those before."""
 
     _seen_by_name: dict[str, _Seen] = field(factory=dict)
     _lost_domains: set[str] = field(factory=set)
 
-    def observe(self, membership: Membership, now: float) -> list[Belief]:
+    def observe(self, membership: Membership, now: float) -> list[StatusChange]:
         """Give what has changed since the last time.
 
         Parameters
@@ -59,7 +59,7 @@
         self._seen_by_name = seen
         return [*beliefs, *self._domains()]
 
-    def _same_or_new(self, member: Member, hearing: Hearing) -> _Seen:
+    def _same_or_new(self, member: Member, hearing: HeartbeatStatus) -> _Seen:
         """Give what was seen before where it still holds, to compare little."""
         was = self._seen_by_name.get(member.name)
         if (
@@ -73,13 +73,13 @@
 
     def _changes(
         self, membership: Membership, seen: dict[str, _Seen], now: float
-    ) -> Iterator[Belief]:
+    ) -> Iterator[StatusChange]:
         for name, found in seen.items():
             was = self._seen_by_name.get(name)
             if was is found:
                 continue
             member = membership.members_by_name[name]
-            heard = member.last_heard
+            heard = member.last_heartbeat_at
             fields = {
                 "member": name,
                 "domain": found.failure_domain,
@@ -91,34 +91,36 @@
                 "suspected_by": ",".join(sorted(member.suspected_by)) or None,
                 "silent_ms": None if heard is None else round(1000 * (now - heard)),
             }
-            yield Belief(event="member_standing", fields=fields)
+            yield StatusChange(event="member_standing", fields=fields)
 
-    def _removed(self, seen: dict[str, _Seen]) -> Iterator[Belief]:
+    def _removed(self, seen: dict[str, _Seen]) -> Iterator[StatusChange]:
         for name, was in self._seen_by_name.items():
             if name not in seen:
                 fields = {"member": name, "domain": was.failure_domain}
                 standing = {"was": was.hearing.value, "now": "removed"}
-                yield Belief(event="member_standing", fields={**fields, **standing})
+                yield StatusChange(
+                    event="member_standing", fields={**fields, **standing}
+                )
 
-    def _domains(self) -> Iterator[Belief]:
+    def _domains(self) -> Iterator[StatusChange]:
         """Notice domains none of whose members is heard any more, and their return."""
         heard_by_domain: dict[str, bool] = {}
         for found in self._seen_by_name.values():
             if found.failure_domain is not None:
-                is_heard = found.hearing is Hearing.HEARD
+                is_heard = found.hearing is HeartbeatStatus.RECEIVED
                 known = heard_by_domain.get(found.failure_domain, False)
                 heard_by_domain[found.failure_domain] = known or is_heard
         for domain, is_heard in heard_by_domain.items():
             if is_heard and domain in self._lost_domains:
                 self._lost_domains.discard(domain)
-                yield Belief(event="domain_regained", fields={"domain": domain})
+                yield StatusChange(event="domain_regained", fields={"domain": domain})
             elif not is_heard and domain not in self._lost_domains:
                 self._lost_domains.add(domain)
-                yield Belief(event="domain_lost", fields={"domain": domain})
+                yield StatusChange(event="domain_lost", fields={"domain": domain})
 
 
-def _hearing(member: Member, suspect_after_s: float, now: float) -> Hearing:
-    if member.last_heard is None:
-        return Hearing.UNHEARD
+def _hearing(member: Member, suspect_after_s: float, now: float) -> HeartbeatStatus:
+    if member.last_heartbeat_at is None:
+        return HeartbeatStatus.NEVER_RECEIVED
     is_silent = member.is_suspected(now=now, suspect_after_s=suspect_after_s)
-    return Hearing.SUSPECTED if is_silent else Hearing.HEARD
+    return HeartbeatStatus.SUSPECTED if is_silent else HeartbeatStatus.RECEIVED
--- a/packages/daemon/src/plankspindle_daemon/beliefs/plan_watch.py
+++ b/packages/daemon/src/plankspindle_daemon/status_changes/plan_monitor.py
@@ -7,7 +7,7 @@
 from attrs import field
 
 from plankspindle_core.classes import define
-from plankspindle_daemon.beliefs.belief import Belief
+from plankspindle_daemon.status_changes.status_change import StatusChange
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -15,19 +15,19 @@
 
     from plankspindle_daemon.dispatch.dispatcher import Dispatcher
 
-PART_STEP = 0.1
+MIN_SHARE_CHANGE = 0.1
 """Change of the part of keys that leave the region which is worth a line."""
 
 
 @define(kw_only=True)
-class PlanWatch:
+class PlanMonitor:
     """Compare the plan of each service with the one that was logged last."""
 
     _part_by_service: dict[str, float] = field(factory=dict)
 
     def observe(
         self, dispatchers_by_service: Mapping[str, Dispatcher]
-    ) -> Iterator[Belief]:
+    ) -> Iterator[StatusChange]:
         """Give what has changed since the last time.
 
         Parameters
@@ -40,14 +40,14 @@
                 continue
             plan = dispatcher.placement.plan
             was = self._part_by_service.get(service, 0.0)
-            if abs(plan.part - was) < PART_STEP:
+            if abs(plan.remote_share - was) < MIN_SHARE_CHANGE:
                 continue
-            self._part_by_service[service] = plan.part
-            yield Belief(
+            self._part_by_service[service] = plan.remote_share
+            yield StatusChange(
                 event="keys_leaving_region",
                 fields={
                     "service": service,
                     "was": round(was, 3),
-                    "now": round(plan.part, 3),
+                    "now": round(plan.remote_share, 3),
                 },
             )
--- a/packages/daemon/src/plankspindle_daemon/beliefs/quarantine_watch.py
+++ b/packages/daemon/src/plankspindle_daemon/status_changes/quarantine_changes.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from plankspindle_daemon.beliefs.belief import Belief
 from plankspindle_daemon.quarantine.request_identity import identity_text
+from plankspindle_daemon.status_changes.status_change import StatusChange
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -13,9 +13,11 @@
     from plankspindle_daemon.quarantine.quarantine import Quarantine
 
 
-def take_changes(quarantine: Quarantine) -> Iterator[Belief]:
+def take_changes(quarantine: Quarantine) -> Iterator[StatusChange]:
     """Take the changes since the last time out of a quarantine."""
     changes, quarantine.changes = quarantine.changes, []
     for change in changes:
         identity = identity_text(change.identity)
-        yield Belief(event=change.event, fields={"identity": identity, **change.fields})
+        yield StatusChange(
+            event=change.event, fields={"identity": identity, **change.fields}
+        )
--- a/packages/daemon/src/plankspindle_daemon/beliefs/belief.py
+++ b/packages/daemon/src/plankspindle_daemon/status_changes/status_change.py
@@ -10,7 +10,7 @@
 
 
 @frozen(kw_only=True)
-class Belief:
+class StatusChange:
     """One change, to be logged.
 
     Parameters
--- a/packages/daemon/src/plankspindle_daemon/beliefs/belief_watch.py
+++ b/packages/daemon/src/plankspindle_daemon/status_changes/status_monitor.py
@@ -7,11 +7,11 @@
 from attrs import field
 
 from plankspindle_core.classes import define
-from plankspindle_daemon.beliefs.belief import Belief
-from plankspindle_daemon.beliefs.member_watch import MemberWatch
-from plankspindle_daemon.beliefs.plan_watch import PlanWatch
-from plankspindle_daemon.beliefs.quarantine_watch import take_changes
-from plankspindle_daemon.beliefs.upstream_watch import UpstreamWatch
+from plankspindle_daemon.status_changes.member_monitor import MemberMonitor
+from plankspindle_daemon.status_changes.plan_monitor import PlanMonitor
+from plankspindle_daemon.status_changes.quarantine_changes import take_changes
+from plankspindle_daemon.status_changes.status_change import StatusChange
+from plankspindle_daemon.status_changes.upstream_monitor import UpstreamMonitor
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -19,34 +19,36 @@
     from plankspindle_daemon.node.node import Node
     from plankspindle_daemon.platform.bounded_calls import BoundedCalls
 
-PART_STEP = 0.1
+MIN_SHARE_CHANGE = 0.1
 """Change of the part of requests that leave the region which is worth a line."""
 
 
 @define(kw_only=True)
-class BeliefWatch:
+class StatusMonitor:
     """Compare what a node believes with what it believed before.
 
     Attributes
     ----------
-    upstreams : UpstreamWatch
+    upstreams : UpstreamMonitor
         Watch of the upstreams.
-    members : MemberWatch
+    members : MemberMonitor
         Watch of the entry VMs.
-    plans : PlanWatch
+    plans : PlanMonitor
         Watch of the keys that leave the region.
     """
 
-    upstreams: UpstreamWatch = field(factory=UpstreamWatch)
-    members: MemberWatch = field(factory=MemberWatch)
-    plans: PlanWatch = field(factory=PlanWatch)
+    upstreams: UpstreamMonitor = field(factory=UpstreamMonitor)
+    members: MemberMonitor = field(factory=MemberMonitor)
+    plans: PlanMonitor = field(factory=PlanMonitor)
     _readiness: str | None = None
     _role: str | None = None
     _part: float = 0.0
     _drains: frozenset[str] = frozenset()
     _platform_lost_at: float | None = None
 
-    def observe(self, node: Node, calls: BoundedCalls, now: float) -> list[Belief]:
+    def observe(
+        self, node: Node, calls: BoundedCalls, now: float
+    ) -> list[StatusChange]:
         """Give what has changed since the last time.
 
         Parameters
@@ -69,38 +71,38 @@
             *take_changes(node.quarantine),
         ]
 
-    def _platform(self, calls: BoundedCalls, now: float) -> Iterator[Belief]:
+    def _platform(self, calls: BoundedCalls, now: float) -> Iterator[StatusChange]:
         if not calls.available and self._platform_lost_at is None:
             self._platform_lost_at = now
-            yield Belief(event="platform_lost", fields={"seen": calls.failure})
+            yield StatusChange(event="platform_lost", fields={"seen": calls.failure})
         elif calls.available and self._platform_lost_at is not None:
             away_ms = round(1000 * (now - self._platform_lost_at))
             self._platform_lost_at = None
-            yield Belief(event="platform_regained", fields={"away_ms": away_ms})
+            yield StatusChange(event="platform_regained", fields={"away_ms": away_ms})
 
-    def _drained(self, node: Node) -> Iterator[Belief]:
+    def _drained(self, node: Node) -> Iterator[StatusChange]:
         if node.configuration is None:
             return
         drains = frozenset(node.configuration.drains_by_id)
         for drain in sorted(drains - self._drains):
-            yield Belief(event="drain_began", fields={"drain": drain})
+            yield StatusChange(event="drain_began", fields={"drain": drain})
         for drain in sorted(self._drains - drains):
-            yield Belief(event="drain_ended", fields={"drain": drain})
+            yield StatusChange(event="drain_ended", fields={"drain": drain})
         self._drains = drains
 
-    def _reads(self, node: Node, now: float) -> Iterator[Belief]:
-        role = node.reads.role(now).value
+    def _reads(self, node: Node, now: float) -> Iterator[StatusChange]:
+        role = node.shared_reads.role(now).value
         if role != self._role:
             was, self._role = self._role, role
-            yield Belief(event="platform_reads", fields={"was": was, "now": role})
+            yield StatusChange(event="platform_reads", fields={"was": was, "now": role})
 
-    def _own(self, node: Node) -> Iterator[Belief]:
+    def _own(self, node: Node) -> Iterator[StatusChange]:
         readiness = node.readiness().value
         if readiness != self._readiness:
             was, self._readiness = self._readiness, readiness
-            yield Belief(event="readiness", fields={"was": was, "now": readiness})
-        part = node.services.limiter.part
-        if abs(part - self._part) >= PART_STEP:
+            yield StatusChange(event="readiness", fields={"was": was, "now": readiness})
+        part = node.services.limiter.share
+        if abs(part - self._part) >= MIN_SHARE_CHANGE:
             was_part, self._part = self._part, part
             fields = {"was": round(was_part, 3), "now": round(part, 3)}
-            yield Belief(event="part_leaving_region", fields=fields)
+            yield StatusChange(event="part_leaving_region", fields=fields)
--- a/packages/daemon/src/plankspindle_daemon/beliefs/upstream_watch.py
+++ b/packages/daemon/src/plankspindle_daemon/status_changes/upstream_monitor.py
@@ -8,10 +8,10 @@
 from attrs import field
 
 from plankspindle_core.classes import define
-from plankspindle_daemon.beliefs.belief import Belief
-from plankspindle_daemon.upstreams.standing import Standing
-from plankspindle_daemon.upstreams.upstream_statement import SAYS_NOTHING
+from plankspindle_daemon.status_changes.status_change import StatusChange
+from plankspindle_daemon.upstreams.upstream_statement import NO_STATEMENT
 from plankspindle_daemon.upstreams.upstream_statement import UpstreamStatement
+from plankspindle_daemon.upstreams.upstream_status import UpstreamStatus
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -21,11 +21,11 @@
     from plankspindle_daemon.upstreams.upstream_state import UpstreamState
 
 NEW = "new"
-GONE = "gone"
+REMOVED = "gone"
 
 
 @define(kw_only=True)
-class UpstreamWatch:
+class UpstreamMonitor:
     """Compare the standing of each upstream with the one before.
 
     Attributes
@@ -35,12 +35,12 @@
     """
 
     ejections_by_service: Counter[str] = field(factory=Counter)
-    _standing_by_service: dict[str, dict[str, Standing]] = field(factory=dict)
+    _standing_by_service: dict[str, dict[str, UpstreamStatus]] = field(factory=dict)
     _stated_by_name: dict[str, UpstreamStatement] = field(factory=dict)
 
     def observe(
         self, dispatchers_by_service: Mapping[str, Dispatcher], now: float
-    ) -> list[Belief]:
+    ) -> list[StatusChange]:
         """Give what has changed since the last time.
 
         Parameters
@@ -50,20 +50,20 @@
         now : float
             Monotonic seconds.
         """
-        beliefs: list[Belief] = []
+        beliefs: list[StatusChange] = []
         for service, dispatcher in dispatchers_by_service.items():
             present = dispatcher.upstreams_by_name
             known = self._standing_by_service.setdefault(service, {})
             for name, upstream in present.items():
                 beliefs += self._stated(service, upstream)
-                standing = upstream.standing(now)
+                standing = upstream.status(now)
                 was = known.get(name)
                 if standing is was:
                     continue
                 known[name] = standing
-                if was is None and standing is Standing.WELL:
+                if was is None and standing is UpstreamStatus.HEALTHY:
                     continue
-                if standing is Standing.BACKED_OFF:
+                if standing is UpstreamStatus.BACKED_OFF:
                     self.ejections_by_service[service] += 1
                 beliefs.append(_changed(service, upstream, was, now))
             for gone in _gone(service, known, present):
@@ -71,10 +71,10 @@
                 beliefs.append(gone)
         return beliefs
 
-    def _stated(self, service: str, upstream: UpstreamState) -> Iterator[Belief]:
+    def _stated(self, service: str, upstream: UpstreamState) -> Iterator[StatusChange]:
         """Give what an upstream says of itself, where that is another than before."""
-        was = self._stated_by_name.get(upstream.name, SAYS_NOTHING)
-        stated = upstream.stated
+        was = self._stated_by_name.get(upstream.name, NO_STATEMENT)
+        stated = upstream.last_statement
         if stated == was:
             return
         self._stated_by_name[upstream.name] = stated
@@ -84,33 +84,33 @@
             "limit_per_s": stated.limit_per_s,
             "limit_before_per_s": was.limit_per_s,
             "leaving": stated.is_leaving or None,
-            "rest_s": stated.rest_s,
+            "rest_s": stated.retry_after_s,
             "unreadable": "; ".join(stated.unreadable) or None,
         }
-        yield Belief(event="upstream_stated", fields=fields)
+        yield StatusChange(event="upstream_stated", fields=fields)
 
 
 def _gone(
-    service: str, known: dict[str, Standing], present: Mapping[str, UpstreamState]
-) -> Iterator[Belief]:
+    service: str, known: dict[str, UpstreamStatus], present: Mapping[str, UpstreamState]
+) -> Iterator[StatusChange]:
     """Forget the upstreams that are there no more."""
     for name in sorted(known.keys() - present.keys()):
         was = known.pop(name)
         fields = {"service": service, "upstream": name, "was": was.value}
-        yield Belief(event="upstream_standing", fields={**fields, "now": GONE})
+        yield StatusChange(event="upstream_standing", fields={**fields, "now": REMOVED})
 
 
 def _changed(
-    service: str, upstream: UpstreamState, was: Standing | None, now: float
-) -> Belief:
+    service: str, upstream: UpstreamState, was: UpstreamStatus | None, now: float
+) -> StatusChange:
     seen, answered_at = upstream.evidence, upstream.answered_at
-    return Belief(
+    return StatusChange(
         event="upstream_standing",
         fields={
             "service": service,
             "upstream": upstream.name,
             "was": NEW if was is None else was.value,
-            "now": upstream.standing(now).value,
+            "now": upstream.status(now).value,
             "in_flight": upstream.ledger.in_flight,
             "seen": seen,
             "seen_ms_ago": None if seen is None else _ms(now - upstream.evidence_at),
--- a/packages/daemon/src/plankspindle_daemon/steering/block_table.py
+++ b/packages/daemon/src/plankspindle_daemon/steering/block_table.py
@@ -22,10 +22,10 @@
 NO_SITE = 0xFFFF
 IPV4_BITS = 32
 IPV6_BITS = 128
-_WIDE_BYTES = 16
+_IPV6_BYTES = 16
 
 
-class WideStarts(Sequence[int]):
+class PackedIpv6Starts(Sequence[int]):
     """Sorted 128-bit numbers in one byte string.
 
     Parameters
@@ -35,10 +35,10 @@
     """
 
     def __init__(self, numbers: Iterable[int]) -> None:
-        self._packed = b"".join(each.to_bytes(_WIDE_BYTES, "big") for each in numbers)
+        self._packed = b"".join(each.to_bytes(_IPV6_BYTES, "big") for each in numbers)
 
     def __len__(self) -> int:
-        return len(self._packed) // _WIDE_BYTES
+        return len(self._packed) // _IPV6_BYTES
 
     @overload
     def __getitem__(self, index: int) -> int: ...
@@ -49,8 +49,8 @@
     def __getitem__(self, index: int | slice) -> int | Sequence[int]:
         if isinstance(index, slice):
             return [self[each] for each in range(*index.indices(len(self)))]
-        at = index * _WIDE_BYTES
-        return int.from_bytes(self._packed[at : at + _WIDE_BYTES], "big")
+        at = index * _IPV6_BYTES
+        return int.from_bytes(self._packed[at : at + _IPV6_BYTES], "big")
 
     @property
     def nbytes(self) -> int:
@@ -90,10 +90,10 @@
         self.blocks = len(site_by_prefix)
         narrow_starts, narrow_sites = _flatten(narrow, IPV4_BITS)
         wide_starts, wide_sites = _flatten(wide, IPV6_BITS)
-        self._narrow = _Ranges(
+        self._ipv4 = _Ranges(
             array("L" if _LONG_IS_32 else "I", narrow_starts), narrow_sites
         )
-        self._wide = _Ranges(WideStarts(wide_starts), wide_sites)
+        self._ipv6 = _Ranges(PackedIpv6Starts(wide_starts), wide_sites)
 
     def site_of(self, address: str) -> str | None:
         """Find the site of an address by its longest matching block.
@@ -114,7 +114,7 @@
             If the text is not an IP number.
         """
         parsed = ip_address(address)
-        ranges = self._narrow if parsed.version == 4 else self._wide
+        ranges = self._ipv4 if parsed.version == 4 else self._ipv6
         number = ranges.find(int(parsed))
         return None if number == NO_SITE else self.site_names[number]
 
@@ -122,13 +122,13 @@
     def nbytes(self) -> int:
         """Bytes held by the arrays."""
         total = 0
-        for ranges in (self._narrow, self._wide):
+        for ranges in (self._ipv4, self._ipv6):
             sites = ranges.sites
             total += sites.itemsize * len(sites)
-        narrow = self._narrow.starts
-        wide = self._wide.starts
+        narrow = self._ipv4.starts
+        wide = self._ipv6.starts
         assert isinstance(narrow, array)
-        assert isinstance(wide, WideStarts)
+        assert isinstance(wide, PackedIpv6Starts)
         return total + narrow.itemsize * len(narrow) + wide.nbytes
 
 
--- a/packages/daemon/src/plankspindle_daemon/steering/entry_vms.py
+++ b/packages/daemon/src/plankspindle_daemon/steering/known_entry_vms.py
@@ -39,7 +39,7 @@
     membership: Membership
     _by_name: dict[str, EntryVm] = Factory(dict)
 
-    def present(self, *, drained: AbstractSet[str], now: float) -> dict[str, EntryVm]:
+    def snapshot(self, *, drained: AbstractSet[str], now: float) -> dict[str, EntryVm]:
         """Give them by name.
 
         Parameters
@@ -52,7 +52,9 @@
         members = self.membership.members_by_name
         entries: dict[str, EntryVm] = {}
         for listed in self.membership.listed_by_name.values():
-            if listed.kind is VmKind.ENTRY and not _has_said(members.get(listed.name)):
+            if listed.kind is VmKind.ENTRY and not _has_caller_endpoint(
+                members.get(listed.name)
+            ):
                 self._add_listed(entries, listed, drained)
         suspect_after_s = self.membership.suspect_after_s()
         for member in members.values():
@@ -96,7 +98,7 @@
         )
 
 
-def _has_said(member: Member | None) -> bool:
+def _has_caller_endpoint(member: Member | None) -> bool:
     """Tell whether a member has said where callers reach it."""
     return member is not None and member.caller_endpoint is not None
 
--- a/packages/daemon/src/plankspindle_daemon/steering/steering.py
+++ b/packages/daemon/src/plankspindle_daemon/steering/steering.py
@@ -22,14 +22,14 @@
 
 
 VMS_PER_DOMAIN = 2
-MAX_NAMED = 6
-ENOUGH_IN_DOMAIN = 2
+MAX_VMS_PER_ANSWER = 6
+SUFFICIENT_VMS_IN_DOMAIN = 2
 """Usable entry VMs of a failure domain from which on no others are named."""
-BUCKETS = 256
+CALLER_BUCKETS = 256
 """Groups of callers that get the same VMs in the same order."""
 
 
-class NamedBecause(Enum):
+class SelectionReason(Enum):
     """Why an entry VM is named."""
 
     HOME = "home"
@@ -60,11 +60,11 @@
 
 
 @frozen(kw_only=True)
-class NamedVm:
+class SelectedVm:
     """One line of the answer to a look-up."""
 
     vm: EntryVm
-    because: NamedBecause
+    reason: SelectionReason
 
 
 @frozen(kw_only=True)
@@ -77,13 +77,13 @@
         Site of the caller's block; None if no block holds it.
     ttl_s : int
         Time for which the answer may be kept, in seconds.
-    vms : tuple of NamedVm
+    vms : tuple of SelectedVm
         Never empty while any entry VM is known.
     """
 
     site: str | None
     ttl_s: int
-    vms: tuple[NamedVm, ...]
+    vms: tuple[SelectedVm, ...]
 
 
 @define(kw_only=True)
@@ -102,24 +102,26 @@
     home_domain: str
     table: BlockTable = field()
     _vms_by_name: dict[str, EntryVm] = Factory(dict)
-    _near_by_domain: dict[str, tuple[EntryVm, ...]] = Factory(dict)
+    _nearest_by_domain: dict[str, tuple[EntryVm, ...]] = Factory(dict)
     _names_by_domain: dict[str, list[str]] = Factory(dict)
     _rings_by_domain: dict[str, HashRing] = Factory(dict)
     _domains_by_query: dict[tuple[str, str], list[str]] = Factory(dict)
-    _named_by_query: dict[tuple[str, str, int], tuple[NamedVm, ...]] = Factory(dict)
+    _selected_by_query: dict[tuple[str, str, int], tuple[SelectedVm, ...]] = Factory(
+        dict
+    )
 
     @table.default
     def _make_table(self) -> BlockTable:
         return BlockTable(site_by_prefix=self.configuration.site_by_prefix)
 
-    def use_vms(self, vms: Iterable[EntryVm]) -> None:
+    def update_vms(self, vms: Iterable[EntryVm]) -> None:
         """Take the present set of entry VMs."""
         by_name = {each.name: each for each in vms}
         if by_name == self._vms_by_name:
             return
         self._vms_by_name = by_name
-        self._named_by_query.clear()
-        self._near_by_domain.clear()
+        self._selected_by_query.clear()
+        self._nearest_by_domain.clear()
         self._rings_by_domain.clear()
         self._names_by_domain = {}
         for vm in by_name.values():
@@ -163,11 +165,11 @@
         home = self.home_domain
         if site is not None:
             home = self.configuration.sites_by_name[site].failure_domain
-        bucket = crc32(address.encode()) % BUCKETS
-        named = self._named_for(service, home, bucket)
+        bucket = crc32(address.encode()) % CALLER_BUCKETS
+        named = self._select_cached(service, home, bucket)
         return LookupAnswer(site=site, ttl_s=LOOKUP_TTL_S, vms=named)
 
-    def near(self, domain: str) -> tuple[EntryVm, ...]:
+    def nearest_vms(self, domain: str) -> tuple[EntryVm, ...]:
         """Name the usable entry VMs for callers in a failure domain.
 
         Parameters
@@ -184,17 +186,17 @@
         """
         known = domain in self.configuration.failure_domains_by_name
         home = domain if known else self.home_domain
-        named = self._near_by_domain.get(home)
+        named = self._nearest_by_domain.get(home)
         if named is None:
-            named = self._near_by_domain[home] = self._find_near(home)
+            named = self._nearest_by_domain[home] = self._find_nearest(home)
         return named
 
-    def _find_near(self, home: str) -> tuple[EntryVm, ...]:
+    def _find_nearest(self, home: str) -> tuple[EntryVm, ...]:
         usable = [vm for vm in self._vms_by_name.values() if vm.usable]
         if not usable:
             return tuple(named.vm for named in self._last_resort(home))
         own = [vm for vm in usable if vm.failure_domain == home]
-        if len(own) >= ENOUGH_IN_DOMAIN:
+        if len(own) >= SUFFICIENT_VMS_IN_DOMAIN:
             return tuple(own)
         distances = {vm.name: self._distance_ms(home, vm) for vm in usable}
         least = min(distances.values())
@@ -204,28 +206,32 @@
     def _distance_ms(self, home: str, vm: EntryVm) -> float:
         return self.configuration.distance_ms(home, vm.failure_domain)
 
-    def _named_for(self, service: str, home: str, bucket: int) -> tuple[NamedVm, ...]:
+    def _select_cached(
+        self, service: str, home: str, bucket: int
+    ) -> tuple[SelectedVm, ...]:
         query = (service, home, bucket)
-        named = self._named_by_query.get(query)
+        named = self._selected_by_query.get(query)
         if named is None:
-            named = tuple(self._named_in_order(service, home, str(bucket)))
-            self._named_by_query[query] = named
+            named = tuple(self._select(service, home, str(bucket)))
+            self._selected_by_query[query] = named
         return named
 
-    def _named_in_order(self, service: str, home: str, key: str) -> list[NamedVm]:
-        named: list[NamedVm] = []
+    def _select(self, service: str, home: str, key: str) -> list[SelectedVm]:
+        named: list[SelectedVm] = []
         for domain in self._domains_for(service, home):
             ring = self._ring_of(domain)
             if ring is None:
                 continue
-            because = NamedBecause.HOME if domain == home else NamedBecause.NEXT_NEAREST
+            because = (
+                SelectionReason.HOME if domain == home else SelectionReason.NEXT_NEAREST
+            )
             for name in ring.first(key, VMS_PER_DOMAIN):
-                named.append(NamedVm(vm=self._vms_by_name[name], because=because))
-            if len(named) >= MAX_NAMED:
-                return named[:MAX_NAMED]
+                named.append(SelectedVm(vm=self._vms_by_name[name], reason=because))
+            if len(named) >= MAX_VMS_PER_ANSWER:
+                return named[:MAX_VMS_PER_ANSWER]
         return named or self._last_resort(home)
 
-    def _last_resort(self, home: str) -> list[NamedVm]:
+    def _last_resort(self, home: str) -> list[SelectedVm]:
         ordered = sorted(
             self._vms_by_name.values(),
             key=lambda vm: (
@@ -235,8 +241,8 @@
             ),
         )
         return [
-            NamedVm(vm=vm, because=NamedBecause.LAST_RESORT)
-            for vm in ordered[:MAX_NAMED]
+            SelectedVm(vm=vm, reason=SelectionReason.LAST_RESORT)
+            for vm in ordered[:MAX_VMS_PER_ANSWER]
         ]
 
     def _domains_for(self, service: str, home: str) -> list[str]:
--- a/packages/daemon/src/plankspindle_daemon/ticker.py
+++ b/packages/daemon/src/plankspindle_daemon/ticker.py
@@ -15,14 +15,14 @@
 from plankspindle_core.steady_clock import monotonic
 from plankspindle_core.supervisor import Supervisor
 from plankspindle_core.time_limit import within
-from plankspindle_daemon.beliefs.belief_watch import BeliefWatch
 from plankspindle_daemon.leaving.leave import Left
 from plankspindle_daemon.node.dispatch_runner import DispatchRunner
 from plankspindle_daemon.node.effect_runner import EffectRunner
 from plankspindle_daemon.node.node import Node
-from plankspindle_daemon.node.pause_watch import PauseWatch
+from plankspindle_daemon.node.pause_monitor import PauseMonitor
 from plankspindle_daemon.platform.bounded_calls import BoundedCalls
 from plankspindle_daemon.quarantine.quarantine_store import QuarantineStore
+from plankspindle_daemon.status_changes.status_monitor import StatusMonitor
 
 TICK_S = 0.05
 """Period of looking at what waits, while requests wait, in seconds."""
@@ -50,11 +50,11 @@
         The decisions.
     effects, dispatch : EffectRunner, DispatchRunner
         What carries them out.
-    pauses : PauseWatch
+    pauses : PauseMonitor
         What notices that the process stood still.
     quarantine : QuarantineStore
         What keeps requests that are held back at the platform.
-    beliefs : BeliefWatch
+    status_monitor : StatusMonitor
         What was believed before.
     calls : BoundedCalls
         Calls to the platform.
@@ -69,9 +69,9 @@
     node: Node
     effects: EffectRunner
     dispatch: DispatchRunner
-    pauses: PauseWatch
+    pauses: PauseMonitor
     quarantine: QuarantineStore
-    beliefs: BeliefWatch
+    status_monitor: StatusMonitor
     calls: BoundedCalls
     supervisor: Supervisor
     running: Callable[[], int]
@@ -83,20 +83,20 @@
         while True:
             await self._rest_until_tick()
             self.supervisor.check()
-            await self.pauses.look()
+            await self.pauses.check()
             now = monotonic()
             await self.effects.perform(self.node.tick(now=now, wall=time.time()))
-            await self.quarantine.look()
+            await self.quarantine.wake_if_needed()
             self._watch(now)
             state = self.node.leave.advance(running=self.running(), now=now)
             if isinstance(state, Left):
                 log_event("left", cut_off=state.cut_off)
-                await self.effects.send_last_heartbeats()
+                await self.effects.send_final_heartbeats()
                 return
 
     async def _rest_until_tick(self) -> None:
-        begins_to_wait = self.dispatch.begins_to_wait
-        if not self.dispatch.has_waiting and not self.node.leave.is_leaving:
+        begins_to_wait = self.dispatch.request_queued
+        if not self.dispatch.has_waiting_requests and not self.node.leave.is_leaving:
             with suppress(TaskTimeout):
                 await within(IDLE_TICK_S, begins_to_wait.wait)
             if not begins_to_wait.is_set():
@@ -108,7 +108,7 @@
         """Log what is believed newly, and hand on the log."""
         if now >= self._next_watch:
             self._next_watch = now + self._watch_period_s()
-            for belief in self.beliefs.observe(self.node, self.calls, now):
+            for belief in self.status_monitor.observe(self.node, self.calls, now):
                 log_event(belief.event, **belief.fields)
         if self.log is not None:
             self.log.flush(now)
