--- a/packages/daemon/src/plankspindle_daemon/stories/story.py
+++ b/packages/daemon/src/plankspindle_daemon/traces/request_trace.py
@@ -7,41 +7,41 @@
 from attrs import field
 
 from plankspindle_core.classes import define
-from plankspindle_daemon.stories.steps import Step
+from plankspindle_daemon.traces.steps import Step
 
 MAX_STEPS = 64
 """Steps that are kept of one request; beyond them it goes round in circles."""
 
 
-class Ending(Enum):
+class Completion(Enum):
     """How a request ended for its caller."""
 
     SERVED = "served"
     REFUSED = "refused"
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
-    BROKEN_OFF = "broken-off"
-    CALLER_GONE = "caller-gone"
+    ABORTED = "broken-off"
+    CALLER_DISCONNECTED = "caller-gone"
 
 
 @define(kw_only=True)
-class Story:
+class RequestTrace:
     """Steps of one request, with the time of each.
 
     Parameters
     ----------
-    request : str
+    request_id : str
         Id of the request in logs.
-    is_callers_id : bool
+    id_is_from_caller : bool
         Whether the caller chose that id, so that it need not be told.
-    began_at : float
+    started_at : float
         Monotonic seconds.
-    began_wall : float
+    started_at_unix : float
         The same moment, seconds since the Unix epoch.
 
     Attributes
     ----------
-    ending : Ending
+    completion : Completion
         How it ended; a request whose end nobody noted was given up by its caller.
     status : int or None
         Status of the answer.
@@ -51,14 +51,14 @@
         Time within which an answer is wanted, in seconds.
     """
 
-    request: str
-    is_callers_id: bool
-    began_at: float
-    began_wall: float
+    request_id: str
+    id_is_from_caller: bool
+    started_at: float
+    started_at_unix: float
     service: str | None = None
     rank: int | None = None
     target_s: float | None = None
-    ending: Ending = Ending.CALLER_GONE
+    completion: Completion = Completion.CALLER_DISCONNECTED
     status: int | None = None
     reason: str | None = None
     retry_after_s: float | None = None
@@ -66,7 +66,7 @@
     upstream: str | None = None
     steps: list[tuple[float, Step]] = field(factory=list)
 
-    def note(self, step: Step, now: float) -> None:
+    def record(self, step: Step, now: float) -> None:
         """Keep a step.
 
         Parameters
@@ -79,21 +79,21 @@
         if len(self.steps) < MAX_STEPS:
             self.steps.append((now, step))
 
-    def end(
+    def complete(
         self,
-        ending: Ending,
+        completion: Completion,
         *,
         status: int | None = None,
         reason: str | None = None,
         retry_after_s: float | None = None,
     ) -> None:
         """Keep how the request ended for its caller."""
-        self.ending = ending
+        self.completion = completion
         self.status = status
         self.reason = reason
         self.retry_after_s = retry_after_s
 
-    def wall_of(self, at: float) -> float:
+    def to_unix_time(self, at: float) -> float:
         """Give a monotonic time of the request as seconds since the Unix epoch.
 
         Notes
@@ -101,8 +101,8 @@
         The clock of the day is read once a request, so that a jump of it does not put
         the steps out of order.
         """
-        return self.began_wall + (at - self.began_at)
+        return self.started_at_unix + (at - self.started_at)
 
     def is_late(self, now: float) -> bool:
         """Tell whether more time has passed than is wanted."""
-        return self.target_s is not None and now - self.began_at > self.target_s
+        return self.target_s is not None and now - self.started_at > self.target_s
--- a/packages/daemon/src/plankspindle_daemon/stories/story_log.py
+++ b/packages/daemon/src/plankspindle_daemon/traces/request_trace_log.py
@@ -13,9 +13,9 @@
 from plankspindle_core.classes import define
 from plankspindle_core.logs.key_value_destination import log_event
 from plankspindle_core.token_bucket import TokenBucket
-from plankspindle_daemon.stories.steps import Step
-from plankspindle_daemon.stories.story import Ending
-from plankspindle_daemon.stories.story import Story
+from plankspindle_daemon.traces.request_trace import Completion
+from plankspindle_daemon.traces.request_trace import RequestTrace
+from plankspindle_daemon.traces.steps import Step
 
 MAX_ID_CHARACTERS = 64
 FAILED_PER_S = 50.0
@@ -28,14 +28,14 @@
 """Late but served requests a second whose steps are logged."""
 SERVED_PER_S = 1.0
 """Served requests a second of which a summary is logged; the rest is counted."""
-_GOOD = frozenset({Ending.SERVED})
+_GOOD = frozenset({Completion.SERVED})
 _NAMES_BY_KIND: dict[type, list[str]] = {
     kind: [each.name for each in attrs.fields(kind)] for kind in get_args(Step)
 }
 
 
 @define(kw_only=True)
-class StoryLog:
+class RequestTraceLog:
     """Decide what is logged of each request.
 
     Parameters
@@ -45,7 +45,7 @@
 
     Attributes
     ----------
-    untold : int
+    skipped_failed : int
         Bad ends that were not logged.
 
     Notes
@@ -56,8 +56,8 @@
     """
 
     vm: str
-    untold: int = 0
-    served_untold: int = 0
+    skipped_failed: int = 0
+    skipped_served: int = 0
     _numbers: count[int] = field(factory=lambda: count(1))
     _failed: TokenBucket = field(
         factory=lambda: TokenBucket(per_s=FAILED_PER_S, burst=FAILED_BURST)
@@ -72,7 +72,9 @@
         factory=lambda: TokenBucket(per_s=SERVED_PER_S, burst=10 * SERVED_PER_S)
     )
 
-    def begin(self, request_id: bytes | None, *, now: float, wall: float) -> Story:
+    def start_trace(
+        self, request_id: bytes | None, *, now: float, wall: float
+    ) -> RequestTrace:
         """Begin the story of a request.
 
         Parameters
@@ -88,72 +90,72 @@
             name = request_id.decode("latin-1")[:MAX_ID_CHARACTERS]
         else:
             name = f"{self.vm}/{int(wall * 1000):x}-{next(self._numbers)}"
-        return Story(
-            request=name,
-            is_callers_id=bool(request_id),
-            began_at=now,
-            began_wall=wall,
+        return RequestTrace(
+            request_id=name,
+            id_is_from_caller=bool(request_id),
+            started_at=now,
+            started_at_unix=wall,
         )
 
-    def end(self, story: Story, now: float) -> None:
+    def log_completed(self, trace: RequestTrace, now: float) -> None:
         """Log a request that has ended.
 
         Parameters
         ----------
-        story : Story
+        trace : RequestTrace
             What happened to it.
         now : float
             Monotonic seconds.
         """
-        is_late = story.is_late(now)
-        if story.ending in _GOOD and not is_late:
+        is_late = trace.is_late(now)
+        if trace.completion in _GOOD and not is_late:
             if self._served.take(now):
-                skipped, self.served_untold = self.served_untold, 0
-                self._summarise("request_served", story, now, not_logged=skipped)
+                skipped, self.skipped_served = self.skipped_served, 0
+                self._summarise("request_served", trace, now, not_logged=skipped)
             else:
-                self.served_untold += 1
+                self.skipped_served += 1
             return
-        if not self._bucket_of(story).take(now):
-            self.untold += 1
+        if not self._bucket_of(trace).take(now):
+            self.skipped_failed += 1
             return
-        for number, (at, step) in enumerate(story.steps, start=1):
+        for number, (at, step) in enumerate(trace.steps, start=1):
             log_event(
                 step.EVENT,
-                at=story.wall_of(at),
-                request=story.request,
+                at=trace.to_unix_time(at),
+                request=trace.request_id,
                 step=number,
                 **_fields_of(step),
             )
-        event = "request_late" if story.ending in _GOOD else "request_failed"
-        untold, self.untold = self.untold, 0
-        self._summarise(event, story, now, not_logged=untold)
+        event = "request_late" if trace.completion in _GOOD else "request_failed"
+        untold, self.skipped_failed = self.skipped_failed, 0
+        self._summarise(event, trace, now, not_logged=untold)
 
-    def _bucket_of(self, story: Story) -> TokenBucket:
-        match story.ending:
-            case Ending.SERVED | Ending.CALLER_GONE:
+    def _bucket_of(self, trace: RequestTrace) -> TokenBucket:
+        match trace.completion:
+            case Completion.SERVED | Completion.CALLER_DISCONNECTED:
                 return self._late
-            case Ending.REFUSED:
+            case Completion.REFUSED:
                 return self._refused
             case _:
                 return self._failed
 
     def _summarise(
-        self, event: str, story: Story, now: float, *, not_logged: int
+        self, event: str, trace: RequestTrace, now: float, *, not_logged: int
     ) -> None:
-        retry_after_s = story.retry_after_s
+        retry_after_s = trace.retry_after_s
         log_event(
             event,
-            at=story.wall_of(now),
-            request=story.request,
-            step=len(story.steps) + 1,
-            service=story.service,
-            rank=story.rank,
-            ending=story.ending.value,
-            status=story.status,
-            reason=story.reason,
-            took_ms=round((now - story.began_at) * 1000),
-            attempts=story.attempts,
-            upstream=story.upstream,
+            at=trace.to_unix_time(now),
+            request=trace.request_id,
+            step=len(trace.steps) + 1,
+            service=trace.service,
+            rank=trace.rank,
+            ending=trace.completion.value,
+            status=trace.status,
+            reason=trace.reason,
+            took_ms=round((now - trace.started_at) * 1000),
+            attempts=trace.attempts,
+            upstream=trace.upstream,
             retry_after_ms=None if not retry_after_s else round(retry_after_s * 1000),
             not_logged=not_logged or None,
         )
--- a/packages/daemon/src/plankspindle_daemon/stories/steps.py
+++ b/packages/daemon/src/plankspindle_daemon/traces/steps.py
@@ -8,7 +8,7 @@
 from plankspindle_core.classes import frozen
 
 
-class Ran(Enum):
+class Executed(Enum):
     """Whether an attempt was run by its upstream."""
 
     YES = "yes"
@@ -156,7 +156,7 @@
 
 
 @frozen(kw_only=True)
-class SentOn:
+class Forwarded:
     """The request was moved to another entry VM.
 
     Parameters
@@ -212,7 +212,7 @@
         How the upstream is judged by it.
     came : str
         What was seen.
-    ran : Ran
+    ran : Executed
         Whether the upstream ran the request.
     took_ms : int
         Time since it was sent.
@@ -223,7 +223,7 @@
     upstream: str
     verdict: str
     came: str
-    ran: Ran
+    ran: Executed
     took_ms: int
 
 
@@ -248,7 +248,7 @@
 
 
 @frozen(kw_only=True)
-class HeldBack:
+class RequestQuarantined:
     """The request is sent to no upstream, since several have ended under it.
 
     Parameters
@@ -285,7 +285,7 @@
 
 
 @frozen(kw_only=True)
-class TokenDecided:
+class QuotaTokenDecided:
     """The request was held against the quota of its workspace.
 
     Parameters
@@ -314,11 +314,11 @@
     | Queued
     | Placed
     | Rejected
-    | SentOn
+    | Forwarded
     | Sent
     | AttemptEnded
     | RetryDecided
-    | HeldBack
+    | RequestQuarantined
     | Suspected
-    | TokenDecided
+    | QuotaTokenDecided
 )
--- a/packages/daemon/src/plankspindle_daemon/upstreams/usual_use.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/average_use.py
@@ -6,9 +6,9 @@
 
 from plankspindle_core.classes import define
 
-WEIGHT = 1 / 16
+REPORT_WEIGHT = 1 / 16
 """Weight of one report in the average."""
-FADES_S = 1.5
+AVERAGE_DECAY_S = 1.5
 """Time without a report in which the average loses its weight, in seconds.
 
 A VM that sends nothing, since all seemed full, soon tries again.
@@ -16,7 +16,7 @@
 
 
 @define(kw_only=True)
-class UsualUse:
+class AverageUse:
     """Average use of slots by other entry VMs, over the upstreams that answered.
 
     Notes
@@ -30,7 +30,7 @@
     _use: float = 0.0
     _noted_at: float = 0.0
 
-    def note(self, use: float, now: float) -> None:
+    def record(self, use: float, now: float) -> None:
         """Take a report.
 
         Parameters
@@ -40,11 +40,11 @@
         now : float
             Monotonic seconds.
         """
-        present = self.use(now)
-        self._use = present + WEIGHT * (use - present)
+        present = self.average(now)
+        self._use = present + REPORT_WEIGHT * (use - present)
         self._noted_at = now
 
-    def use(self, now: float) -> float:
+    def average(self, now: float) -> float:
         """Give the average at a time, in monotonic seconds."""
         age_s = max(0.0, now - self._noted_at)
-        return self._use * math.exp(-age_s / FADES_S)
+        return self._use * math.exp(-age_s / AVERAGE_DECAY_S)
--- a/packages/daemon/src/plankspindle_daemon/upstreams/cold_gate.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/cold_limiter.py
@@ -12,30 +12,31 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-MAX_SENDERS = 8
+MAX_COLD_SENDERS = 8
 """Entry VMs that may send to one cold upstream."""
-MOST_PARTS = 2_000
+MAX_CACHED_RATES = 2_000
 """Parts that are remembered, some 300 KB; upstreams come and go under new names."""
 
 
 @define(kw_only=True)
-class ColdGate:
+class ColdLimiter:
     """Token bucket of one request, filled at this VM's part of the bound.
 
     Parameters
     ----------
-    per_s : float
+    rate_per_s : float
         Requests a second that this VM may send; zero sends none.
     until : float
         End of the cold time, monotonic seconds.
 
     Notes
     -----
-    In any second a VM sends at most ``1 + per_s`` requests, so that ``MAX_SENDERS``
-    of them stay within the upstream's bound plus ``MAX_SENDERS``.
+    In any second a VM sends at most ``1 + per_s`` requests, so that
+    ``MAX_COLD_SENDERS`` of them stay within the upstream's bound plus
+    ``MAX_COLD_SENDERS``.
     """
 
-    per_s: float
+    rate_per_s: float
     until: float
     _next_at: float = 0.0
 
@@ -43,16 +44,16 @@
         """Tell whether a request may be sent now."""
         if now >= self.until:
             return True
-        return self.per_s > 0 and now >= self._next_at
+        return self.rate_per_s > 0 and now >= self._next_at
 
-    def take(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """Count a request that is sent."""
-        if now < self.until and self.per_s > 0:
-            self._next_at = now + 1.0 / self.per_s
+        if now < self.until and self.rate_per_s > 0:
+            self._next_at = now + 1.0 / self.rate_per_s
 
 
 @define(kw_only=True)
-class ColdParts:
+class ColdRateCache:
     """What one entry VM may send to cold upstreams, while its members stay the same.
 
     Parameters
@@ -70,7 +71,9 @@
     _members: tuple[str, ...] = ()
     _part_by_place: dict[tuple[str, float], float] = Factory(dict)
 
-    def of(self, upstream: str, *, members: tuple[str, ...], per_s: float) -> float:
+    def rate_per_s(
+        self, upstream: str, *, members: tuple[str, ...], total_rate_per_s: float
+    ) -> float:
         """Give the requests a second that this VM may send to a cold upstream.
 
         Parameters
@@ -79,24 +82,27 @@
             Its name.
         members : tuple of str
             Entry VMs that are known; the same object while they are the same.
-        per_s : float
+        total_rate_per_s : float
             Requests a second that the upstream bears from all of them.
         """
-        if members is not self._members or len(self._part_by_place) >= MOST_PARTS:
+        if members is not self._members or len(self._part_by_place) >= MAX_CACHED_RATES:
             self._members = members
             self._part_by_place.clear()
-        place = (upstream, per_s)
+        place = (upstream, total_rate_per_s)
         part = self._part_by_place.get(place)
         if part is None:
-            part = cold_part_of(
-                vm=self.vm, others=members, upstream=upstream, per_s=per_s
+            part = cold_rate_share(
+                vm=self.vm,
+                others=members,
+                upstream=upstream,
+                total_rate_per_s=total_rate_per_s,
             )
             self._part_by_place[place] = part
         return part
 
 
-def cold_part_of(
-    *, vm: str, others: Iterable[str], upstream: str, per_s: float
+def cold_rate_share(
+    *, vm: str, others: Iterable[str], upstream: str, total_rate_per_s: float
 ) -> float:
     """Give the requests a second that one entry VM may send to a cold upstream.
 
@@ -108,7 +114,7 @@
         The other entry VMs that it knows.
     upstream : str
         Name of the upstream.
-    per_s : float
+    total_rate_per_s : float
         Requests a second that the upstream bears from all of them.
 
     Returns
@@ -120,4 +126,4 @@
     before = sum(
         stable_hash(f"{other} {upstream}") < own for other in others if other != vm
     )
-    return per_s / MAX_SENDERS if before < MAX_SENDERS else 0.0
+    return total_rate_per_s / MAX_COLD_SENDERS if before < MAX_COLD_SENDERS else 0.0
--- a/packages/daemon/src/plankspindle_daemon/upstreams/connection_pool.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/connection_pool.py
@@ -13,7 +13,7 @@
 from plankspindle_core.http.errors import ConnectFailed
 from plankspindle_core.steady_clock import monotonic
 
-MAX_RESTING = 32
+MAX_IDLE_PER_ENDPOINT = 32
 """Idle connections kept to one endpoint; more are not used at once by one entry VM.
 
 Requests that must not repeat open new ones, which are kept after them: without this
@@ -102,7 +102,7 @@
         connection.released_at = monotonic()
         idle = self._idle_by_endpoint.setdefault(connection.endpoint, [])
         idle.append(connection)
-        if len(idle) > MAX_RESTING:
+        if len(idle) > MAX_IDLE_PER_ENDPOINT:
             await self.discard(idle.pop(0))
 
     async def discard(self, connection: ClientConnection) -> None:
@@ -110,12 +110,12 @@
         self._count(connection.endpoint, -1)
         await connection.close()
 
-    def has_quiet(self, endpoint: Endpoint) -> bool:
+    def has_live_idle(self, endpoint: Endpoint) -> bool:
         """Tell whether an idle connection to an endpoint is still open."""
         idle = self._idle_by_endpoint.get(endpoint, [])
         return any(connection.is_quiet() for connection in idle)
 
-    async def drop_stale(self) -> None:
+    async def discard_stale(self) -> None:
         """Close idle connections that the other side has closed or written to."""
         for endpoint, idle in list(self._idle_by_endpoint.items()):
             quiet, stale = _split_by_quiet(idle)
--- a/packages/daemon/src/plankspindle_daemon/upstreams/health.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/health.py
@@ -12,8 +12,8 @@
 BACK_OFF_S = 0.2
 MAX_BACK_OFF_S = 10.0
 TIMEOUTS_TO_BACK_OFF = 3
-SILENT_S = 1.0
-BREAKS_TO_BACK_OFF = 3
+UNRESPONSIVE_S = 1.0
+LOST_CONNECTIONS_TO_BACK_OFF = 3
 """Connections lost in a row, without an answer between, that end trust."""
 _MAX_DOUBLINGS = 10
 
@@ -73,13 +73,13 @@
     state: HealthState
     needs_probe: bool = True
     _failures: int = 0
-    _breaks: int = 0
+    _lost_connections: int = 0
     _timeouts: int = 0
     _answered_at: float = float("-inf")
-    _on_trial: bool = False
-    _rests_until: float = float("-inf")
+    _is_probing: bool = False
+    _retry_at: float = float("-inf")
 
-    def limit(self, share: int, now: float) -> int:
+    def usable_share(self, share: int, now: float) -> int:
         """Give the usable part of a share.
 
         Parameters
@@ -94,7 +94,7 @@
         int
             At most ``share``; zero while backed off.
         """
-        if now < self._rests_until:
+        if now < self._retry_at:
             return 0
         match self.state:
             case Warm():
@@ -103,9 +103,9 @@
                 return 0
             case BackedOff():
                 self.state = Ramping(now)
-                self._on_trial = True
+                self._is_probing = True
                 return min(share, 1)
-            case Ramping() if self._on_trial:
+            case Ramping() if self._is_probing:
                 return min(share, 1)
             case Ramping(since=since):
                 if now - since >= RAMP_S:
@@ -114,17 +114,17 @@
                 ramped = 1 + math.floor((share - 1) * (now - since) / RAMP_S)
                 return min(share, ramped)
 
-    def note_success(self, now: float) -> None:
+    def record_success(self, now: float) -> None:
         """Record that a request was answered."""
-        if self._on_trial:
-            self._on_trial = False
+        if self._is_probing:
+            self._is_probing = False
             self.state = Ramping(now)
         self._failures = 0
         self._timeouts = 0
-        self._breaks = 0
+        self._lost_connections = 0
         self._answered_at = now
 
-    def note_timeout(self, now: float) -> None:
+    def record_timeout(self, now: float) -> None:
         """Record that a request had no answer by its deadline.
 
         Notes
@@ -134,57 +134,57 @@
         on trial after a back-off has no such credit: at twelve silent upstreams of 36,
         nine entry VMs lost a request each a second by trying them.
         """
-        if self._on_trial:
-            self.note_refusal(now)
+        if self._is_probing:
+            self.record_failure(now)
             return
         self._timeouts += 1
-        is_silent = now - self._answered_at >= SILENT_S
+        is_silent = now - self._answered_at >= UNRESPONSIVE_S
         if is_silent and self._timeouts >= TIMEOUTS_TO_BACK_OFF:
             self._timeouts = 0
-            self.note_refusal(now)
+            self.record_failure(now)
 
-    def note_break(self, now: float) -> None:
+    def record_connection_loss(self, now: float) -> None:
         """Record that a connection was lost before the answer was complete.
 
         Notes
         -----
         One lost answer among many says little of an upstream that goes on answering.
         """
-        if self._on_trial:
-            self.note_refusal(now)
+        if self._is_probing:
+            self.record_failure(now)
             return
-        self._breaks += 1
-        if self._breaks >= BREAKS_TO_BACK_OFF:
-            self._breaks = 0
-            self.note_refusal(now)
+        self._lost_connections += 1
+        if self._lost_connections >= LOST_CONNECTIONS_TO_BACK_OFF:
+            self._lost_connections = 0
+            self.record_failure(now)
 
-    def note_refusal(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Record that the upstream failed, or shed a request."""
         if isinstance(self.state, BackedOff):
             return
         self._back_off(now)
 
-    def rests_until(self, now: float) -> float:
+    def retry_at(self, now: float) -> float:
         """Give when the rest ends that it asked for, monotonic seconds; now if none."""
-        return max(now, self._rests_until)
+        return max(now, self._retry_at)
 
-    def note_rest(self, until: float) -> None:
+    def record_retry_after(self, until: float) -> None:
         """Record that it wants no request until a time, monotonic seconds.
 
         Notes
         -----
         What comes then is one request, on trial: who wanted rest may want more of it.
         """
-        self._rests_until = max(self._rests_until, until)
-        self._on_trial = False
-        self.state = BackedOff(self._rests_until, self._failures)
+        self._retry_at = max(self._retry_at, until)
+        self._is_probing = False
+        self.state = BackedOff(self._retry_at, self._failures)
 
-    def note_report(self, now: float) -> None:
+    def record_probe_success(self, now: float) -> None:
         """Record that a probe brought a report, which ends a back-off but no rest."""
-        if isinstance(self.state, BackedOff) and now >= self._rests_until:
+        if isinstance(self.state, BackedOff) and now >= self._retry_at:
             self.state = Ramping(now)
 
-    def note_silence(self, *, reached: bool, now: float) -> None:
+    def record_probe_failure(self, *, reached: bool, now: float) -> None:
         """Record that a probe brought nothing.
 
         Parameters
@@ -198,15 +198,15 @@
         if not reached or isinstance(self.state, BackedOff):
             self._back_off(now)
 
-    def probe_is_due(self, now: float) -> bool:
+    def is_probe_due(self, now: float) -> bool:
         """Tell whether a backed-off upstream is to be probed."""
         is_due = isinstance(self.state, BackedOff) and now >= self.state.until
-        return is_due and now >= self._rests_until
+        return is_due and now >= self._retry_at
 
     def _back_off(self, now: float) -> None:
         doublings = min(self._failures, _MAX_DOUBLINGS)
         self._failures += 1
         longest = min(MAX_BACK_OFF_S, BACK_OFF_S * 2.0**doublings)
         jittered = longest * self.random.uniform(0.5, 1.0)
-        self._on_trial = False
+        self._is_probing = False
         self.state = BackedOff(now + jittered, self._failures)
--- a/packages/daemon/src/plankspindle_daemon/upstreams/load_report.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/load_report.py
@@ -12,8 +12,8 @@
 from plankspindle_core.errors import Unreadable
 from plankspindle_core.read_json import read_json
 
-MAX_AGE_S = 3.0
-MOST = 1_000_000
+MAX_REPORT_AGE_S = 3.0
+MAX_COUNT = 1_000_000
 """Most that a count is taken for; an upstream that says more says nothing."""
 
 
@@ -75,4 +75,4 @@
 
 
 def _count(value: object) -> int:
-    return min(MOST, max(0, int(value)))  # type: ignore[call-overload,no-any-return]
+    return min(MAX_COUNT, max(0, int(value)))  # type: ignore[call-overload,no-any-return]
--- a/packages/daemon/src/plankspindle_daemon/upstreams/reported_slots.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/reported_slots.py
@@ -9,7 +9,7 @@
 
 from plankspindle_core.classes import define
 from plankspindle_core.invariants import check_invariant
-from plankspindle_daemon.upstreams.usual_use import UsualUse
+from plankspindle_daemon.upstreams.average_use import AverageUse
 
 if TYPE_CHECKING:
     from plankspindle_daemon.upstreams.slot_ledger import Loan
@@ -22,12 +22,12 @@
 slots this keeps 0.03 more of the worth of days with trouble, played on three seeds, and
 0.02 of that of the modelled loads; twice the slots waste 0.06 where load stays high.
 """
-REPORT_FADES_S = 1.5
+REPORT_DECAY_S = 1.5
 """Time in which what an answer told of the load of others loses its weight, seconds.
 
 0.75 s is as good: mean worth of six days with and without trouble 0.623 and 0.627.
 """
-FULL_FADES_S = 0.4
+FULL_AFTER_SHED_S = 0.4
 """Time for which an upstream that shed a request counts as full."""
 
 
@@ -39,7 +39,7 @@
     ----------
     slots : int
         Slots of the upstream, for all entry VMs together.
-    usual : UsualUse
+    average_use : AverageUse
         Average use of the service's upstreams by others.
 
     Attributes
@@ -58,10 +58,10 @@
     """
 
     slots: int
-    usual: UsualUse = Factory(UsualUse)
+    average_use: AverageUse = Factory(AverageUse)
     started_by_ticket: dict[int, float] = Factory(dict)
     reported_at: float | None = None
-    _others: float = 0.0
+    _reported_load_of_others: float = 0.0
     _full_until: float = 0.0
 
     @property
@@ -74,43 +74,45 @@
         """Slots this VM may use: all, as far as others leave them."""
         return self.slots
 
-    def others(self, now: float) -> float:
+    def load_of_others(self, now: float) -> float:
         """Estimate the requests of other entry VMs that run or wait there."""
-        usual = self.usual.use(now) * self.slots
+        usual = self.average_use.average(now) * self.slots
         if self.reported_at is None:
             return min(usual, float(self.slots))
         age_s = max(0.0, now - self.reported_at)
-        return usual + (self._others - usual) * math.exp(-age_s / REPORT_FADES_S)
+        return usual + (self._reported_load_of_others - usual) * math.exp(
+            -age_s / REPORT_DECAY_S
+        )
 
     def load(self, now: float) -> float:
         """Estimate all requests that run or wait there."""
-        load = self.in_flight + self.others(now)
+        load = self.in_flight + self.load_of_others(now)
         return max(load, self.slots + 1.0) if now < self._full_until else load
 
-    def note_reported(self, total: int, now: float) -> None:
+    def record_reported_load(self, total_load: int, now: float) -> None:
         """Take the load that an answer told, the answered request not counted.
 
         Parameters
         ----------
-        total : int
+        total_load : int
             Requests that run and wait there.
         now : float
             Monotonic seconds.
         """
-        self._others = max(0.0, float(total - self.in_flight))
-        self.usual.note(self._others / self.slots, now)
+        self._reported_load_of_others = max(0.0, float(total_load - self.in_flight))
+        self.average_use.record(self._reported_load_of_others / self.slots, now)
         self.reported_at = now
 
-    def note_full(self, now: float) -> None:
+    def record_shed(self, now: float) -> None:
         """Record that it shed a request."""
-        self._full_until = now + FULL_FADES_S
+        self._full_until = now + FULL_AFTER_SHED_S
 
     def own_allowance(self, now: float) -> int:
         """Own requests that may run or wait there at this moment."""
         if now < self._full_until:
             return self.in_flight
         most = self.slots + max(1, math.ceil(self.slots * QUEUE_SHARE))
-        return max(0, math.ceil(most - self.others(now)))
+        return max(0, math.ceil(most - self.load_of_others(now)))
 
     def allowance(self, now: float, deadline: float) -> int:
         """Own requests that may run there, whatever their deadline."""
@@ -149,6 +151,6 @@
     def borrow(self, loan: Loan, now: float) -> None:
         """Borrow nothing: there are no shares."""
 
-    def give_up_all(self) -> None:
+    def release_all(self) -> None:
         """Forget what others were told to run, as after a pause."""
-        self._others = 0.0
+        self._reported_load_of_others = 0.0
--- a/packages/daemon/src/plankspindle_daemon/upstreams/share_keeper.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/share_manager.py
@@ -19,7 +19,7 @@
 
 
 @define(kw_only=True)
-class ShareKeeper:
+class ShareManager:
     """Shrink shares at once, and grow them when no other member uses their slots.
 
     Parameters
@@ -47,7 +47,7 @@
     def __attrs_post_init__(self) -> None:
         self._settling_since = self.started_at
 
-    def distrust(self, now: float) -> None:
+    def restart_settling(self, now: float) -> None:
         """Listen for peers anew, as after a pause."""
         self._settling_since = now
 
@@ -55,7 +55,7 @@
         self,
         upstreams: Iterable[UpstreamState],
         *,
-        longest_work_s: float,
+        max_request_s: float,
         now: float,
     ) -> bool:
         """Bring the shares of a service's upstreams closer to their targets.
@@ -64,7 +64,7 @@
         ----------
         upstreams : iterable of UpstreamState
             Upstreams; those whose slots members do not share are passed over.
-        longest_work_s : float
+        max_request_s : float
             Longest timeout of their requests, in seconds.
         now : float
             Monotonic seconds.
@@ -75,14 +75,14 @@
             True if a share grew.
         """
         grew = [
-            self.update(each.name, each.ledger, longest_work_s=longest_work_s, now=now)
+            self.update(each.name, each.ledger, max_request_s=max_request_s, now=now)
             for each in upstreams
             if isinstance(each.ledger, SlotLedger)
         ]
         return any(grew)
 
     def update(
-        self, upstream: str, ledger: SlotLedger, *, longest_work_s: float, now: float
+        self, upstream: str, ledger: SlotLedger, *, max_request_s: float, now: float
     ) -> bool:
         """Bring the share of one upstream closer to its target.
 
@@ -92,7 +92,7 @@
             Its name.
         ledger : SlotLedger
             Its slots.
-        longest_work_s : float
+        max_request_s : float
             Longest timeout of its requests, in seconds.
         now : float
             Monotonic seconds.
@@ -109,8 +109,8 @@
         settled = now - self._settling_since >= self.settle_s
         if target <= ledger.share or not settled:
             return False
-        if not self.membership.may_grow(
-            upstream, now=now, longest_work_s=longest_work_s
+        if not self.membership.may_grow_share(
+            upstream, now=now, max_request_s=max_request_s
         ):
             return False
         ledger.grow_share(target)
@@ -124,7 +124,7 @@
         key = (upstream, slots)
         target = self._target_by_upstream.get(key)
         if target is None:
-            members = self.membership.view()
+            members = self.membership.member_names()
             target = share_of(
                 vm=self.vm, members=members, upstream=upstream, slots=slots
             )
--- a/packages/daemon/src/plankspindle_daemon/upstreams/slot_ledger.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/slot_ledger.py
@@ -151,7 +151,7 @@
         if loan.until > now and not known:
             self._borrowed.append(loan)
 
-    def give_up_all(self) -> None:
+    def release_all(self) -> None:
         """Give up share and loans, since others may have taken them in a pause.
 
         Running requests stay counted, and slots that were lent stay lent.
--- a/packages/daemon/src/plankspindle_daemon/upstreams/heard_statements.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/statement_store.py
@@ -9,12 +9,12 @@
 
 from plankspindle_core.classes import define
 
-MAX_LIVES = 4_096
+MAX_INCARNATIONS = 4_096
 """Lives that are remembered; the one heard of first goes."""
 
 
 @define(kw_only=True)
-class HeardStatements:
+class StatementStore:
     """Statements that hold on for a life of an upstream, whatever lists say of it.
 
     Notes
@@ -25,19 +25,19 @@
     """
 
     _leaving: OrderedDict[str, None] = Factory(OrderedDict)
-    _rests_until: OrderedDict[str, float] = Factory(OrderedDict)
+    _retry_at: OrderedDict[str, float] = Factory(OrderedDict)
 
-    def note_leaving(self, life: str) -> None:
+    def record_leaving(self, incarnation_id: str) -> None:
         """Record that an upstream says that it leaves."""
-        self._leaving[life] = None
-        if len(self._leaving) > MAX_LIVES:
+        self._leaving[incarnation_id] = None
+        if len(self._leaving) > MAX_INCARNATIONS:
             self._leaving.popitem(last=False)
 
-    def is_leaving(self, life: str) -> bool:
+    def is_leaving(self, incarnation_id: str) -> bool:
         """Tell whether an upstream said that it leaves."""
-        return life in self._leaving
+        return incarnation_id in self._leaving
 
-    def note_rest(self, life: str, until: float) -> float:
+    def record_retry_after(self, incarnation_id: str, until: float) -> float:
         """Record that an upstream wants no request until a time, monotonic seconds.
 
         Returns
@@ -45,12 +45,12 @@
         float
             When all the rest ends that it asked for so far.
         """
-        until = max(until, self.rests_until(life))
-        self._rests_until[life] = until
-        if len(self._rests_until) > MAX_LIVES:
-            self._rests_until.popitem(last=False)
+        until = max(until, self.retry_at(incarnation_id))
+        self._retry_at[incarnation_id] = until
+        if len(self._retry_at) > MAX_INCARNATIONS:
+            self._retry_at.popitem(last=False)
         return until
 
-    def rests_until(self, life: str) -> float:
+    def retry_at(self, incarnation_id: str) -> float:
         """Give when the rest ends that an upstream asked for, monotonic seconds."""
-        return self._rests_until.get(life, -inf)
+        return self._retry_at.get(incarnation_id, -inf)
--- a/packages/daemon/src/plankspindle_daemon/upstreams/silence.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/unresponsive_hints.py
@@ -8,19 +8,19 @@
 
 from plankspindle_core.classes import define
 
-TOLD_FROM_S = 1.0
+SEND_HINT_AFTER_S = 1.0
 """Silence from which on other entry VMs are told, in seconds."""
-HINT_S = 2.0
+HINTED_UNRESPONSIVE_S = 2.0
 """Silence that a hint stands for, in seconds."""
-HINT_FADES_S = 1.0
+HINT_DECAY_S = 1.0
 """Time in which a hint loses most of its weight, twice the period of heartbeats."""
-AGREEING_DOMAINS = 2
-OWN_WORD_S = 1.0
+MIN_AGREEING_DOMAINS = 2
+OWN_ANSWER_VALID_S = 1.0
 """Age up to which an own answer goes before a hint, in seconds."""
 
 
 @define(kw_only=True)
-class Silence:
+class UnresponsiveHints:
     """Hints of other entry VMs on one upstream.
 
     Notes
@@ -36,7 +36,7 @@
 
     _hinted_at_by_domain: dict[str, float] = Factory(dict)
 
-    def note_hint(self, domain: str, now: float) -> None:
+    def record_hint(self, domain: str, now: float) -> None:
         """Take a hint of an entry VM.
 
         Parameters
@@ -48,7 +48,7 @@
         """
         self._hinted_at_by_domain[domain] = now
 
-    def hinted_s(self, answered_at: float, now: float) -> float:
+    def hinted_unresponsive_s(self, answered_at: float, now: float) -> float:
         """Give the silence that hints stand for by now.
 
         Parameters
@@ -58,9 +58,9 @@
         now : float
             Monotonic seconds.
         """
-        if len(self._hinted_at_by_domain) < AGREEING_DOMAINS:
+        if len(self._hinted_at_by_domain) < MIN_AGREEING_DOMAINS:
             return 0.0
-        agreed_at = sorted(self._hinted_at_by_domain.values())[-AGREEING_DOMAINS]
-        if answered_at > agreed_at - OWN_WORD_S:
+        agreed_at = sorted(self._hinted_at_by_domain.values())[-MIN_AGREEING_DOMAINS]
+        if answered_at > agreed_at - OWN_ANSWER_VALID_S:
             return 0.0
-        return HINT_S * math.exp((agreed_at - now) / HINT_FADES_S)
+        return HINTED_UNRESPONSIVE_S * math.exp((agreed_at - now) / HINT_DECAY_S)
--- a/packages/daemon/src/plankspindle_daemon/upstreams/upstream_statement.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/upstream_statement.py
@@ -16,7 +16,7 @@
         it names no limit.
     is_leaving : bool
         Whether it says that it leaves.
-    rest_s : float, optional
+    retry_after_s : float, optional
         Time for which it wants no request from this VM, in seconds, as it turned one
         away; None if it does not say.
     unreadable : tuple of str
@@ -25,13 +25,13 @@
 
     limit_per_s: float | None = None
     is_leaving: bool = False
-    rest_s: float | None = None
+    retry_after_s: float | None = None
     unreadable: tuple[str, ...] = ()
 
     @property
     def is_empty(self) -> bool:
         """Whether the upstream says nothing of itself."""
-        return self == SAYS_NOTHING
+        return self == NO_STATEMENT
 
 
-SAYS_NOTHING = UpstreamStatement()
+NO_STATEMENT = UpstreamStatement()
--- a/packages/daemon/src/plankspindle_daemon/upstreams/standing.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/upstream_status.py
@@ -13,20 +13,20 @@
     from plankspindle_daemon.upstreams.upstream_state import UpstreamState
 
 
-class Standing(Enum):
+class UpstreamStatus(Enum):
     """What this VM believes of an upstream."""
 
-    WELL = "well"
-    WARMING_UP = "warming-up"
+    HEALTHY = "well"
+    RAMPING = "warming-up"
     BACKED_OFF = "backed-off"
     COLD = "cold"
     DRAINED = "drained"
     LEAVING = "leaving"
     UNCONFIRMED = "unconfirmed"
-    MISPLACED = "misplaced"
+    MISDIRECTED = "misplaced"
 
 
-def standing_of(upstream: UpstreamState, now: float) -> Standing:
+def status_of(upstream: UpstreamState, now: float) -> UpstreamStatus:
     """Say what is believed of an upstream, the gravest first.
 
     Parameters
@@ -36,19 +36,21 @@
     now : float
         Monotonic seconds.
     """
-    if upstream.is_misplaced:
-        return Standing.MISPLACED
+    if upstream.is_misdirected:
+        return UpstreamStatus.MISDIRECTED
     if upstream.leaving:
-        return Standing.LEAVING
+        return UpstreamStatus.LEAVING
     if upstream.drained_at is not None and now >= upstream.drained_at:
-        return Standing.DRAINED
+        return UpstreamStatus.DRAINED
     if upstream.is_unconfirmed:
-        return Standing.UNCONFIRMED
+        return UpstreamStatus.UNCONFIRMED
     match upstream.health.state:
         case Warm():
-            is_cold = upstream.cold is not None and now < upstream.cold.until
-            return Standing.COLD if is_cold else Standing.WELL
+            is_cold = (
+                upstream.cold_limiter is not None and now < upstream.cold_limiter.until
+            )
+            return UpstreamStatus.COLD if is_cold else UpstreamStatus.HEALTHY
         case BackedOff():
-            return Standing.BACKED_OFF
+            return UpstreamStatus.BACKED_OFF
         case Ramping():
-            return Standing.WARMING_UP
+            return UpstreamStatus.RAMPING
--- a/packages/daemon/tests/dispatch/test_dispatcher.py
+++ b/packages/daemon/tests/dispatch/test_dispatcher.py
@@ -24,7 +24,7 @@
 
 
 def arrive(dispatcher: Dispatcher, number: int, now: float = 0.0, **fields: object):  # noqa: ANN201
-    return dispatcher.handle(d.Arrived(build_ticket(number, **fields)), now)
+    return dispatcher.handle(d.RequestArrived(build_ticket(number, **fields)), now)
 
 
 def assigned(effects: list[d.DispatchEffect]) -> list[tuple[int, str]]:
@@ -40,13 +40,13 @@
     number: int,
     upstream: str,
     now: float,
-    verdict: d.Verdict = d.Verdict.ANSWERED,
+    verdict: d.AttemptOutcome = d.AttemptOutcome.ANSWERED,
     took_s: float = 0.1,
 ) -> list[d.DispatchEffect]:
-    ended = d.Ended(
+    ended = d.AttemptCompleted(
         ticket=build_ticket(number),
         upstream=upstream,
-        verdict=verdict,
+        outcome=verdict,
         head_s=took_s,
         total_s=took_s,
     )
@@ -108,7 +108,9 @@
     dispatcher = build_dispatcher(slots_by_upstream={"honest": 20, "liar": 20})
     for name, in_flight in (("honest", 10), ("liar", 0)):
         report = LoadReport(in_flight=in_flight, slots=20)
-        dispatcher.handle(d.Probed(upstream=name, report=report, wall=WALL), 0.0)
+        dispatcher.handle(
+            d.ProbeCompleted(upstream=name, report=report, wall=WALL), 0.0
+        )
     chosen = [assigned(arrive(dispatcher, number))[0][1] for number in range(30)]
     assert 15 <= chosen.count("liar") <= 20
     assert dispatcher.upstreams_by_name["liar"].ledger.in_flight <= 20
@@ -117,7 +119,7 @@
 def test_a_stale_report_is_ignored() -> None:
     dispatcher = build_dispatcher(slots_by_upstream={"u": 20, "v": 20})
     report = LoadReport(in_flight=20, slots=20)
-    dispatcher.handle(d.Probed(upstream="u", report=report, wall=WALL), 0.0)
+    dispatcher.handle(d.ProbeCompleted(upstream="u", report=report, wall=WALL), 0.0)
     fresh = [assigned(arrive(dispatcher, n, now=1.0))[0][1] for n in range(4)]
     assert "u" not in fresh[:1]
     late = [
@@ -132,7 +134,7 @@
     for number in range(3):
         arrive(dispatcher, number)
     report = LoadReport(leaving=True)
-    dispatcher.handle(d.Probed(upstream="u", report=report, wall=WALL), 0.1)
+    dispatcher.handle(d.ProbeCompleted(upstream="u", report=report, wall=WALL), 0.1)
     assert not assigned(arrive(dispatcher, 9))
     in_u = list(dispatcher.upstreams_by_name["u"].ledger.deadlines_by_ticket)
     assert len(in_u) == 2
@@ -151,7 +153,9 @@
 def test_work_that_would_outlive_a_planned_leave_goes_elsewhere() -> None:
     dispatcher = build_dispatcher(slots_by_upstream={"leaves": 9, "stays": 1})
     report = LoadReport(leaves_at=WALL + 5.0)
-    dispatcher.handle(d.Probed(upstream="leaves", report=report, wall=WALL), 0.0)
+    dispatcher.handle(
+        d.ProbeCompleted(upstream="leaves", report=report, wall=WALL), 0.0
+    )
     long_one = arrive(dispatcher, 1, expected_s=60.0, deadline=120.0)
     assert assigned(long_one) == [(1, "stays")]
     assert not assigned(arrive(dispatcher, 2, expected_s=60.0, deadline=120.0))
@@ -160,21 +164,23 @@
 
 def test_after_a_pause_nothing_is_sent_before_an_upstream_was_heard_again() -> None:
     dispatcher = build_dispatcher(slots_by_upstream={"u": 2})
-    effects = dispatcher.handle(d.Paused(), 100.0)
-    assert [e.upstream for e in effects if isinstance(e, d.Probe)] == ["u"]
+    effects = dispatcher.handle(d.ProcessPaused(), 100.0)
+    assert [e.upstream for e in effects if isinstance(e, d.SendProbe)] == ["u"]
     ledger = dispatcher.upstreams_by_name["u"].ledger
     assert ledger.share == 0
     ledger.grow_share(2)
     assert not assigned(arrive(dispatcher, 1, now=100.0, deadline=110.0))
     report = LoadReport(leaving=True)
-    heard = d.Probed(upstream="u", report=report, wall=WALL)
+    heard = d.ProbeCompleted(upstream="u", report=report, wall=WALL)
     assert not assigned(dispatcher.handle(heard, 100.1))
-    heard = d.Probed(upstream="u", report=LoadReport(), wall=WALL)
+    heard = d.ProbeCompleted(upstream="u", report=LoadReport(), wall=WALL)
     assert assigned(dispatcher.handle(heard, 101.0)) == [(1, "u")]
 
 
-@pytest.mark.parametrize("verdict", [d.Verdict.SHED, d.Verdict.FAILED])
-def test_a_failing_upstream_returns_by_probe_and_slowly(verdict: d.Verdict) -> None:
+@pytest.mark.parametrize("verdict", [d.AttemptOutcome.SHED, d.AttemptOutcome.FAILED])
+def test_a_failing_upstream_returns_by_probe_and_slowly(
+    verdict: d.AttemptOutcome,
+) -> None:
     dispatcher = build_dispatcher(slots_by_upstream={"u": 9})
     arrive(dispatcher, 1)
     end(dispatcher, 1, "u", 0.0, verdict)
@@ -182,30 +188,35 @@
     assert isinstance(upstream.health.state, BackedOff)
     assert not assigned(arrive(dispatcher, 2, now=0.01))
     effects = dispatcher.handle(d.TimePassed(), 0.5)
-    assert any(isinstance(effect, d.Probe) for effect in effects)
-    heard = d.Probed(upstream="u", report=LoadReport(), wall=WALL)
+    assert any(isinstance(effect, d.SendProbe) for effect in effects)
+    heard = d.ProbeCompleted(upstream="u", report=LoadReport(), wall=WALL)
     assert len(assigned(dispatcher.handle(heard, 0.5))) == 1
     assert isinstance(upstream.health.state, Ramping)
     assert not assigned(arrive(dispatcher, 3, now=0.5))
-    assert upstream.limit(1.5) == 5
-    assert upstream.limit(2.5) == 9
+    assert upstream.usable_slots(1.5) == 5
+    assert upstream.usable_slots(2.5) == 9
 
 
 def test_single_timeouts_do_not_back_off_but_a_hanging_upstream_does() -> None:
     dispatcher = build_dispatcher(slots_by_upstream={"u": 9})
     health = dispatcher.upstreams_by_name["u"].health
     for number, verdict in enumerate(
-        [d.Verdict.TIMED_OUT, d.Verdict.TIMED_OUT, d.Verdict.ANSWERED] * 3
+        [
+            d.AttemptOutcome.TIMED_OUT,
+            d.AttemptOutcome.TIMED_OUT,
+            d.AttemptOutcome.ANSWERED,
+        ]
+        * 3
     ):
         arrive(dispatcher, number)
         end(dispatcher, number, "u", 0.1, verdict)
         assert not isinstance(health.state, BackedOff)
     for number in range(10, 13):
         arrive(dispatcher, number)
-        end(dispatcher, number, "u", 1.0, d.Verdict.TIMED_OUT)
+        end(dispatcher, number, "u", 1.0, d.AttemptOutcome.TIMED_OUT)
     assert not isinstance(health.state, BackedOff)
     arrive(dispatcher, 13, now=1.1)
-    end(dispatcher, 13, "u", 1.1, d.Verdict.TIMED_OUT)
+    end(dispatcher, 13, "u", 1.1, d.AttemptOutcome.TIMED_OUT)
     assert isinstance(health.state, BackedOff)
 
 
@@ -214,7 +225,7 @@
     health = dispatcher.upstreams_by_name["u"].health
     waits = []
     now = 0.0
-    unreached = d.Probed(upstream="u", report=None, wall=WALL, reached=False)
+    unreached = d.ProbeCompleted(upstream="u", report=None, wall=WALL, reached=False)
     for _ in range(8):
         dispatcher.handle(unreached, now)
         assert isinstance(health.state, BackedOff)
@@ -234,7 +245,7 @@
         duration_ms=1000,
         incarnation=9,
     )
-    asked = d.SlotsAsked(request=request, reply_to=Endpoint("127.0.0.1", 1))
+    asked = d.SlotsRequested(request=request, reply_to=Endpoint("127.0.0.1", 1))
     granted = lender.handle(asked, 0.0)
     assert [e.grant.count for e in granted if isinstance(e, d.GrantSlots)] == [2]
     assert lender.handle(asked, 0.0) == []
@@ -247,10 +258,10 @@
     borrower.upstreams_by_name["u"].ledger.share = 1
     arrive(borrower, 1)
     effects = arrive(borrower, 2, deadline=0.8)
-    asks = [e.request for e in effects if isinstance(e, d.AskSlots)]
+    asks = [e.request for e in effects if isinstance(e, d.RequestSlots)]
     assert len(asks) == 1
     lender = build_dispatcher(slots_by_upstream={"u": 4}, vm="lender")
-    asked = d.SlotsAsked(request=asks[0], reply_to=Endpoint("127.0.0.1", 1))
+    asked = d.SlotsRequested(request=asks[0], reply_to=Endpoint("127.0.0.1", 1))
     grants = [e for e in lender.handle(asked, 0.0) if isinstance(e, d.GrantSlots)]
     taken = borrower.handle(d.SlotsGranted(grants[0].grant), 0.1)
     assert assigned(taken) == [(2, "u")]
@@ -289,7 +300,7 @@
 def test_an_upstream_that_sheds_is_left_for_a_moment_only() -> None:
     dispatcher = build_reporting_dispatcher("u")
     arrive(dispatcher, 1)
-    end(dispatcher, 1, "u", 0.1, d.Verdict.SHED)
+    end(dispatcher, 1, "u", 0.1, d.AttemptOutcome.SHED)
     assert not assigned(arrive(dispatcher, 2, now=0.2))
     assert assigned(dispatcher.handle(d.TimePassed(), 0.6)) == [(2, "u")]
 
@@ -297,8 +308,11 @@
 def test_an_upstream_that_sheds_and_tells_of_room_is_not_left() -> None:
     dispatcher = build_reporting_dispatcher("u")
     arrive(dispatcher, 1)
-    ended = d.Ended(
-        ticket=build_ticket(1), upstream="u", verdict=d.Verdict.SHED, reported_load=0
+    ended = d.AttemptCompleted(
+        ticket=build_ticket(1),
+        upstream="u",
+        outcome=d.AttemptOutcome.SHED,
+        reported_load=0,
     )
     dispatcher.handle(ended, 0.1)
     assert assigned(arrive(dispatcher, 2, now=0.2)) == [(2, "u")]
@@ -308,7 +322,7 @@
     dispatcher = build_reporting_dispatcher("u")
     for number in range(3):
         assert assigned(arrive(dispatcher, number, now=0.0))
-        end(dispatcher, number, "u", 0.0, d.Verdict.FAILED)
+        end(dispatcher, number, "u", 0.0, d.AttemptOutcome.FAILED)
     assert not assigned(arrive(dispatcher, 4, now=0.0))
     assert assigned(dispatcher.handle(d.TimePassed(), 0.3)) == [(4, "u")]
     assert not assigned(arrive(dispatcher, 5, now=0.3))
@@ -319,18 +333,18 @@
     for number in range(12):
         assert assigned(arrive(dispatcher, number, now=0.0))
         lost = number % 3 == 0
-        verdict = d.Verdict.FAILED if lost else d.Verdict.ANSWERED
+        verdict = d.AttemptOutcome.FAILED if lost else d.AttemptOutcome.ANSWERED
         end(dispatcher, number, "u", 0.0, verdict)
 
 
 def test_a_connect_measures_the_way_to_a_domain() -> None:
     dispatcher = build_reporting_dispatcher("u")
     ticket = build_ticket(1)
-    dispatcher.handle(d.Arrived(ticket), 0.0)
-    ended = d.Ended(
+    dispatcher.handle(d.RequestArrived(ticket), 0.0)
+    ended = d.AttemptCompleted(
         ticket=ticket,
         upstream="u",
-        verdict=d.Verdict.ANSWERED,
+        outcome=d.AttemptOutcome.ANSWERED,
         head_s=0.1,
         total_s=0.1,
         connect_s=0.004,
@@ -347,7 +361,7 @@
     for number in range(4):
         assert assigned(arrive(dispatcher, number))
     retry = build_ticket(9, hold_until=0.2).excluding(frozenset({"v"}))
-    assert not dispatcher.handle(d.Arrived(retry), 0.3)
+    assert not dispatcher.handle(d.RequestArrived(retry), 0.3)
     assert not rejected(dispatcher.handle(d.TimePassed(), 0.4))
     assert assigned(end(dispatcher, 0, "u", 0.5) + end(dispatcher, 1, "u", 0.5))
 
@@ -364,12 +378,12 @@
 def test_an_upstream_whose_address_is_another_ones_gets_nothing_more() -> None:
     dispatcher = build_reporting_dispatcher("u", "v")
     ((_, first),) = assigned(arrive(dispatcher, 1))
-    end(dispatcher, 1, first, 0.1, d.Verdict.MISDIRECTED)
+    end(dispatcher, 1, first, 0.1, d.AttemptOutcome.MISDIRECTED)
     for number in range(2, 10):
         now = 10.0 * number
         ((_, chosen),) = assigned(arrive(dispatcher, number, now, deadline=now + 9.0))
         assert chosen != first
         end(dispatcher, number, chosen, now + 0.1)
     gone = dispatcher.upstreams_by_name[first]
-    gone.note_listed(leaving=False, leaves_at=None, now=99.0, wall=99.0)
-    assert gone.standing(99.0).value == "misplaced"
+    gone.apply_listing(leaving=False, leaves_at=None, now=99.0, wall_time=99.0)
+    assert gone.status(99.0).value == "misplaced"
--- a/packages/daemon/tests/dispatch/test_dispatcher_machine.py
+++ b/packages/daemon/tests/dispatch/test_dispatcher_machine.py
@@ -45,12 +45,12 @@
                     self.running[ticket.id] = (name, ticket.deadline)
                 case d.Reject(ticket=ticket):
                     del self.waiting[ticket.id]
-                case d.AskSlots(request=request):
+                case d.RequestSlots(request=request):
                     self.asked.append(request)
                 case d.GrantSlots(grant=grant):
                     until = self.now + grant.duration_ms / 1000
                     self.lent.append((grant.upstream, grant.count, until))
-                case d.Probe():
+                case d.SendProbe():
                     pass
 
     def _handle(self, event: d.DispatchEvent) -> None:
@@ -61,18 +61,18 @@
         self.number += 1
         self.waiting[self.number] = rank
         ticket = build_ticket(self.number, rank=rank, deadline=self.now + 4.0)
-        self._handle(d.Arrived(ticket))
+        self._handle(d.RequestArrived(ticket))
 
     @precondition(lambda self: self.running)
-    @rule(data=st.data(), verdict=st.sampled_from(list(d.Verdict)))
-    def end(self, data: st.DataObject, verdict: d.Verdict) -> None:
+    @rule(data=st.data(), verdict=st.sampled_from(list(d.AttemptOutcome)))
+    def end(self, data: st.DataObject, verdict: d.AttemptOutcome) -> None:
         number = data.draw(st.sampled_from(sorted(self.running)))
         name, _ = self.running.pop(number)
-        answered = verdict is d.Verdict.ANSWERED
-        ended = d.Ended(
+        answered = verdict is d.AttemptOutcome.ANSWERED
+        ended = d.AttemptCompleted(
             ticket=build_ticket(number),
             upstream=name,
-            verdict=verdict,
+            outcome=verdict,
             head_s=0.1 if answered else None,
             total_s=0.1 if answered else None,
         )
@@ -83,7 +83,7 @@
     def withdraw(self, data: st.DataObject) -> None:
         number = data.draw(st.sampled_from(sorted(self.waiting)))
         del self.waiting[number]
-        self._handle(d.Withdrawn(number))
+        self._handle(d.RequestWithdrawn(number))
 
     @rule(name=NAMES, leaving=st.booleans(), load=st.integers(0, 9))
     def report(self, name: str, leaving: bool, load: int) -> None:
@@ -92,11 +92,13 @@
         else:
             self.leaving.discard(name)
         report = LoadReport(in_flight=load, slots=3, leaving=leaving)
-        self._handle(d.Probed(upstream=name, report=report, wall=0.0))
+        self._handle(d.ProbeCompleted(upstream=name, report=report, wall=0.0))
 
     @rule(name=NAMES, reached=st.booleans())
     def probe_brings_nothing(self, name: str, reached: bool) -> None:
-        self._handle(d.Probed(upstream=name, report=None, wall=0.0, reached=reached))
+        self._handle(
+            d.ProbeCompleted(upstream=name, report=None, wall=0.0, reached=reached)
+        )
 
     @rule(seconds=st.floats(0.01, 2.0))
     def time_passes(self, seconds: float) -> None:
@@ -106,7 +108,7 @@
     @rule()
     def pause(self) -> None:
         self.now += 10.0
-        self._handle(d.Paused())
+        self._handle(d.ProcessPaused())
 
     @rule(name=NAMES, share=st.integers(0, 3))
     def share_changes(self, name: str, share: int) -> None:
@@ -126,7 +128,7 @@
             duration_ms=1500,
             incarnation=2,
         )
-        self._handle(d.SlotsAsked(request=request, reply_to=PEER))
+        self._handle(d.SlotsRequested(request=request, reply_to=PEER))
 
     @precondition(lambda self: self.asked)
     @rule(again=st.booleans(), ours=st.booleans())
--- a/packages/daemon/tests/dispatch/test_limited_upstreams.py
+++ b/packages/daemon/tests/dispatch/test_limited_upstreams.py
@@ -4,16 +4,16 @@
 
 from typing import TYPE_CHECKING
 
-from plankspindle_daemon.dispatch.messages import Arrived
 from plankspindle_daemon.dispatch.messages import Assign
 from plankspindle_daemon.dispatch.messages import Reject
 from plankspindle_daemon.dispatch.messages import RejectReason
+from plankspindle_daemon.dispatch.messages import RequestArrived
+from plankspindle_daemon.dispatch.messages import RequestToken
 from plankspindle_daemon.dispatch.messages import TimePassed
-from plankspindle_daemon.dispatch.messages import WantToken
-from plankspindle_daemon.upstreams.limit_gate import ASK_S
-from plankspindle_daemon.upstreams.limit_gate import TOKEN_S
-from plankspindle_daemon.upstreams.limit_gate import LimitGate
-from plankspindle_daemon.upstreams.limit_gate import life_of
+from plankspindle_daemon.upstreams.fleet_limiter import TOKEN_LIFETIME_S
+from plankspindle_daemon.upstreams.fleet_limiter import TOKEN_WAIT_S
+from plankspindle_daemon.upstreams.fleet_limiter import FleetLimiter
+from plankspindle_daemon.upstreams.fleet_limiter import incarnation_id_of
 from plankspindle_testkit.builders import build_reporting_dispatcher
 from plankspindle_testkit.builders import build_ticket
 
@@ -24,24 +24,26 @@
 HOLD_UNTIL = NOW + 0.3
 
 
-def limit(dispatcher: Dispatcher, *names: str) -> list[LimitGate]:
-    gates = [LimitGate(limit_per_s=2.0, heard_at=NOW) for _ in names]
+def limit(dispatcher: Dispatcher, *names: str) -> list[FleetLimiter]:
+    gates = [FleetLimiter(limit_per_s=2.0, announced_at=NOW) for _ in names]
     for name, gate in zip(names, gates, strict=True):
         state = dispatcher.upstreams_by_name[name]
-        state.gate_by_life = {life_of(name, state.incarnation): gate}
+        state.limiter_by_incarnation = {
+            incarnation_id_of(name, state.incarnation): gate
+        }
     return gates
 
 
 def arrive(dispatcher: Dispatcher, number: int, now: float = NOW) -> list[object]:
     ticket = build_ticket(number, deadline=NOW + 5, hold_until=HOLD_UNTIL)
-    return [*dispatcher.handle(Arrived(ticket), now)]
+    return [*dispatcher.handle(RequestArrived(ticket), now)]
 
 
 def test_a_request_waits_for_a_token_where_no_other_upstream_is() -> None:
     dispatcher = build_reporting_dispatcher("u")
     (gate,) = limit(dispatcher, "u")
-    assert arrive(dispatcher, 1) == [WantToken(upstream="u", incarnation=0)]
-    assert gate.is_asking(NOW)
+    assert arrive(dispatcher, 1) == [RequestToken(upstream="u", incarnation=0)]
+    assert gate.has_pending_request(NOW)
     assert dispatcher.handle(TimePassed(), NOW + 0.01) == []
     gate.add_token(NOW + 0.01)
     (assigned,) = dispatcher.handle(TimePassed(), NOW + 0.01)
@@ -60,8 +62,8 @@
 def test_a_request_that_no_limit_leaves_room_for_is_rejected_at_once() -> None:
     dispatcher = build_reporting_dispatcher("u", "v")
     first, second = limit(dispatcher, "u", "v")
-    first.close(NOW + 3.0)
-    second.close(NOW + 2.0)
+    first.block(NOW + 3.0)
+    second.block(NOW + 2.0)
     (rejected,) = arrive(dispatcher, 1)
     assert isinstance(rejected, Reject)
     assert rejected.reason is RejectReason.WITHHELD
@@ -69,18 +71,18 @@
 
 
 def test_an_unused_token_ends() -> None:
-    gate = LimitGate(limit_per_s=2.0, heard_at=NOW)
+    gate = FleetLimiter(limit_per_s=2.0, announced_at=NOW)
     gate.add_token(NOW)
-    assert gate.has_token(NOW + TOKEN_S - 0.01)
-    assert not gate.has_token(NOW + TOKEN_S)
+    assert gate.has_token(NOW + TOKEN_LIFETIME_S - 0.01)
+    assert not gate.has_token(NOW + TOKEN_LIFETIME_S)
 
 
 def test_a_lost_answer_holds_no_request_up_for_long() -> None:
-    gate = LimitGate(limit_per_s=2.0, heard_at=NOW)
-    gate.note_asked(NOW)
-    assert gate.is_asking(NOW + ASK_S / 2)
-    assert not gate.may_ask(NOW + ASK_S / 2)
-    assert gate.may_ask(NOW + ASK_S)
+    gate = FleetLimiter(limit_per_s=2.0, announced_at=NOW)
+    gate.record_token_request(NOW)
+    assert gate.has_pending_request(NOW + TOKEN_WAIT_S / 2)
+    assert not gate.may_request_token(NOW + TOKEN_WAIT_S / 2)
+    assert gate.may_request_token(NOW + TOKEN_WAIT_S)
 
 
 def test_no_token_is_asked_for_where_a_request_may_not_run() -> None:
@@ -89,7 +91,7 @@
     ticket = build_ticket(
         1, deadline=NOW + 5, hold_until=HOLD_UNTIL, regions=frozenset({"elsewhere"})
     )
-    (rejected,) = dispatcher.handle(Arrived(ticket), NOW)
+    (rejected,) = dispatcher.handle(RequestArrived(ticket), NOW)
     assert isinstance(rejected, Reject)
     assert rejected.reason is RejectReason.NO_UPSTREAM
 
@@ -101,5 +103,6 @@
         1, deadline=NOW + 5, hold_until=HOLD_UNTIL, excluded=frozenset({"v"})
     )
     assert not any(
-        isinstance(each, WantToken) for each in dispatcher.handle(Arrived(ticket), NOW)
+        isinstance(each, RequestToken)
+        for each in dispatcher.handle(RequestArrived(ticket), NOW)
     )
--- a/packages/daemon/tests/dispatch/test_placement.py
+++ b/packages/daemon/tests/dispatch/test_placement.py
@@ -7,18 +7,18 @@
 
 from attrs import evolve
 
-from plankspindle_daemon.dispatch.measured_distances import MeasuredDistances
-from plankspindle_daemon.dispatch.placement import MAX_SEEN
-from plankspindle_daemon.dispatch.placement import SEEN_S
+from plankspindle_daemon.dispatch.domain_distances import DomainDistances
+from plankspindle_daemon.dispatch.placement import MAX_SEEN_KEYS
+from plankspindle_daemon.dispatch.placement import SEEN_KEY_TTL_S
 from plankspindle_daemon.dispatch.placement import Placement
-from plankspindle_daemon.dispatch.region_limiter import RegionLimiter
+from plankspindle_daemon.dispatch.spillover_limiter import SpilloverLimiter
 from plankspindle_daemon.upstreams.health import BackedOff
 from plankspindle_testkit.builders import build_configuration
 from plankspindle_testkit.builders import build_reported_upstream
 from plankspindle_testkit.builders import build_ticket
 
 if TYPE_CHECKING:
-    from plankspindle_daemon.dispatch.place import Place
+    from plankspindle_daemon.dispatch.placement_choice import PlacementChoice
     from plankspindle_daemon.upstreams.upstream_state import UpstreamState
 
 USUAL_S = 0.1
@@ -27,12 +27,14 @@
 
 
 def build_placement(upstreams: dict[str, UpstreamState], seed: int = 1) -> Placement:
-    distances = MeasuredDistances(home_domain="ba-1")
-    distances.use(build_configuration())
+    distances = DomainDistances(home_domain="ba-1")
+    distances.set_configuration(build_configuration())
     placement = Placement(
-        distances=distances, limiter=RegionLimiter(), random=Random(seed)
+        distances=distances, limiter=SpilloverLimiter(), random=Random(seed)
+    )
+    placement.rankings.set_upstreams(
+        {n: u.upstream.failure_domain for n, u in upstreams.items()}
     )
-    placement.orders.use({n: u.upstream.failure_domain for n, u in upstreams.items()})
     return placement
 
 
@@ -50,12 +52,12 @@
     *,
     now: float = 0.0,
     bulky: bool = False,
-) -> Place | None:
+) -> PlacementChoice | None:
     return placement.choose(
         build_ticket(1, affinity=key, bulky=bulky),
         upstreams,
-        fits=lambda each: each.limit(now) > each.load(now),
-        usual_s=USUAL_S,
+        fits=lambda each: each.usable_slots(now) > each.load(now),
+        hit_s=USUAL_S,
         miss_s=None,
         now=now,
     )
@@ -112,7 +114,7 @@
 
 def planned_out(placement: Placement) -> Placement:
     """Let all keys leave the region, for lack of upstreams there."""
-    placement.plan.note_room(near=0.0, far=9.0, vm_share=0.5)
+    placement.plan.update(local_slots=0.0, remote_slots=9.0, vm_share=0.5)
     return placement
 
 
@@ -141,9 +143,9 @@
     (second,) = (each for each in upstreams.values() if each is not first)
     load(first, 4)
     assert choose(placement, upstreams, "k").upstream is first
-    placement.note_seen("k", second.name, -SEEN_S - 1)
+    placement.record_seen("k", second.name, -SEEN_KEY_TTL_S - 1)
     assert choose(placement, upstreams, "k").upstream is first
-    placement.note_seen("k", second.name, -SEEN_S + 1)
+    placement.record_seen("k", second.name, -SEEN_KEY_TTL_S + 1)
     chosen = choose(placement, upstreams, "k")
     assert chosen.upstream is second
     assert chosen.is_hit
@@ -151,11 +153,11 @@
 
 def test_what_keys_are_known_to_be_seen_at_is_bounded() -> None:
     placement = build_placement(build_upstreams(a="ba_1"))
-    for number in range(MAX_SEEN + 100):
-        placement.note_seen(f"k{number}", "a", 0.001 * number)
-    assert len(placement._seen_at_by_place) <= MAX_SEEN
-    placement.note_seen("late", "a", 1_000.0)
-    assert list(placement._seen_at_by_place) == [("late", "a")]
+    for number in range(MAX_SEEN_KEYS + 100):
+        placement.record_seen(f"k{number}", "a", 0.001 * number)
+    assert len(placement._seen_at_by_key_and_upstream) <= MAX_SEEN_KEYS
+    placement.record_seen("late", "a", 1_000.0)
+    assert list(placement._seen_at_by_key_and_upstream) == [("late", "a")]
 
 
 def test_keys_that_the_plan_sends_out_have_one_upstream_at_all_entry_vms() -> None:
@@ -175,7 +177,7 @@
 def test_the_plan_divides_keys_as_it_says() -> None:
     upstreams = build_upstreams(a="ba_1", x="ke_1")
     placement = build_placement(upstreams)
-    placement.plan.note_room(near=9.0, far=27.0, vm_share=0.5)
+    placement.plan.update(local_slots=9.0, remote_slots=27.0, vm_share=0.5)
     left = sum(
         choose(placement, upstreams, f"k{number}").upstream is upstreams["x"]
         for number in range(400)
@@ -201,7 +203,7 @@
             fits=lambda each, regions=regions: (
                 placement.distances.region_of(each.upstream.failure_domain) in regions
             ),
-            usual_s=USUAL_S,
+            hit_s=USUAL_S,
             miss_s=None,
             now=0.0,
         )
@@ -229,11 +231,11 @@
 
 
 def test_a_measured_delay_goes_before_the_declared_one() -> None:
-    distances = MeasuredDistances(home_domain="ba-1")
-    distances.use(build_configuration())
+    distances = DomainDistances(home_domain="ba-1")
+    distances.set_configuration(build_configuration())
     assert distances.rtt_s("ke-1") == 0.07
-    distances.note_connected("ke-1", 0.02)
-    distances.note_connected("ke-1", 0.05)
+    distances.record_connect_time("ke-1", 0.02)
+    distances.record_connect_time("ke-1", 0.05)
     assert distances.rtt_s("ke-1") == 0.02
 
 
@@ -250,10 +252,10 @@
     """The upstream planned for a key falls silent, and its region has no other room."""
     upstreams = build_upstreams(near="ba_1", far="ke_1", farther="ke_1")
     placement = build_placement(upstreams)
-    placement.plan.note_room(near=0.0, far=8.0, vm_share=1.0)
-    placement.limiter.note_room(4.0, 0.0)
+    placement.plan.update(local_slots=0.0, remote_slots=8.0, vm_share=1.0)
+    placement.limiter.set_capacity(4.0, 0.0)
     for number in range(20):
-        placement.limiter.spills(0.1 * number, wants=False)
+        placement.limiter.should_spill(0.1 * number, wants_spill=False)
     first = choose(placement, upstreams, "k", now=2.0)
     assert first is not None
     other = {"far": "farther", "farther": "far"}[first.upstream.name]
@@ -261,13 +263,13 @@
     ticket = build_ticket(1, affinity="k").excluding(frozenset({first.upstream.name}))
 
     def fits(upstream: UpstreamState) -> bool:
-        return upstream.name not in ticket.excluded and upstream.limit(
+        return upstream.name not in ticket.excluded and upstream.usable_slots(
             2.0
         ) > upstream.load(2.0)
 
-    assert placement.has_place(ticket, upstreams, fits=fits, now=2.0)
+    assert placement.has_candidate(ticket, upstreams, fits=fits, now=2.0)
     retry = placement.choose(
-        ticket, upstreams, fits=fits, usual_s=USUAL_S, miss_s=None, now=2.0
+        ticket, upstreams, fits=fits, hit_s=USUAL_S, miss_s=None, now=2.0
     )
     assert retry is not None
     assert retry.upstream.name == "near"
@@ -278,15 +280,15 @@
     names = {f"u{number}": "ba_1" for number in range(8)}
     upstreams = build_upstreams(**names)
     placement = build_placement(upstreams)
-    ranked = placement.orders.of("k").near
+    ranked = placement.rankings.get("k").local
     ticket = build_ticket(1, affinity="k").excluding(frozenset(ranked[:1]))
     known = set(ranked[1:3])
-    assert not placement.has_place(
+    assert not placement.has_candidate(
         ticket,
         upstreams,
         fits=lambda each: each.name not in {*known, *ticket.excluded},
         now=0.0,
     )
-    assert placement.has_place(
+    assert placement.has_candidate(
         ticket, upstreams, fits=lambda each: each.name in known, now=0.0
     )
--- a/packages/daemon/tests/dispatch/test_region_short_of_upstreams.py
+++ b/packages/daemon/tests/dispatch/test_region_short_of_upstreams.py
@@ -11,10 +11,10 @@
 
 import pytest
 
-from plankspindle_daemon.dispatch.messages import Arrived
 from plankspindle_daemon.dispatch.messages import Assign
-from plankspindle_daemon.dispatch.messages import Ended
-from plankspindle_daemon.dispatch.messages import Verdict
+from plankspindle_daemon.dispatch.messages import AttemptCompleted
+from plankspindle_daemon.dispatch.messages import AttemptOutcome
+from plankspindle_daemon.dispatch.messages import RequestArrived
 from plankspindle_testkit.builders import build_reported_upstream
 from plankspindle_testkit.builders import build_reporting_dispatcher
 from plankspindle_testkit.builders import build_ticket
@@ -38,9 +38,11 @@
         dispatcher.upstreams_by_name[name] = build_reported_upstream(
             name, slots=6, failure_domain=domain
         )
-    placement.orders.use(domains)
-    placement.plan.note_room(near=NEAR * 6.0, far=FAR * 6.0, vm_share=CALLERS)
-    placement.limiter.note_room(NEAR * 6.0, 0.0)
+    placement.rankings.set_upstreams(domains)
+    placement.plan.update(
+        local_slots=NEAR * 6.0, remote_slots=FAR * 6.0, vm_share=CALLERS
+    )
+    placement.limiter.set_capacity(NEAR * 6.0, 0.0)
     random = Random(seed)
     running: list[tuple[float, Assign]] = []
     upstreams_by_key: dict[str, set[str]] = {}
@@ -52,7 +54,7 @@
             dispatcher.handle(_answer_to(assigned), ended_at)
         key = f"k{random.randrange(KEYS)}"
         ticket = build_ticket(number, affinity=key, deadline=now + 5.0)
-        effects = dispatcher.handle(Arrived(ticket), now)
+        effects = dispatcher.handle(RequestArrived(ticket), now)
         [assigned] = [each for each in effects if isinstance(each, Assign)]
         running.append((now + WORK_S, assigned))
         upstreams_by_key.setdefault(key, set()).add(assigned.upstream)
@@ -60,11 +62,11 @@
     assert learned == len(upstreams_by_key)
 
 
-def _answer_to(assigned: Assign) -> Ended:
-    return Ended(
+def _answer_to(assigned: Assign) -> AttemptCompleted:
+    return AttemptCompleted(
         ticket=assigned.ticket,
         upstream=assigned.upstream,
-        verdict=Verdict.ANSWERED,
+        outcome=AttemptOutcome.ANSWERED,
         head_s=WORK_S,
         total_s=WORK_S,
     )
--- a/packages/daemon/tests/exchange/test_caller_request.py
+++ b/packages/daemon/tests/exchange/test_caller_request.py
@@ -7,15 +7,17 @@
 import pytest
 
 from plankspindle_core import header_names
-from plankspindle_daemon.exchange.caller_request import head_as_it_came
 from plankspindle_daemon.exchange.caller_request import headers_for_peer
 from plankspindle_daemon.exchange.caller_request import headers_for_upstream
+from plankspindle_daemon.exchange.caller_request import passthrough_headers
 from plankspindle_daemon.exchange.dialect import Dialect
 
 if TYPE_CHECKING:
     from plankspindle_core.http.headers import HeaderList
 
-DIALECT = Dialect(key_scheme="Token", workspace=b"x-tenant", keeps_head=True)
+DIALECT = Dialect(
+    key_scheme="Token", workspace=b"x-tenant", passes_headers_through=True
+)
 KEY = b"ymh2rrytapjsujqurtyi"
 SENT: HeaderList = [
     (b"host", b"desk.example"),
@@ -35,7 +37,7 @@
 def test_an_upstream_is_told_the_workspace_and_never_the_key(
     workspace: str | None,
 ) -> None:
-    kept = head_as_it_came(SENT, dialect=DIALECT, workspace=workspace)
+    kept = passthrough_headers(SENT, dialect=DIALECT, workspace=workspace)
     told = [] if workspace is None else [workspace.encode()]
     assert values(kept, b"x-tenant") == told
     assert values(kept, header_names.AUTHORIZATION) == []
--- a/packages/daemon/tests/exchange/test_dialect.py
+++ b/packages/daemon/tests/exchange/test_dialect.py
@@ -45,10 +45,10 @@
 
 def test_an_answer_belongs_to_a_request_by_its_id() -> None:
     request = [(b"x-id", b"1")]
-    assert OTHER.answers(request, [(b"x-id", b"1")])
-    assert not OTHER.answers(request, [(b"x-id", b"2")])
-    assert not OTHER.answers(request, [])
-    assert OTHER.answers([], [(b"x-id", b"2")])
+    assert OTHER.answer_matches(request, [(b"x-id", b"1")])
+    assert not OTHER.answer_matches(request, [(b"x-id", b"2")])
+    assert not OTHER.answer_matches(request, [])
+    assert OTHER.answer_matches([], [(b"x-id", b"2")])
 
 
 def test_the_affinity_key_is_found_among_cookies() -> None:
--- a/packages/daemon/tests/exchange/test_busy_loop.py
+++ b/packages/daemon/tests/exchange/test_event_loop_stall.py
@@ -34,22 +34,22 @@
 from plankspindle_core.supervisor import Supervisor
 from plankspindle_daemon.admission.caller_directory import Identity
 from plankspindle_daemon.dispatch.messages import Assign
-from plankspindle_daemon.dispatch.messages import Verdict
+from plankspindle_daemon.dispatch.messages import AttemptOutcome
 from plankspindle_daemon.exchange.attempt import Attempt
-from plankspindle_daemon.exchange.attempt import Outgoing
+from plankspindle_daemon.exchange.attempt import OutgoingRequest
 from plankspindle_daemon.exchange.dialect import Dialect
 from plankspindle_daemon.exchange.exchange import Exchange
-from plankspindle_daemon.exchange.messages import Terms
+from plankspindle_daemon.exchange.messages import ExecutionPolicy
 from plankspindle_daemon.exchange.messages import ToUpstream
 from plankspindle_daemon.exchange.request_admission import RequestAdmission
 from plankspindle_daemon.exchange.request_body import RequestBody
 from plankspindle_daemon.exchange.request_runner import RequestRunner
-from plankspindle_daemon.idempotency.records import NoRecord
-from plankspindle_daemon.quarantine.crash_probe import CrashProbe
+from plankspindle_daemon.idempotency.request_records import NoRecord
+from plankspindle_daemon.quarantine.crash_detector import CrashDetector
 from plankspindle_daemon.quarantine.quarantine import Quarantine
 from plankspindle_daemon.quarantine.request_identity import RequestIdentity
 from plankspindle_daemon.retries.retry_budget import RetryBudget
-from plankspindle_daemon.stories.story import Story
+from plankspindle_daemon.traces.request_trace import RequestTrace
 from plankspindle_daemon.upstreams.connection_pool import ConnectionPool
 from plankspindle_testkit.builders import build_membership
 from plankspindle_testkit.builders import build_ticket
@@ -88,16 +88,18 @@
     usually_s: float = 0.0
     told: list[Any] = field(factory=list)
 
-    async def find(self, service: str, ticket: Any, story: Story) -> Assign:
+    async def await_upstream(
+        self, service: str, ticket: Any, trace: RequestTrace
+    ) -> Assign:
         return Assign(ticket=ticket, upstream="u", endpoint=self.endpoint)
 
-    async def tell(self, service: str, event: Any) -> None:
+    async def handle(self, service: str, event: Any) -> None:
         self.told.append(event)
 
     async def withdraw(self, service: str, ticket: Any) -> None:
         return None
 
-    def usual_s(self, service: str, ticket: Any) -> float:
+    def expected_duration_s(self, service: str, ticket: Any) -> float:
         return self.usually_s
 
 
@@ -108,23 +110,25 @@
 def build_runner(dispatch: FakeDispatch, source: FakeSource) -> RequestRunner:
     deadline = monotonic() + DEADLINE_S
     pool = ConnectionPool(max_per_endpoint=4, connect_timeout_s=5.0)
-    story = Story(request="r", is_callers_id=False, began_at=0.0, began_wall=0.0)
+    story = RequestTrace(
+        request_id="r", id_is_from_caller=False, started_at=0.0, started_at_unix=0.0
+    )
     return RequestRunner(
         vm="a",
         service="registry",
-        outgoing=Outgoing(
+        outgoing=OutgoingRequest(
             source=cast("Any", source),
             path=source.target,
             upstream_headers=[],
             peer_headers=[],
-            body=RequestBody(whole=b"", framing=[]),
+            body=RequestBody(content=b"", framing=[]),
             deadline=deadline,
             deadline_ms=round((time.time() + DEADLINE_S) * 1000),
             dialect=Dialect(),
-            hold_answer_bytes=100,
+            max_buffered_answer_bytes=100,
         ),
         exchange=Exchange(
-            terms=Terms(idempotent=True, resendable=True, recorded=False),
+            policy=ExecutionPolicy(idempotent=True, resendable=True, recorded=False),
             route=ToUpstream(),
             budget=RetryBudget(percent=100),
         ),
@@ -132,20 +136,20 @@
         record=NoRecord(),
         dispatch=cast("Any", dispatch),
         pool=pool,
-        story=story,
+        trace=story,
         max_recorded_bytes=0,
         identity=RequestIdentity(caller=None, method="GET", target=source.target),
-        crashes=CrashProbe(
-            quarantine=Quarantine.of("a", "ba-1", build_membership("a")),
+        crash_detector=CrashDetector(
+            quarantine=Quarantine.create("a", "ba-1", build_membership("a")),
             pool=pool,
             supervisor=Supervisor(),
-            perform=send_nothing,
+            send_messages=send_nothing,
         ),
         admission=RequestAdmission(
             identity=Identity(caller=None, rank=0),
             node=cast("Any", SimpleNamespace(directory=None)),
             quotas=cast("Any", None),
-            story=story,
+            trace=story,
         ),
     )
 
@@ -199,7 +203,7 @@
     monkeypatch: pytest.MonkeyPatch, step: str
 ) -> None:
     (ended,) = curio.run(break_off, monkeypatch, step).told
-    assert (ended.upstream, ended.verdict) == ("u", Verdict.CANCELLED)
+    assert (ended.upstream, ended.outcome) == ("u", AttemptOutcome.CANCELLED)
 
 
 def test_a_request_whose_limits_pass_while_the_loop_is_busy_ends_at_its_deadline() -> (
--- a/packages/daemon/tests/exchange/test_exchange.py
+++ b/packages/daemon/tests/exchange/test_exchange.py
@@ -12,10 +12,10 @@
 
 from plankspindle_core.endpoint import Endpoint
 from plankspindle_core.outcome import Outcome
-from plankspindle_daemon.dispatch.messages import Verdict
+from plankspindle_daemon.dispatch.messages import AttemptOutcome
 from plankspindle_daemon.exchange import messages as m
+from plankspindle_daemon.exchange.exchange import Completed
 from plankspindle_daemon.exchange.exchange import Exchange
-from plankspindle_daemon.exchange.exchange import Over
 from plankspindle_daemon.retries.retry_budget import RetryBudget
 
 ENDPOINT = Endpoint("127.0.0.1", 9001)
@@ -41,10 +41,14 @@
     def begin(
         self, idempotent: bool, resendable: bool, moved: bool, max_attempts: int
     ) -> None:
-        route = m.ToPeer(endpoint=ENDPOINT, may_stay=True) if moved else m.ToUpstream()
+        route = (
+            m.ToPeer(endpoint=ENDPOINT, may_run_locally=True)
+            if moved
+            else m.ToUpstream()
+        )
         self.idempotent = idempotent
         self.exchange = Exchange(
-            terms=m.Terms(
+            policy=m.ExecutionPolicy(
                 idempotent=idempotent,
                 resendable=resendable,
                 recorded=False,
@@ -57,9 +61,9 @@
 
     def _take(self, effects: list[m.ExchangeEffect]) -> None:
         self.effects = effects
-        assert self.exchange.attempts <= self.exchange.terms.max_attempts
+        assert self.exchange.attempts <= self.exchange.policy.max_attempts
         for effect in effects:
-            if isinstance(effect, m.EndUpstream):
+            if isinstance(effect, m.ReleaseUpstream):
                 self.slots_returned += 1
             if isinstance(effect, m.AnswerCaller | m.AbortCaller):
                 self.answers.append(effect)
@@ -98,58 +102,61 @@
     def upstream_lost(self, ran: bool, handed_over: bool) -> None:
         self.runs += int(ran and handed_over)
         assert self.idempotent or self.runs <= 1
-        self._handle(m.Broke(bytes_handed_over=handed_over))
+        self._handle(m.ConnectionBroken(bytes_handed_over=handed_over))
 
     @precondition(
         lambda self: (
             self._awaits(m.SendRequest)
             and self.idempotent
-            and self.exchange.could_try_again()
+            and self.exchange.can_retry()
         )
     )
     @rule(ran=st.booleans())
     def upstream_falls_silent(self, ran: bool) -> None:
         self.runs += int(ran)
-        self._handle(m.Stalled())
+        self._handle(m.UpstreamUnresponsive())
         assert self._awaits(m.FindUpstream)
 
     @precondition(lambda self: self._awaits(m.SendRequest))
     @rule()
     def upstream_sheds(self) -> None:
-        self._handle(m.HeadArrived(proves_not_run=True))
+        self._handle(m.HeadReceived(proves_not_run=True))
 
     @precondition(lambda self: self._awaits(m.SendRequest))
     @rule()
     def upstream_answers(self) -> None:
         self.runs += 1
         assert self.idempotent or self.runs <= 1
-        self._handle(m.HeadArrived())
+        self._handle(m.HeadReceived())
 
     @precondition(lambda self: self._awaits(m.RelayAnswer))
     @rule(whole=st.booleans())
     def answer_relayed(self, whole: bool) -> None:
-        self._handle(m.AnswerEnded() if whole else m.Broke(bytes_handed_over=True))
+        self._handle(
+            m.AnswerRelayed() if whole else m.ConnectionBroken(bytes_handed_over=True)
+        )
         assert whole or isinstance(self.effects[-1], m.AbortCaller)
 
     @rule(ran=st.booleans())
     def deadline_passes(self, ran: bool) -> None:
         self.runs += int(ran and self._awaits(m.SendRequest))
-        self._handle(m.DeadlinePassed())
-        assert isinstance(self.exchange.state, Over)
+        self._handle(m.DeadlineExceeded())
+        assert isinstance(self.exchange.state, Completed)
 
     @precondition(lambda self: bool(self.effects))
     @rule()
     def caller_goes(self) -> None:
-        self._handle(m.CallerGone())
+        self._handle(m.CallerDisconnected())
         assert not any(
-            isinstance(effect, m.EndUpstream) and effect.verdict is Verdict.ANSWERED
+            isinstance(effect, m.ReleaseUpstream)
+            and effect.verdict is AttemptOutcome.ANSWERED
             for effect in self.effects
         )
 
     def teardown(self) -> None:
         assert len(self.answers) <= 1
-        if not isinstance(self.exchange.state, Over):
-            self._handle(m.DeadlinePassed())
+        if not isinstance(self.exchange.state, Completed):
+            self._handle(m.DeadlineExceeded())
         assert self.slots_taken == self.slots_returned
 
 
@@ -158,30 +165,30 @@
 
 def test_a_request_that_may_repeat_is_tried_at_another_upstream() -> None:
     exchange = Exchange(
-        terms=m.Terms(idempotent=True, resendable=True, recorded=False),
+        policy=m.ExecutionPolicy(idempotent=True, resendable=True, recorded=False),
         route=m.ToUpstream(),
         budget=RetryBudget(percent=10),
     )
     exchange.begin()
     exchange.handle(m.Assigned(upstream="u1", endpoint=ENDPOINT))
     exchange.handle(m.Connected())
-    effects = exchange.handle(m.Broke(bytes_handed_over=True))
+    effects = exchange.handle(m.ConnectionBroken(bytes_handed_over=True))
     assert effects == [
-        m.EndUpstream(Verdict.FAILED),
+        m.ReleaseUpstream(AttemptOutcome.FAILED),
         m.FindUpstream(frozenset({"u1"})),
     ]
 
 
 def test_a_transfer_whose_connection_broke_is_unknown_and_not_tried_again() -> None:
     exchange = Exchange(
-        terms=m.Terms(idempotent=False, resendable=True, recorded=True),
+        policy=m.ExecutionPolicy(idempotent=False, resendable=True, recorded=True),
         route=m.ToUpstream(),
         budget=RetryBudget(percent=10),
     )
     exchange.begin()
     exchange.handle(m.Assigned(upstream="u1", endpoint=ENDPOINT))
     exchange.handle(m.Connected())
-    effects = exchange.handle(m.Broke(bytes_handed_over=True))
+    effects = exchange.handle(m.ConnectionBroken(bytes_handed_over=True))
     answer = effects[-1]
     assert isinstance(answer, m.AnswerCaller)
     assert answer.outcome is Outcome.UNKNOWN
@@ -189,13 +196,13 @@
 
 def test_a_foreign_id_is_never_answered_not_run() -> None:
     exchange = Exchange(
-        terms=m.Terms(
+        policy=m.ExecutionPolicy(
             idempotent=False,
             resendable=True,
             recorded=True,
             may_have_run_elsewhere=True,
         ),
-        route=m.ToPeer(endpoint=ENDPOINT, may_stay=False),
+        route=m.ToPeer(endpoint=ENDPOINT, may_run_locally=False),
         budget=RetryBudget(percent=10),
     )
     exchange.begin()
@@ -206,7 +213,9 @@
 
 def build_repeatable(budget: RetryBudget, **terms: int) -> Exchange:
     exchange = Exchange(
-        terms=m.Terms(idempotent=True, resendable=True, recorded=False, **terms),
+        policy=m.ExecutionPolicy(
+            idempotent=True, resendable=True, recorded=False, **terms
+        ),
         route=m.ToUpstream(),
         budget=budget,
     )
@@ -233,7 +242,7 @@
     for number in range(2):
         exchange.handle(m.Assigned(upstream=f"u{number}", endpoint=ENDPOINT))
         exchange.handle(m.Connected())
-        last = exchange.handle(m.Broke(bytes_handed_over=True))[-1]
+        last = exchange.handle(m.ConnectionBroken(bytes_handed_over=True))[-1]
     assert isinstance(last, m.AnswerCaller)
     assert last.outcome is Outcome.UNKNOWN
 
@@ -243,14 +252,14 @@
     exchange = build_repeatable(budget)
     exchange.handle(m.Assigned(upstream="u1", endpoint=ENDPOINT))
     exchange.handle(m.Connected())
-    assert not exchange.could_try_again()
+    assert not exchange.can_retry()
 
 
 def fail_first_attempt(
     *, idempotent: bool = True, max_attempts: int = 3, resendable: bool = True
 ) -> Exchange:
     exchange = Exchange(
-        terms=m.Terms(
+        policy=m.ExecutionPolicy(
             idempotent=idempotent,
             resendable=resendable,
             recorded=False,
@@ -262,18 +271,18 @@
     exchange.begin()
     exchange.handle(m.Assigned(upstream="u", endpoint=ENDPOINT))
     exchange.handle(m.Connected())
-    exchange.handle(m.Broke(bytes_handed_over=True))
+    exchange.handle(m.ConnectionBroken(bytes_handed_over=True))
     return exchange
 
 
 def test_a_retry_that_is_taken_is_told_with_what_led_to_it() -> None:
-    (decided,) = fail_first_attempt().retries_decided
+    (decided,) = fail_first_attempt().retry_decisions
     assert (decided.taken, decided.because) == (True, "upstream-lost")
 
 
 def test_a_retry_that_is_withheld_is_told_with_what_withheld_it() -> None:
     def why(**terms: Any) -> str:
-        (decided,) = fail_first_attempt(**terms).retries_decided
+        (decided,) = fail_first_attempt(**terms).retry_decisions
         assert not decided.taken
         return decided.because
 
@@ -288,22 +297,22 @@
         pass
     exchange.handle(m.Assigned(upstream="v", endpoint=ENDPOINT))
     exchange.handle(m.Connected())
-    exchange.handle(m.Broke(bytes_handed_over=True))
-    decided = exchange.retries_decided[-1]
+    exchange.handle(m.ConnectionBroken(bytes_handed_over=True))
+    decided = exchange.retry_decisions[-1]
     assert (decided.taken, decided.because) == (False, "retry budget is used up")
     assert decided.budget_left < 1.0
 
 
 def test_an_upstream_that_another_stands_in_for_is_given_up_as_gone() -> None:
     exchange = Exchange(
-        terms=m.Terms(idempotent=False, resendable=True, recorded=False),
+        policy=m.ExecutionPolicy(idempotent=False, resendable=True, recorded=False),
         route=m.ToUpstream(),
         budget=RetryBudget(percent=100),
     )
     exchange.begin()
     exchange.handle(m.Assigned(upstream="u", endpoint=ENDPOINT))
     exchange.handle(m.Connected())
-    effects = exchange.handle(m.HeadArrived(proves_not_run=True, is_misdirected=True))
-    assert effects[0] == m.EndUpstream(Verdict.MISDIRECTED)
+    effects = exchange.handle(m.HeadReceived(proves_not_run=True, is_misdirected=True))
+    assert effects[0] == m.ReleaseUpstream(AttemptOutcome.MISDIRECTED)
     assert isinstance(effects[-1], m.FindUpstream)
     assert not exchange.may_have_run
--- a/packages/daemon/tests/headroom/test_headroom.py
+++ b/packages/daemon/tests/headroom/test_headroom.py
@@ -9,9 +9,9 @@
 from hypothesis.stateful import rule
 
 from plankspindle_core.endpoint import Endpoint
-from plankspindle_daemon.headroom.grant_book import GrantBook
-from plankspindle_daemon.headroom.grant_book import HeldGrant
-from plankspindle_daemon.headroom.headroom_ledger import RESERVE
+from plankspindle_daemon.headroom.grant_table import GrantTable
+from plankspindle_daemon.headroom.grant_table import HeldGrant
+from plankspindle_daemon.headroom.headroom_ledger import RESERVE_SHARE
 from plankspindle_daemon.headroom.headroom_ledger import HeadroomLedger
 from plankspindle_daemon.peer_messages.headroom_messages import HeadroomGrant
 from plankspindle_daemon.peer_messages.headroom_messages import HeadroomRequest
@@ -29,7 +29,7 @@
         self.now = 0.0
         self.number = 0
         self.ledger = HeadroomLedger()
-        self.books = [GrantBook(incarnation=1), GrantBook(incarnation=2)]
+        self.books = [GrantTable(incarnation=1), GrantTable(incarnation=2)]
         self.own = 0
         self.on_way: list[tuple[int, HeadroomGrant]] = []
         self.moved: list[tuple[int, HeldGrant, bool]] = []
@@ -50,14 +50,14 @@
             incarnation=holder + 1,
         )
         book = self.books[holder]
-        book.note_asked(request, region="kosice", endpoint=PEER, now=self.now)
+        book.record_request(request, region="kosice", endpoint=PEER, now=self.now)
         granted = self.ledger.grant(
             request_id=request.request_id,
-            wanted=count,
+            requested=count,
             capacity=CAPACITY,
             in_flight=self.own + self.foreign,
             now=self.now,
-            until=self.now + 2.0,
+            valid_until=self.now + 2.0,
         )
         if granted:
             grant = HeadroomGrant(
@@ -75,11 +75,11 @@
     def grant_arrives(self, again: bool, astray: bool) -> None:
         holder, grant = self.on_way[-1] if again else self.on_way.pop()
         target = 1 - holder if astray else holder
-        self.books[target].take_grant(grant, self.now)
+        self.books[target].accept_grant(grant, self.now)
 
     @rule(holder=st.integers(0, 1))
     def move(self, holder: int) -> None:
-        held = self.books[holder].use(**TARGET, now=self.now)
+        held = self.books[holder].acquire(**TARGET, now=self.now)
         if held is not None:
             admitted = self.ledger.begin(held.request_id, self.now)
             self.moved.append((holder, held, admitted))
@@ -90,7 +90,7 @@
         holder, held, admitted = self.moved.pop(0)
         if admitted:
             self.ledger.end(held.request_id)
-        self.books[holder].give_back(held)
+        self.books[holder].release(held)
 
     @rule(change=st.integers(-3, 3))
     def own_load_changes(self, change: int) -> None:
@@ -103,11 +103,11 @@
     @rule(holder=st.integers(0, 1))
     def holder_pauses(self, holder: int) -> None:
         self.now += 5.0
-        self.books[holder].drop_all()
+        self.books[holder].discard_all()
 
     @invariant()
     def moved_requests_stay_within_what_was_ever_grantable(self) -> None:
-        assert self.foreign <= CAPACITY * (1 - RESERVE)
+        assert self.foreign <= CAPACITY * (1 - RESERVE_SHARE)
 
 
 TestHeadroom = HeadroomMachine.TestCase
@@ -116,7 +116,9 @@
 def test_a_request_without_a_promise_is_not_admitted() -> None:
     ledger = HeadroomLedger()
     assert not ledger.begin(5, 0.0)
-    ledger.grant(request_id=5, wanted=1, capacity=8, in_flight=0, now=0.0, until=2.0)
+    ledger.grant(
+        request_id=5, requested=1, capacity=8, in_flight=0, now=0.0, valid_until=2.0
+    )
     assert ledger.begin(5, 1.0)
     assert not ledger.begin(5, 1.0)
     ledger.end(5)
@@ -125,16 +127,16 @@
 
 def test_a_full_vm_promises_nothing_and_keeps_a_reserve() -> None:
     ledger = HeadroomLedger()
-    fields = {"capacity": 8, "now": 0.0, "until": 2.0}
-    assert ledger.grant(request_id=1, wanted=9, in_flight=6, **fields) == 0
-    assert ledger.grant(request_id=2, wanted=9, in_flight=4, **fields) == 2
-    assert ledger.grant(request_id=3, wanted=9, in_flight=4, **fields) == 0
+    fields = {"capacity": 8, "now": 0.0, "valid_until": 2.0}
+    assert ledger.grant(request_id=1, requested=9, in_flight=6, **fields) == 0
+    assert ledger.grant(request_id=2, requested=9, in_flight=4, **fields) == 2
+    assert ledger.grant(request_id=3, requested=9, in_flight=4, **fields) == 0
 
 
 def test_grants_are_renewed_while_they_are_used() -> None:
-    book = GrantBook(incarnation=1)
-    assert book.use(**TARGET, now=0.0) is None
-    assert book.wanted(**TARGET, now=0.0) == 1
+    book = GrantTable(incarnation=1)
+    assert book.acquire(**TARGET, now=0.0) is None
+    assert book.take_demand(**TARGET, now=0.0) == 1
     request = HeadroomRequest(
         sender="h",
         request_id=1,
@@ -143,7 +145,7 @@
         duration_ms=2000,
         incarnation=1,
     )
-    book.note_asked(request, region="kosice", endpoint=PEER, now=0.0)
+    book.record_request(request, region="kosice", endpoint=PEER, now=0.0)
     grant = HeadroomGrant(
         sender="g",
         request_id=1,
@@ -152,9 +154,9 @@
         duration_ms=2000,
         holder_incarnation=1,
     )
-    book.take_grant(grant, 0.1)
-    held = book.use(**TARGET, now=0.2)
+    book.accept_grant(grant, 0.1)
+    held = book.acquire(**TARGET, now=0.2)
     assert held is not None
-    assert book.wanted(**TARGET, now=0.3) == 0
-    assert book.wanted(**TARGET, now=1.5) == 1
-    assert book.use(**TARGET, now=2.1) is None
+    assert book.take_demand(**TARGET, now=0.3) == 0
+    assert book.take_demand(**TARGET, now=1.5) == 1
+    assert book.acquire(**TARGET, now=2.1) is None
--- a/packages/daemon/tests/idempotency/test_claim_attempt.py
+++ b/packages/daemon/tests/idempotency/test_claim_attempt.py
@@ -53,7 +53,7 @@
             state=ClaimState.CLAIMED,
             expires_at=1.0,
         )
-        attempt = c.ClaimAttempt(key=KEY, wanted=row)
+        attempt = c.ClaimAttempt(key=KEY, claim_row=row)
         self.attempts.append((attempt, attempt.begin()))
 
     @precondition(lambda self: self.attempts)
@@ -73,7 +73,7 @@
         assert isinstance(settled, c.Settled)
         if settled.verdict == RunIt():
             self.runs += 1
-            self.running.append(attempt.wanted)
+            self.running.append(attempt.claim_row)
             assert self.runs <= 1
 
     def _event(self, effect: c.ClaimEffect, fault: str) -> c.ClaimEvent:
@@ -99,7 +99,7 @@
     @rule()
     def time_runs_out(self) -> None:
         attempt, _ = self.attempts.pop()
-        settled = attempt.handle(c.OutOfTime())[-1]
+        settled = attempt.handle(c.DeadlineExceeded())[-1]
         assert isinstance(settled, c.Settled)
         assert settled.verdict != RunIt()
 
@@ -133,7 +133,7 @@
         state=ClaimState.CLAIMED,
         expires_at=1.0,
     )
-    attempt = c.ClaimAttempt(key=KEY, wanted=wanted)
+    attempt = c.ClaimAttempt(key=KEY, claim_row=wanted)
     attempt.begin()
     attempt.handle(c.WriteAnswered(False))
     return attempt.handle(
--- a/packages/daemon/tests/idempotency/test_claim_store.py
+++ b/packages/daemon/tests/idempotency/test_claim_store.py
@@ -53,10 +53,10 @@
 def test_an_insert_that_lands_after_the_closing_read_does_not_hold_the_key() -> None:
     platform = FakePlatform(random=Random(1), fault_rate=0.0)
     store = make_store(platform)
-    store.end_claim(KEY, CLAIM.released())
-    run_to_end(store.close_due())
+    store.close_claim(KEY, CLAIM.released())
+    run_to_end(store.close_ended_claims())
     assert not insert_claim(platform)
-    run_to_end(store.close_due())
+    run_to_end(store.close_ended_claims())
     assert state_of(platform) is ClaimState.RELEASED
     assert not store.unclosed_by_nonce
 
@@ -65,9 +65,9 @@
     platform = FakePlatform(random=Random(1), fault_rate=0.0)
     store = make_store(platform)
     assert insert_claim(platform)
-    store.end_claim(KEY, CLAIM.released())
-    run_to_end(store.close_due())
-    run_to_end(store.close_due())
+    store.close_claim(KEY, CLAIM.released())
+    run_to_end(store.close_ended_claims())
+    run_to_end(store.close_ended_claims())
     assert state_of(platform) is ClaimState.RELEASED
     assert not store.unclosed_by_nonce
 
@@ -76,8 +76,8 @@
     platform = FakePlatform(random=Random(1), fault_rate=0.0)
     store = make_store(platform)
     assert insert_claim(platform)
-    store.end_claim(KEY, evolve(CLAIM, nonce="n2").released())
-    run_to_end(store.close_due())
+    store.close_claim(KEY, evolve(CLAIM, nonce="n2").released())
+    run_to_end(store.close_ended_claims())
     assert state_of(platform) is ClaimState.CLAIMED
     assert not store.unclosed_by_nonce
 
@@ -86,9 +86,9 @@
     platform = FakePlatform(random=Random(1), fault_rate=0.0)
     store = make_store(platform)
     assert insert_claim(platform)
-    store.end_claim(KEY, CLAIM.released())
-    store.end_claim(KEY, evolve(CLAIM, nonce="n2").released())
+    store.close_claim(KEY, CLAIM.released())
+    store.close_claim(KEY, evolve(CLAIM, nonce="n2").released())
     for _ in range(3):
-        run_to_end(store.close_due())
+        run_to_end(store.close_ended_claims())
     assert state_of(platform) is ClaimState.RELEASED
     assert not store.unclosed_by_nonce
--- a/packages/daemon/tests/idempotency/test_issued_ids.py
+++ b/packages/daemon/tests/idempotency/test_issued_ids.py
@@ -27,8 +27,8 @@
         incarnation=incarnation,
         secret=b"s" * 32,
         ttl_s=60.0,
-        memory_s=100.0,
-        max_remembered=max_remembered,
+        retention_s=100.0,
+        max_retained=max_remembered,
     )
 
 
@@ -68,7 +68,7 @@
     ids.expire(120.0)
     assert ids.begin(text, TRANSFER, 120.0) == AnsweredUnrecorded()
     ids.expire(161.0)
-    assert ids.remembered == 0
+    assert ids.retained == 0
     assert ids.begin(text, TRANSFER, 161.0) == Invalid()
 
 
@@ -77,7 +77,7 @@
     first, second = ids.issue(0.0), ids.issue(0.0)
     assert ids.begin(first, TRANSFER, 0.0) == RunIt()
     assert ids.begin(second, TRANSFER, 0.0) == NoMemory()
-    ids.forget(first)
+    ids.release(first)
     assert ids.begin(second, TRANSFER, 0.0) == RunIt()
 
 
--- a/packages/daemon/tests/membership/test_failure_detector.py
+++ b/packages/daemon/tests/membership/test_failure_detector.py
@@ -7,7 +7,7 @@
 from attrs import evolve
 
 from plankspindle_daemon.membership import messages as m
-from plankspindle_daemon.membership.failure_detector import WATCHERS
+from plankspindle_daemon.membership.failure_detector import WATCHERS_PER_VM
 from plankspindle_daemon.peer_messages.peer_message import SendToPeer
 from plankspindle_daemon.peer_messages.suspicion import Suspect
 from plankspindle_daemon.peer_messages.suspicion import Suspicion
@@ -48,7 +48,7 @@
     domains = {
         node.membership.members_by_name[name].failure_domain for name in watchers
     }
-    assert len(watchers) == len(domains) == WATCHERS
+    assert len(watchers) == len(domains) == WATCHERS_PER_VM
     assert node.failure_domain not in domains
 
 
@@ -56,7 +56,7 @@
     node = build_node()
     effects = node.tick(now=NOW + 1.0, wall=WALL)
     greeted = [each.to for each in effects if isinstance(each, m.SendHeartbeat)]
-    assert len(greeted) == WATCHERS
+    assert len(greeted) == WATCHERS_PER_VM
     assert all(map(node.membership.is_watched_by, greeted))
 
 
@@ -69,7 +69,7 @@
 def test_a_silent_member_is_told_to_all() -> None:
     node = build_node()
     watched = FLEET.heartbeat(1, sequence=2, is_watched=True)
-    node.take_membership(m.HeartbeatReceived(watched), now=NOW, wall=WALL)
+    node.handle_membership(m.HeartbeatReceived(watched), now=NOW, wall=WALL)
     effects = node.tick(now=NOW + 3.1, wall=WALL)
     told = [each for each in effects if isinstance(each, SendToPeer)]
     suspicions = [each.message for each in told if isinstance(each.message, Suspicion)]
@@ -82,7 +82,7 @@
     member = node.membership.members_by_name["vm-0001"]
     for sender, silent in (("vm-0002", False), ("vm-0002", False), ("vm-0003", True)):
         event = suspicion_of(node, "vm-0001", sender)
-        node.take_membership(event, now=NOW + 1.0, wall=WALL)
+        node.handle_membership(event, now=NOW + 1.0, wall=WALL)
         assert node.membership.is_silent(member, NOW + 1.0) is silent
 
 
@@ -91,9 +91,9 @@
     member = node.membership.members_by_name["vm-0001"]
     for sender in ("vm-0002", "vm-0003"):
         event = suspicion_of(node, "vm-0001", sender)
-        node.take_membership(event, now=NOW + 1.0, wall=WALL)
+        node.handle_membership(event, now=NOW + 1.0, wall=WALL)
     newer = m.HeartbeatReceived(FLEET.heartbeat(1, sequence=2))
-    node.take_membership(newer, now=NOW + 1.1, wall=WALL)
+    node.handle_membership(newer, now=NOW + 1.1, wall=WALL)
     assert not node.membership.is_silent(member, NOW + 1.1)
 
 
@@ -103,16 +103,16 @@
         suspicion_of(node, "vm-0001", sender) for sender in ("vm-0002", "vm-0003")
     ]
     newer = m.HeartbeatReceived(FLEET.heartbeat(1, sequence=2))
-    node.take_membership(newer, now=NOW + 1.0, wall=WALL)
+    node.handle_membership(newer, now=NOW + 1.0, wall=WALL)
     for event in events:
-        node.take_membership(event, now=NOW + 1.1, wall=WALL)
+        node.handle_membership(event, now=NOW + 1.1, wall=WALL)
     member = node.membership.members_by_name["vm-0001"]
     assert not member.suspected_by
 
 
 def test_whoever_is_suspected_greets_all() -> None:
     node = build_node()
-    node.take_membership(
+    node.handle_membership(
         suspicion_of(node, node.vm, "vm-0002"), now=NOW + 2.0, wall=WALL
     )
     effects = node.tick(now=NOW + 2.05, wall=WALL)
@@ -143,10 +143,10 @@
     for step in range(60):
         now = NOW + step / 20
         if step == 6:
-            node.take_membership(listed, now=now, wall=WALL)
+            node.handle_membership(listed, now=now, wall=WALL)
         if step == 14:
             node.adopt(FLEET.configuration(), version=1, now=now)
         effects = node.tick(now=now, wall=WALL)
         sent += sum(isinstance(each, m.SendHeartbeat) for each in effects)
-    watched = 3 * WATCHERS
+    watched = 3 * WATCHERS_PER_VM
     assert FLEET.vms - 1 <= sent <= FLEET.vms - 1 + watched
--- a/packages/daemon/tests/membership/test_membership.py
+++ b/packages/daemon/tests/membership/test_membership.py
@@ -71,24 +71,24 @@
     membership = build_membership()
     membership.handle(build_heartbeat(), 0.0)
     membership.handle(build_list("a", "b"), 100.0)
-    assert membership.view() == ("a", "b")
+    assert membership.member_names() == ("a", "b")
     effects = membership.handle(build_list("a"), 101.0)
     assert effects == [m.ViewChanged()]
-    assert membership.view() == ("a",)
+    assert membership.member_names() == ("a",)
 
 
 def test_a_heard_member_counts_although_the_list_lags() -> None:
     membership = build_membership()
     membership.handle(build_heartbeat(), 0.0)
     membership.handle(build_list("a"), 1.0)
-    assert membership.view() == ("a", "b")
+    assert membership.member_names() == ("a", "b")
 
 
 def test_without_the_list_a_silent_member_keeps_its_share() -> None:
     membership = build_membership()
     membership.handle(build_heartbeat(), 0.0)
     membership.handle(m.TimePassed(), 1000.0)
-    assert membership.view() == ("a", "b")
+    assert membership.member_names() == ("a", "b")
 
 
 def test_a_goodbye_removes_at_once_and_leaves_room() -> None:
@@ -96,16 +96,16 @@
     membership.handle(build_heartbeat(), 0.0)
     goodbye = build_heartbeat(sequence=2, readiness=Readiness.LEFT)
     assert membership.handle(goodbye, 0.1) == [m.ViewChanged()]
-    assert membership.view() == ("a",)
-    assert membership.may_grow("u", now=0.1, longest_work_s=LONGEST_S)
+    assert membership.member_names() == ("a",)
+    assert membership.may_grow_share("u", now=0.1, max_request_s=LONGEST_S)
 
 
 def test_after_a_death_shares_grow_only_when_its_work_has_ended() -> None:
     membership = build_membership()
     membership.handle(build_heartbeat(), 0.0)
     membership.handle(build_list("a"), 10.0)
-    assert not membership.may_grow("u", now=14.9, longest_work_s=LONGEST_S)
-    assert membership.may_grow("u", now=15.0, longest_work_s=LONGEST_S)
+    assert not membership.may_grow_share("u", now=14.9, max_request_s=LONGEST_S)
+    assert membership.may_grow_share("u", now=15.0, max_request_s=LONGEST_S)
 
 
 def test_a_member_that_disagrees_or_is_over_its_share_leaves_no_room() -> None:
@@ -113,13 +113,13 @@
     membership.handle(build_heartbeat(), 0.0)
     digest = membership.view_digest()
     agrees = build_heartbeat(sequence=2, view_digest=digest, over_share=("u",))
-    assert not membership.may_grow("u", now=0.0, longest_work_s=LONGEST_S)
+    assert not membership.may_grow_share("u", now=0.0, max_request_s=LONGEST_S)
     membership.handle(agrees, 0.1)
-    assert not membership.may_grow("u", now=0.1, longest_work_s=LONGEST_S)
-    assert membership.may_grow("v", now=0.1, longest_work_s=LONGEST_S)
+    assert not membership.may_grow_share("u", now=0.1, max_request_s=LONGEST_S)
+    assert membership.may_grow_share("v", now=0.1, max_request_s=LONGEST_S)
     every = build_heartbeat(sequence=3, view_digest=digest, over_share=("*",))
     membership.handle(every, 0.2)
-    assert not membership.may_grow("v", now=0.2, longest_work_s=LONGEST_S)
+    assert not membership.may_grow_share("v", now=0.2, max_request_s=LONGEST_S)
 
 
 def test_late_and_repeated_heartbeats_change_nothing() -> None:
@@ -127,7 +127,7 @@
     membership.handle(build_heartbeat(sequence=5), 0.0)
     late = build_heartbeat(sequence=4, readiness=Readiness.LEFT)
     assert membership.handle(late, 0.1) == []
-    assert membership.view() == ("a", "b")
+    assert membership.member_names() == ("a", "b")
 
 
 def test_another_incarnation_is_not_its_predecessor() -> None:
@@ -136,13 +136,13 @@
     digest = membership.view_digest()
     membership.handle(build_heartbeat(incarnation=3), 1.0)
     assert membership.view_digest() != digest
-    assert not membership.may_grow("u", now=2.0, longest_work_s=LONGEST_S)
+    assert not membership.may_grow_share("u", now=2.0, max_request_s=LONGEST_S)
 
 
 def test_a_vm_that_was_listed_and_is_not_any_more_is_told_to_leave_once() -> None:
     membership = build_membership()
     assert membership.handle(build_list("b"), 0.0) == [m.ViewChanged()]
-    assert membership.view() == ("a", "b")
+    assert membership.member_names() == ("a", "b")
     membership.handle(build_list("a", "b"), 1.0)
     assert membership.handle(build_list("b"), 2.0) == [
         m.LeaveRequested("no longer listed")
@@ -165,10 +165,10 @@
     membership.handle(build_heartbeat(), 0.0)
     digest = membership.view_digest()
     membership.handle(build_heartbeat(sequence=2, view_digest=digest), 0.1)
-    membership.handle(m.Paused(), 60.0)
+    membership.handle(m.ProcessPaused(), 60.0)
     membership.handle(build_list("a"), 60.1)
-    assert membership.view() == ("a", "b")
-    assert not membership.may_grow("u", now=60.1, longest_work_s=LONGEST_S)
+    assert membership.member_names() == ("a", "b")
+    assert not membership.may_grow_share("u", now=60.1, max_request_s=LONGEST_S)
 
 
 def test_vms_of_other_domains_are_members_only_where_that_is_wanted() -> None:
@@ -176,8 +176,8 @@
     near, all_of_them = build_membership(), build_membership(all_domains=True)
     near.handle(other, 0.0)
     all_of_them.handle(other, 0.0)
-    assert near.view() == ("a",)
-    assert all_of_them.view() == ("a", "c")
+    assert near.member_names() == ("a",)
+    assert all_of_them.member_names() == ("a", "c")
     assert all_of_them.members_by_name["c"].failure_domain == "ke-1"
     assert not all_of_them.is_silent(all_of_them.members_by_name["c"], 1.0)
     assert all_of_them.is_silent(all_of_them.members_by_name["c"], 2.5)
--- a/packages/daemon/tests/node/test_list_follower.py
+++ b/packages/daemon/tests/node/test_list_follower.py
@@ -24,7 +24,7 @@
 from plankspindle_daemon.sharing.reader_group import ReaderGroup
 from plankspindle_daemon.sharing.shared_reads import SETTLE_S
 from plankspindle_daemon.sharing.shared_reads import SharedReads
-from plankspindle_daemon.sharing.told_upstreams import told_of
+from plankspindle_daemon.sharing.upstream_codec import encode_upstream
 from plankspindle_testkit.builders import VmPlace
 from plankspindle_testkit.builders import build_configuration
 from plankspindle_testkit.builders import build_service
@@ -95,7 +95,7 @@
     group = ReaderGroup(
         vm=PLACE.name, failure_domain="ba-1", membership=node.membership
     )
-    node.reads = SharedReads(group=group, period_s=1.0)
+    node.shared_reads = SharedReads(group=group, period_s=1.0)
     node.adopt(
         build_configuration(
             services_by_name={
@@ -113,7 +113,7 @@
         effects=FakeEffects(),
         period_s=1.0,
     )
-    curio.run(follower._take_read, follower.platform.whole())
+    curio.run(follower._apply_read, follower.platform.whole())
     return follower
 
 
@@ -136,35 +136,35 @@
 
 def test_a_change_that_is_told_is_in_force_at_once() -> None:
     follower = build_follower("a", "b")
-    new = told_of(listed("c"), 0.0)
-    curio.run(follower.take_news, build_news(changed=(new,), gone=("a",)))
+    new = encode_upstream(listed("c"), 0.0)
+    curio.run(follower.apply_update, build_news(changed=(new,), gone=("a",)))
     assert upstreams_of(follower) == {"b", "c"}
     assert follower.platform.list_version == 2
-    assert follower.node.reads.list_version == 2
+    assert follower.node.shared_reads.list_version == 2
 
 
 def test_what_a_stranger_tells_changes_nothing() -> None:
     follower = build_follower("a")
     news = build_news(sender="stranger", gone=("a",), configuration_version=9)
     follower.effects.performed.clear()
-    curio.run(follower.take_news, news)
+    curio.run(follower.apply_update, news)
     assert upstreams_of(follower) == {"a"}
     assert follower.effects.performed == []
 
 
 def test_entries_that_lapsed_in_an_outage_of_the_reader_are_kept_for_a_while() -> None:
     follower = build_follower("a", "b")
-    curio.run(follower.take_news, build_news(gone=("a",), after_gap=True))
+    curio.run(follower.apply_update, build_news(gone=("a",), after_gap=True))
     assert upstreams_of(follower) == {"a", "b"}
     assert follower.node.services.listed.is_to_be_taken_again
     follower.node.services.listed._lenient_until = 0.0
-    curio.run(follower.take_news, build_news(bases=(2, 2)))
+    curio.run(follower.apply_update, build_news(bases=(2, 2)))
     assert upstreams_of(follower) == {"b"}
 
 
 def test_a_higher_version_is_asked_of_the_reader() -> None:
     follower = build_follower("a")
-    curio.run(follower.take_news, build_news(configuration_version=2))
+    curio.run(follower.apply_update, build_news(configuration_version=2))
     asked = [
         each.message
         for each in follower.effects.performed
@@ -175,9 +175,9 @@
 
 def test_a_read_is_told_to_the_others_once_reads_are_shared() -> None:
     follower = build_follower("a")
-    follower.node.reads._settled_at -= SETTLE_S
+    follower.node.shared_reads._settled_at -= SETTLE_S
     follower.effects.performed.clear()
-    curio.run(follower._take_read, follower.platform.whole())
+    curio.run(follower._apply_read, follower.platform.whole())
     told = [each for each in follower.effects.performed if isinstance(each, SendToPeer)]
     assert len(told) == len(NAMES) - 1
     assert all(isinstance(each.message, ListNews) for each in told)
@@ -185,16 +185,16 @@
 
 def test_a_vm_that_stood_still_reads_the_list_for_itself() -> None:
     follower = build_follower("a")
-    reads = follower.node.reads
+    reads = follower.node.shared_reads
     reads._settled_at -= SETTLE_S
     now = monotonic()
-    reads.note_configuration_read(1, now)
-    curio.run(follower.take_news, build_news(bases=(1, 1), version=1))
-    assert not reads.reads_list(now)
-    follower.node.wake_from_pause(now=now, wall=now)
-    assert reads.reads_list(now)
-    curio.run(follower._take_read, follower.platform.whole())
-    assert not reads.reads_list(monotonic())
+    reads.record_configuration_read(1, now)
+    curio.run(follower.apply_update, build_news(bases=(1, 1), version=1))
+    assert not reads.should_read_list(now)
+    follower.node.recover_from_pause(now=now, wall=now)
+    assert reads.should_read_list(now)
+    curio.run(follower._apply_read, follower.platform.whole())
+    assert not reads.should_read_list(monotonic())
 
 
 def test_an_old_word_of_a_reader_does_not_make_the_list_current() -> None:
@@ -202,9 +202,9 @@
     follower.node.services.listed._read_at -= 1.0
     read_at = follower.node.services.listed._read_at
     news = build_news(bases=(1, 1), version=1, list_age_ms=60_000)
-    curio.run(follower.take_news, news)
+    curio.run(follower.apply_update, news)
     assert follower.node.services.listed._read_at == read_at
-    curio.run(follower.take_news, evolve(news, list_age_ms=100))
+    curio.run(follower.apply_update, evolve(news, list_age_ms=100))
     assert follower.node.services.listed._read_at != read_at
 
 
--- a/packages/daemon/tests/node/test_listed_node.py
+++ b/packages/daemon/tests/node/test_listed_node.py
@@ -56,7 +56,7 @@
 
 
 def read_list(node: Node, now: float, *vms: ListedVm) -> None:
-    node.take_membership(m.LiveListRead(vms), now=now, wall=WALL + now)
+    node.handle_membership(m.LiveListRead(vms), now=now, wall=WALL + now)
 
 
 def upstream_of(node: Node, name: str) -> UpstreamState:
@@ -64,8 +64,8 @@
 
 
 def send(node: Node, number: int, now: float) -> list[str]:
-    arrived = d.Arrived(build_ticket(number, deadline=now + 9.0))
-    effects = [each.effect for each in node.take_dispatch("registry", arrived, now)]
+    arrived = d.RequestArrived(build_ticket(number, deadline=now + 9.0))
+    effects = [each.effect for each in node.handle_dispatch("registry", arrived, now)]
     return [each.upstream for each in effects if isinstance(each, d.Assign)]
 
 
@@ -81,7 +81,7 @@
     read_list(node, 1.0, listed("u", leaving=True), listed("v", cold_until=9.0))
     node.adopt(build_version(), version=1, now=1.1)
     assert upstream_of(node, "u").leaving
-    assert upstream_of(node, "v").cold is not None
+    assert upstream_of(node, "v").cold_limiter is not None
     assert send(node, 1, 1.2) == ["v"]
     assert send(node, 2, 1.2) == []
 
@@ -94,8 +94,10 @@
     read_list(node, 2.0)
     assert upstream_of(node, "u").leaving
     assert send(node, 2, 2.0) == []
-    ended = d.Ended(ticket=build_ticket(1), upstream="u", verdict=d.Verdict.ANSWERED)
-    node.take_dispatch("registry", ended, 3.0)
+    ended = d.AttemptCompleted(
+        ticket=build_ticket(1), upstream="u", outcome=d.AttemptOutcome.ANSWERED
+    )
+    node.handle_dispatch("registry", ended, 3.0)
     read_list(node, 3.0)
     assert not node.dispatchers_by_service["registry"].upstreams_by_name
 
@@ -130,7 +132,7 @@
 def part_leaving(node: Node) -> float:
     placement = node.dispatchers_by_service["registry"].placement
     assert placement is not None
-    return placement.plan.part
+    return placement.plan.remote_share
 
 
 def test_keys_leave_a_region_whose_upstreams_go_and_stay_if_one_is_only_silent() -> (
--- a/packages/daemon/tests/node/test_node.py
+++ b/packages/daemon/tests/node/test_node.py
@@ -9,7 +9,7 @@
 from plankspindle_daemon.dispatch import messages as d
 from plankspindle_daemon.membership import messages as m
 from plankspindle_daemon.membership.membership import Membership
-from plankspindle_daemon.node.effects import OfService
+from plankspindle_daemon.node.effects import ServiceEffect
 from plankspindle_daemon.peer_messages.slot_messages import SlotRequest
 from plankspindle_daemon.platform.live_list import ListedVm
 from plankspindle_daemon.platform.live_list import VmKind
@@ -54,12 +54,12 @@
         )
         for name in names
     )
-    node.take_membership(m.LiveListRead(vms), now=now, wall=WALL)
+    node.handle_membership(m.LiveListRead(vms), now=now, wall=WALL)
 
 
 def greet(sender: Node, receiver: Node, now: float, *, left: bool = False) -> None:
     heartbeat = sender.heartbeat(now=now, left=left)
-    receiver.take_membership(m.HeartbeatReceived(heartbeat), now=now, wall=WALL)
+    receiver.handle_membership(m.HeartbeatReceived(heartbeat), now=now, wall=WALL)
 
 
 def agree(a: Node, b: Node, now: float) -> None:
@@ -110,12 +110,14 @@
     a, b = build_node("a"), build_node("b")
     read_list(a, 0.0, "a")
     for number in range(3):
-        a.take_dispatch("registry", d.Arrived(build_ticket(number)), 0.0)
+        a.handle_dispatch("registry", d.RequestArrived(build_ticket(number)), 0.0)
     read_list(b, 0.1, "a", "b")
     agree(a, b, 0.2)
     assert (share_of(a), share_of(b)) == (2, 0)
-    ended = d.Ended(ticket=build_ticket(0), upstream="u", verdict=d.Verdict.CANCELLED)
-    a.take_dispatch("registry", ended, 0.3)
+    ended = d.AttemptCompleted(
+        ticket=build_ticket(0), upstream="u", outcome=d.AttemptOutcome.CANCELLED
+    )
+    a.handle_dispatch("registry", ended, 0.3)
     greet(a, b, 0.3)
     assert share_of(b) == 2
 
@@ -123,11 +125,11 @@
 def test_a_member_that_grew_at_once_would_pass_the_slots(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(Membership, "may_grow", lambda *_, **__: True)
+    monkeypatch.setattr(Membership, "may_grow_share", lambda *_, **__: True)
     a, b = build_node("a"), build_node("b")
     read_list(a, 0.0, "a")
     for number in range(3):
-        a.take_dispatch("registry", d.Arrived(build_ticket(number)), 0.0)
+        a.handle_dispatch("registry", d.RequestArrived(build_ticket(number)), 0.0)
     read_list(b, 0.1, "a", "b")
     agree(a, b, 0.2)
     assert upstream_of(a).ledger.in_flight + share_of(b) > SLOTS
@@ -135,7 +137,7 @@
 
 def test_after_a_pause_a_share_is_taken_again_only_with_agreement() -> None:
     a, b = build_pair()
-    a.wake_from_pause(now=60.0, wall=WALL)
+    a.recover_from_pause(now=60.0, wall=WALL)
     assert share_of(a) == 0
     read_list(a, 62.1, "a", "b")
     assert share_of(a) == 0
@@ -146,19 +148,19 @@
 def test_a_woken_process_that_kept_its_share_would_pass_the_slots(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(SlotLedger, "give_up_all", lambda self: None)
+    monkeypatch.setattr(SlotLedger, "release_all", lambda self: None)
     a, b = build_pair()
     read_list(b, 10.0, "b")
     read_list(b, 200.0, "b")
     assert share_of(b) == SLOTS
-    a.wake_from_pause(now=200.0, wall=WALL)
+    a.recover_from_pause(now=200.0, wall=WALL)
     assert share_of(a) + share_of(b) > SLOTS
 
 
 def test_after_a_pause_a_process_alone_listens_before_it_takes_slots() -> None:
     node = build_node("a")
     node.tick(now=3.0, wall=WALL)
-    node.wake_from_pause(now=60.0, wall=WALL)
+    node.recover_from_pause(now=60.0, wall=WALL)
     node.tick(now=61.0, wall=WALL)
     assert share_of(node) == 0
     node.tick(now=62.1, wall=WALL)
@@ -174,14 +176,16 @@
         duration_ms=1000,
         incarnation=1,
     )
-    return list(node.slots.lend(request, Endpoint("127.0.0.1", 1), now))
+    return list(node.shared_slots.lend(request, Endpoint("127.0.0.1", 1), now))
 
 
 def test_slots_are_lent_to_members_only_and_not_while_leaving() -> None:
     a, _ = build_pair()
     assert ask(a, "stranger", 1.0) == []
     lent = ask(a, "b", 1.1)
-    assert [type(e.effect) for e in lent if isinstance(e, OfService)] == [d.GrantSlots]
+    assert [type(e.effect) for e in lent if isinstance(e, ServiceEffect)] == [
+        d.GrantSlots
+    ]
     a.leave.begin(1.2)
     assert ask(a, "b", 1.3) == []
 
@@ -189,16 +193,18 @@
 def test_a_loan_ends_when_the_share_grows_by_the_lender_leaving() -> None:
     a, b = build_pair()
     for number in range(2):
-        b.take_dispatch("registry", d.Arrived(build_ticket(number)), 0.2)
-    third = b.take_dispatch("registry", d.Arrived(build_ticket(2, deadline=2.0)), 0.2)
+        b.handle_dispatch("registry", d.RequestArrived(build_ticket(number)), 0.2)
+    third = b.handle_dispatch(
+        "registry", d.RequestArrived(build_ticket(2, deadline=2.0)), 0.2
+    )
     asked = third[0]
-    assert isinstance(asked, OfService)
-    assert isinstance(asked.effect, d.AskSlots)
-    granted = a.slots.lend(asked.effect.request, Endpoint("127.0.0.1", 1), 0.2)
+    assert isinstance(asked, ServiceEffect)
+    assert isinstance(asked.effect, d.RequestSlots)
+    granted = a.shared_slots.lend(asked.effect.request, Endpoint("127.0.0.1", 1), 0.2)
     effect = granted[0]
-    assert isinstance(effect, OfService)
+    assert isinstance(effect, ServiceEffect)
     assert isinstance(effect.effect, d.GrantSlots)
-    b.take_dispatch("registry", d.SlotsGranted(effect.effect.grant), 0.3)
+    b.handle_dispatch("registry", d.SlotsGranted(effect.effect.grant), 0.3)
     assert upstream_of(b).ledger.in_flight == 3
     greet(a, b, 0.4, left=True)
     assert upstream_of(b).ledger.allowance(0.4, 0.5) == SLOTS
@@ -255,11 +261,13 @@
 def test_an_upstream_that_is_no_longer_declared_gets_nothing_new() -> None:
     node = build_node("a")
     node.tick(now=3.0, wall=WALL)
-    node.take_dispatch("registry", d.Arrived(build_ticket(1)), 3.0)
+    node.handle_dispatch("registry", d.RequestArrived(build_ticket(1)), 3.0)
     others = {"v": build_upstream(slots=1, endpoint=Endpoint("127.0.0.2", 1))}
     node.adopt(build_configuration(upstreams_by_name=others), version=2, now=3.1)
     assert upstream_of(node).leaving
-    ended = d.Ended(ticket=build_ticket(1), upstream="u", verdict=d.Verdict.ANSWERED)
-    node.take_dispatch("registry", ended, 3.2)
+    ended = d.AttemptCompleted(
+        ticket=build_ticket(1), upstream="u", outcome=d.AttemptOutcome.ANSWERED
+    )
+    node.handle_dispatch("registry", ended, 3.2)
     node.adopt(build_configuration(upstreams_by_name=others), version=3, now=3.3)
     assert set(node.dispatchers_by_service["registry"].upstreams_by_name) == {"v"}
--- a/packages/daemon/tests/node/test_silence_hints.py
+++ b/packages/daemon/tests/node/test_silence_hints.py
@@ -8,10 +8,10 @@
 from attrs import evolve
 
 from plankspindle_core.configuration.service import SlotSharing
-from plankspindle_daemon.dispatch.messages import Arrived
 from plankspindle_daemon.dispatch.messages import Assign
+from plankspindle_daemon.dispatch.messages import RequestArrived
 from plankspindle_daemon.membership.messages import HeartbeatReceived
-from plankspindle_daemon.node.effects import OfService
+from plankspindle_daemon.node.effects import ServiceEffect
 from plankspindle_testkit.builders import VmPlace
 from plankspindle_testkit.builders import build_configuration
 from plankspindle_testkit.builders import build_service
@@ -46,8 +46,8 @@
 
 def place_one(node: Node, number: int, now: float) -> str:
     ticket = build_ticket(number, deadline=now + 10.0)
-    (effect,) = node.take_dispatch("registry", Arrived(ticket), now)
-    assert isinstance(effect, OfService)
+    (effect,) = node.handle_dispatch("registry", RequestArrived(ticket), now)
+    assert isinstance(effect, ServiceEffect)
     assert isinstance(effect.effect, Assign)
     return effect.effect.upstream
 
@@ -59,7 +59,7 @@
     assert told.silent_upstreams == (silent,)
     other = evolve(told, sender="c", failure_domain="ke-1")
     for each in (told, other):
-        second.take_membership(HeartbeatReceived(each), now=NOW + 3.0, wall=NOW)
+        second.handle_membership(HeartbeatReceived(each), now=NOW + 3.0, wall=NOW)
     chosen = {place_one(second, number, NOW + 3.0) for number in range(3)}
     assert silent not in chosen
 
@@ -68,7 +68,7 @@
     first, second = (build_node(place) for place in PLACES)
     told = evolve(first.heartbeat(now=NOW), silent_upstreams=("unknown",))
     event = HeartbeatReceived(told)
-    assert second.take_membership(event, now=NOW, wall=NOW) is not None
+    assert second.handle_membership(event, now=NOW, wall=NOW) is not None
 
 
 def test_a_heartbeat_names_a_bounded_number_of_silent_upstreams() -> None:
--- a/packages/daemon/tests/node/test_upstream_lives.py
+++ b/packages/daemon/tests/node/test_upstream_lives.py
@@ -8,13 +8,13 @@
 from attrs import evolve
 
 from plankspindle_core.configuration.service import SlotSharing
-from plankspindle_daemon.dispatch.messages import Arrived
 from plankspindle_daemon.dispatch.messages import Assign
-from plankspindle_daemon.dispatch.messages import Ended
-from plankspindle_daemon.dispatch.messages import Verdict
+from plankspindle_daemon.dispatch.messages import AttemptCompleted
+from plankspindle_daemon.dispatch.messages import AttemptOutcome
+from plankspindle_daemon.dispatch.messages import RequestArrived
 from plankspindle_daemon.membership.messages import HeartbeatReceived
 from plankspindle_daemon.membership.messages import LiveListRead
-from plankspindle_daemon.node.effects import OfService
+from plankspindle_daemon.node.effects import ServiceEffect
 from plankspindle_daemon.platform.live_list import ListedVm
 from plankspindle_daemon.platform.live_list import VmKind
 from plankspindle_daemon.upstreams.health import Warm
@@ -60,7 +60,7 @@
 
 
 def read_list(node: Node, now: float, *vms: ListedVm) -> None:
-    node.take_membership(LiveListRead(vms), now=now, wall=1000.0 + now)
+    node.handle_membership(LiveListRead(vms), now=now, wall=1000.0 + now)
 
 
 def state_of(node: Node) -> UpstreamState:
@@ -69,35 +69,35 @@
 
 def send(node: Node, number: int, now: float, **fields: object) -> Assign:
     ticket = build_ticket(number, deadline=now + 9.0, **fields)
-    (effect,) = node.take_dispatch("registry", Arrived(ticket), now)
-    assert isinstance(effect, OfService)
+    (effect,) = node.handle_dispatch("registry", RequestArrived(ticket), now)
+    assert isinstance(effect, ServiceEffect)
     assert isinstance(effect.effect, Assign)
     return effect.effect
 
 
-def end(node: Node, assigned: Assign, verdict: Verdict, now: float) -> None:
-    ended = Ended(
+def end(node: Node, assigned: Assign, verdict: AttemptOutcome, now: float) -> None:
+    ended = AttemptCompleted(
         ticket=assigned.ticket,
         upstream=assigned.upstream,
         incarnation=assigned.incarnation,
-        verdict=verdict,
+        outcome=verdict,
         head_s=0.1,
         total_s=0.1,
         reported_load=3,
     )
-    node.take_dispatch("registry", ended, now)
+    node.handle_dispatch("registry", ended, now)
 
 
 def test_another_life_knows_nothing_of_the_one_before() -> None:
     node = build_node()
     read_list(node, 1.0, listed(FIRST))
     for number in range(3):
-        end(node, send(node, number, 1.0), Verdict.UNREACHABLE, 1.0)
+        end(node, send(node, number, 1.0), AttemptOutcome.UNREACHABLE, 1.0)
         state_of(node).health.state = Warm()
-    state_of(node).note_misplaced()
+    state_of(node).mark_misdirected()
     read_list(node, 2.0, listed(SECOND))
     again = state_of(node)
-    assert not again.is_misplaced
+    assert not again.is_misdirected
     assert again.incarnation == SECOND
     assert again.ledger.in_flight == 0
     assert again.answered_at == 0.0
@@ -108,8 +108,8 @@
     read_list(node, 1.0, listed(FIRST))
     before = [send(node, number, 1.0) for number in range(2)]
     read_list(node, 2.0, listed(SECOND))
-    end(node, before[0], Verdict.UNREACHABLE, 2.1)
-    end(node, before[1], Verdict.ANSWERED, 2.1)
+    end(node, before[0], AttemptOutcome.UNREACHABLE, 2.1)
+    end(node, before[1], AttemptOutcome.ANSWERED, 2.1)
     again = state_of(node)
     assert isinstance(again.health.state, Warm)
     assert again.answered_at == 0.0
@@ -120,7 +120,7 @@
     node = build_node()
     read_list(node, 1.0, listed(FIRST))
     read_list(node, 2.0, listed(SECOND))
-    cold = state_of(node).cold
+    cold = state_of(node).cold_limiter
     assert cold is not None
     assert cold.until == 5.0
 
@@ -128,7 +128,7 @@
 def test_another_life_has_seen_no_keys() -> None:
     node = build_node()
     read_list(node, 1.0, listed(FIRST))
-    end(node, send(node, 1, 1.0, affinity="k"), Verdict.ANSWERED, 1.1)
+    end(node, send(node, 1, 1.0, affinity="k"), AttemptOutcome.ANSWERED, 1.1)
     placement = node.dispatchers_by_service["registry"].placement
     assert placement is not None
     assert placement.has_seen("k", "u", 1.2)
@@ -143,7 +143,7 @@
     read_list(node, 2.0, listed(FIRST, leaving=True, cold_until=9.0))
     assert state_of(node) is known
     assert not known.leaving
-    assert known.cold is None
+    assert known.cold_limiter is None
 
 
 def test_a_life_that_is_told_late_is_no_other_one() -> None:
@@ -167,5 +167,5 @@
         read_list(node, now, listed(incarnation))
         for sender, domain in (("c", "ba-1"), ("d", "ke-1")):
             heard = evolve(told, sender=sender, failure_domain=domain)
-            node.take_membership(HeartbeatReceived(heard), now=4.0, wall=0.0)
-        assert (state_of(node).silent_s(4.0) > 0) is is_silent
+            node.handle_membership(HeartbeatReceived(heard), now=4.0, wall=0.0)
+        assert (state_of(node).unresponsive_s(4.0) > 0) is is_silent
--- a/packages/daemon/tests/node/test_upstream_statements.py
+++ b/packages/daemon/tests/node/test_upstream_statements.py
@@ -6,14 +6,14 @@
 from typing import TYPE_CHECKING
 
 from plankspindle_core.configuration.service import SlotSharing
-from plankspindle_daemon.dispatch.messages import Arrived
 from plankspindle_daemon.dispatch.messages import Assign
 from plankspindle_daemon.dispatch.messages import DispatchEffect
 from plankspindle_daemon.dispatch.messages import Reject
 from plankspindle_daemon.dispatch.messages import RejectReason
-from plankspindle_daemon.dispatch.messages import Stated
+from plankspindle_daemon.dispatch.messages import RequestArrived
+from plankspindle_daemon.dispatch.messages import StatementReceived
 from plankspindle_daemon.membership.messages import LiveListRead
-from plankspindle_daemon.node.effects import OfService
+from plankspindle_daemon.node.effects import ServiceEffect
 from plankspindle_daemon.platform.live_list import ListedVm
 from plankspindle_daemon.platform.live_list import VmKind
 from plankspindle_daemon.upstreams.upstream_statement import UpstreamStatement
@@ -30,7 +30,7 @@
 PLACE = VmPlace(name="a", failure_domain="ba-1", host="127.0.1.1", base_port=7000)
 FIRST, SECOND = 1_700_000_000_000, 1_700_000_009_000
 LEAVES = UpstreamStatement(is_leaving=True)
-RESTS = UpstreamStatement(rest_s=3.0)
+RESTS = UpstreamStatement(retry_after_s=3.0)
 
 
 def build_node() -> Node:
@@ -60,13 +60,13 @@
                 incarnation=incarnation,
             ),
         )
-    node.take_membership(LiveListRead(vms), now=now, wall=1000.0 + now)
+    node.handle_membership(LiveListRead(vms), now=now, wall=1000.0 + now)
 
 
 def send(node: Node, now: float, service: str = "registry") -> DispatchEffect:
     ticket = build_ticket(int(now * 1000), deadline=now + 9.0, hold_until=now + 0.1)
-    (effect,) = node.take_dispatch(service, Arrived(ticket), now)
-    assert isinstance(effect, OfService)
+    (effect,) = node.handle_dispatch(service, RequestArrived(ticket), now)
+    assert isinstance(effect, ServiceEffect)
     return effect.effect
 
 
@@ -77,10 +77,10 @@
     incarnation: int = FIRST,
     service: str = "registry",
 ) -> None:
-    stated = Stated(
+    stated = StatementReceived(
         upstream="u", incarnation=incarnation, statement=statement, sent_at=now - 0.1
     )
-    node.take_dispatch(service, stated, now)
+    node.handle_dispatch(service, stated, now)
 
 
 def assert_refused(effect: DispatchEffect) -> None:
@@ -157,7 +157,7 @@
     state(node, 1.2, RESTS)
     assert isinstance(send(node, 4.2), Assign)
     ticket = build_ticket(7, deadline=13.0, hold_until=4.5)
-    assert node.take_dispatch("registry", Arrived(ticket), 4.25) == []
+    assert node.handle_dispatch("registry", RequestArrived(ticket), 4.25) == []
     state(node, 4.3, RESTS)
     assert_withheld(send(node, 5.0), 2.2)
 
@@ -166,14 +166,14 @@
     node = build_node()
     read_list(node, 1.0, FIRST)
     state(node, 1.2, RESTS)
-    state(node, 1.4, UpstreamStatement(rest_s=0.1))
+    state(node, 1.4, UpstreamStatement(retry_after_s=0.1))
     assert_withheld(send(node, 2.0), 2.1)
 
 
 def test_an_entry_that_lapses_and_returns_still_rests() -> None:
     node = build_node()
     read_list(node, 1.0, FIRST)
-    state(node, 1.2, UpstreamStatement(rest_s=90.0))
+    state(node, 1.2, UpstreamStatement(retry_after_s=90.0))
     for now in (20.0, 40.0, 60.0):
         read_list(node, now, None)
     read_list(node, 61.0, FIRST)
--- a/packages/daemon/tests/node/test_work_at_size.py
+++ b/packages/daemon/tests/node/test_work_at_size.py
@@ -7,10 +7,10 @@
 
 from __future__ import annotations
 
-from plankspindle_daemon.beliefs.belief_watch import BeliefWatch
 from plankspindle_daemon.membership.messages import HeartbeatReceived
 from plankspindle_daemon.membership.messages import LiveListRead
 from plankspindle_daemon.platform.bounded_calls import BoundedCalls
+from plankspindle_daemon.status_changes.status_monitor import StatusMonitor
 from plankspindle_testkit.call_count import count_calls
 from plankspindle_testkit.fleet_node import WALL
 from plankspindle_testkit.fleet_node import Fleet
@@ -31,17 +31,17 @@
     """Count the calls for the first heartbeats of the last ten members."""
     node = build_empty_node(fleet)
     node.adopt(fleet.configuration(), version=1, now=NOW)
-    node.take_membership(LiveListRead(tuple(fleet.listed())), now=NOW, wall=WALL)
+    node.handle_membership(LiveListRead(tuple(fleet.listed())), now=NOW, wall=WALL)
     heartbeats = [
         HeartbeatReceived(fleet.heartbeat(number, sequence=1))
         for number in range(1, fleet.vms)
     ]
     for event in heartbeats[:-10]:
-        node.take_membership(event, now=NOW, wall=WALL)
+        node.handle_membership(event, now=NOW, wall=WALL)
 
     def hear() -> None:
         for event in heartbeats[-10:]:
-            node.take_membership(event, now=NOW, wall=WALL)
+            node.handle_membership(event, now=NOW, wall=WALL)
 
     return count_calls(hear)
 
@@ -52,7 +52,7 @@
 
 def test_a_second_at_rest_stays_within_its_part_of_the_processor() -> None:
     node = build_fleet_node(LARGE, now=NOW)
-    watch = BeliefWatch()
+    watch = StatusMonitor()
     calls = BoundedCalls(timeout_s=1.0)
     watch.observe(node, calls, NOW)
 
@@ -70,10 +70,10 @@
     node = build_fleet_node(SMALL, now=NOW)
     node.tick(now=NOW + 0.3, wall=WALL)
     joined = SMALL.heartbeat(SMALL.vms, sequence=1)
-    node.take_membership(HeartbeatReceived(joined), now=NOW + 0.31, wall=WALL)
+    node.handle_membership(HeartbeatReceived(joined), now=NOW + 0.31, wall=WALL)
     node.tick(now=NOW + 0.56, wall=WALL)
     assert node.steering is not None
-    named = [each.name for each in node.steering.near(joined.failure_domain)]
+    named = [each.name for each in node.steering.nearest_vms(joined.failure_domain)]
     assert joined.sender in named
 
 
@@ -92,5 +92,7 @@
     node = build_fleet_node(LARGE, now=NOW)
     node.tick(now=NOW, wall=WALL)
     again = FLAT * count_calls(lambda: node.tick(now=NOW + 0.05, wall=WALL))
-    refresh = count_calls(lambda: node.look_ups.refresh(node.version, NOW + 0.5))
+    refresh = count_calls(
+        lambda: node.steering_updater.refresh(node.version, NOW + 0.5)
+    )
     assert refresh <= again
--- a/packages/daemon/tests/observability/test_metrics.py
+++ b/packages/daemon/tests/observability/test_metrics.py
@@ -19,13 +19,13 @@
 from plankspindle_daemon.platform.bounded_calls import BoundedCalls
 from plankspindle_daemon.platform.bounded_calls import CallKind
 from plankspindle_daemon.quarantine.quarantine import Quarantine
-from plankspindle_daemon.stories.steps import AttemptEnded
-from plankspindle_daemon.stories.steps import Placed
-from plankspindle_daemon.stories.steps import Queued
-from plankspindle_daemon.stories.steps import Ran
-from plankspindle_daemon.stories.steps import RetryDecided
-from plankspindle_daemon.stories.story import Ending
-from plankspindle_daemon.stories.story import Story
+from plankspindle_daemon.traces.request_trace import Completion
+from plankspindle_daemon.traces.request_trace import RequestTrace
+from plankspindle_daemon.traces.steps import AttemptEnded
+from plankspindle_daemon.traces.steps import Executed
+from plankspindle_daemon.traces.steps import Placed
+from plankspindle_daemon.traces.steps import Queued
+from plankspindle_daemon.traces.steps import RetryDecided
 from plankspindle_testkit.builders import build_membership
 
 PLACED = Placed(upstream="u", own_load=0, others_load=0.0, slots=4, latency=1.0)
@@ -38,27 +38,29 @@
     version = 7
 
     def __init__(self) -> None:
-        self.quarantine = Quarantine.of("a", "ba-1", build_membership("a"))
+        self.quarantine = Quarantine.create("a", "ba-1", build_membership("a"))
 
 
-def build_story() -> Story:
-    story = Story(request="r", is_callers_id=True, began_at=10.0, began_wall=0.0)
+def build_story() -> RequestTrace:
+    story = RequestTrace(
+        request_id="r", id_is_from_caller=True, started_at=10.0, started_at_unix=0.0
+    )
     story.service, story.rank = "registry", 1
-    story.note(Queued(ahead=0, limit=9), 10.0)
-    story.note(PLACED, 10.3)
+    story.record(Queued(ahead=0, limit=9), 10.0)
+    story.record(PLACED, 10.3)
     lost = AttemptEnded(
         attempt=1,
         upstream="u",
         verdict="failed",
         came="lost",
-        ran=Ran.MAYBE,
+        ran=Executed.MAYBE,
         took_ms=200,
     )
-    story.note(lost, 10.5)
+    story.record(lost, 10.5)
     retry = RetryDecided(taken=True, because="upstream-lost", budget_left=3.0)
-    story.note(retry, 10.5)
-    story.note(PLACED, 10.5)
-    story.end(Ending.SERVED, status=200)
+    story.record(retry, 10.5)
+    story.record(PLACED, 10.5)
+    story.complete(Completion.SERVED, status=200)
     return story
 
 
@@ -115,9 +117,9 @@
 def test_requests_that_are_held_back_are_counted(measures: Measures) -> None:
     quarantine = measures.node.quarantine
     for life in "abc":
-        quarantine.note_crash(7, life, at=1.0, now=1.0)
+        quarantine.record_crash(7, life, at=1.0, now=1.0)
     quarantine.tick(2.0)
-    assert quarantine.holding(7, 3.0) is not None
+    assert quarantine.blocking_entry(7, 3.0) is not None
     reader = MetricsReader(measures=measures)
     found = samples(reader.render().decode())
     reader.close()
--- a/packages/daemon/tests/quarantine/test_crash_probe.py
+++ b/packages/daemon/tests/quarantine/test_crash_probe.py
@@ -12,7 +12,7 @@
 from plankspindle_core.endpoint import Endpoint
 from plankspindle_core.supervisor import Supervisor
 from plankspindle_daemon.dispatch.messages import Assign
-from plankspindle_daemon.quarantine.crash_probe import CrashProbe
+from plankspindle_daemon.quarantine.crash_detector import CrashDetector
 from plankspindle_daemon.quarantine.quarantine import Quarantine
 from plankspindle_daemon.quarantine.request_identity import RequestIdentity
 from plankspindle_daemon.upstreams.connection_pool import ConnectionPool
@@ -28,7 +28,7 @@
     """Lose two requests at an upstream that still listens or does not."""
     endpoint = Endpoint(host_of_run(7, 31), next(_PORTS))
     pool = ConnectionPool(max_per_endpoint=4, connect_timeout_s=1.0)
-    quarantine = Quarantine.of("a", "ba-1", build_membership("a"))
+    quarantine = Quarantine.create("a", "ba-1", build_membership("a"))
 
     async def send(news: Any) -> None:
         return None
@@ -36,8 +36,8 @@
     async def hold(client: Any, _: Any) -> None:
         await client.recv(100)
 
-    probe = CrashProbe(
-        quarantine=quarantine, pool=pool, supervisor=Supervisor(), perform=send
+    probe = CrashDetector(
+        quarantine=quarantine, pool=pool, supervisor=Supervisor(), send_messages=send
     )
     server = None
     if listens or rests:
@@ -53,7 +53,7 @@
     )
     for target in ("/a", "/b"):
         request = RequestIdentity(caller=None, method="GET", target=target)
-        await probe.note_lost(request, assigned)
+        await probe.handle_connection_loss(request, assigned)
     await curio.sleep(SETTLED_S)
     await pool.close()
     if server is not None:
@@ -63,11 +63,11 @@
 
 def test_requests_are_reported_where_nobody_listens_any_more() -> None:
     quarantine = curio.run(partial(lose, listens=False, rests=False))
-    assert quarantine.reported == 2
-    cases = quarantine.cases.cases_by_identity.values()
-    assert [list(case.ended_at_by_life) for case in cases] == [["u#5"], ["u#5"]]
+    assert quarantine.crashes_reported == 2
+    records = quarantine.crash_records.records_by_identity.values()
+    assert [list(each.crashed_at_by_incarnation) for each in records] == [["u#5"], ["u#5"]]
 
 
 @pytest.mark.parametrize("rests", [False, True])
 def test_an_upstream_that_goes_on_has_not_ended(rests: bool) -> None:
-    assert curio.run(partial(lose, listens=True, rests=rests)).reported == 0
+    assert curio.run(partial(lose, listens=True, rests=rests)).crashes_reported == 0
--- a/packages/daemon/tests/quarantine/test_quarantine_list.py
+++ b/packages/daemon/tests/quarantine/test_quarantine_list.py
@@ -5,23 +5,29 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from plankspindle_daemon.quarantine.quarantine_list import AGE_SLACK_S
-from plankspindle_daemon.quarantine.quarantine_list import KEPT_S
+from plankspindle_daemon.quarantine.quarantine_list import AGE_TOLERANCE_S
+from plankspindle_daemon.quarantine.quarantine_list import ENTRY_RETENTION_S
+from plankspindle_daemon.quarantine.quarantine_list import FIRST_PROBE_DELAY_S
 from plankspindle_daemon.quarantine.quarantine_list import MAX_ENTRIES
-from plankspindle_daemon.quarantine.quarantine_list import TRIAL_S
 from plankspindle_daemon.quarantine.quarantine_list import QuarantineEntry
 from plankspindle_daemon.quarantine.quarantine_list import QuarantineList
 
-LATER = 10 * AGE_SLACK_S
+LATER = 10 * AGE_TOLERANCE_S
 
 
 def entry(identity: int = 1, since: float = 0.0, trials: int = 0) -> QuarantineEntry:
-    return QuarantineEntry(identity=identity, since=since, trials=trials)
+    return QuarantineEntry(
+        identity=identity, quarantined_at=since, probe_attempts=trials
+    )
 
 
 def test_trials_become_rarer() -> None:
-    at = [entry(trials=trials).trial_at for trials in range(9)]
-    assert at[:3] == [TRIAL_S, 3 * TRIAL_S, 7 * TRIAL_S]
+    at = [entry(trials=trials).next_probe_at for trials in range(9)]
+    assert at[:3] == [
+        FIRST_PROBE_DELAY_S,
+        3 * FIRST_PROBE_DELAY_S,
+        7 * FIRST_PROBE_DELAY_S,
+    ]
     gaps = [late - early for early, late in zip(at, at[1:], strict=False)]
     assert gaps == sorted(gaps)
 
@@ -46,7 +52,7 @@
     listed = QuarantineList()
     listed.add(entry(trials=2))
     assert not listed.add(entry(trials=1))
-    assert listed.entries_by_identity[1].trials == 2
+    assert listed.entries_by_identity[1].probe_attempts == 2
 
 
 @given(st.permutations([("add", n) for n in range(4)] + [("clear", n) for n in (1, 2)]))
@@ -72,5 +78,5 @@
     for number in range(2 * MAX_ENTRIES):
         listed.add(entry(number, since=float(number)))
     assert len(listed.entries_by_identity) == MAX_ENTRIES
-    listed.expire(KEPT_S + 3 * MAX_ENTRIES)
+    listed.expire(ENTRY_RETENTION_S + 3 * MAX_ENTRIES)
     assert (listed.entries_by_identity, listed.digest) == ({}, 0)
--- a/packages/daemon/tests/quarantine/test_quarantine_store.py
+++ b/packages/daemon/tests/quarantine/test_quarantine_store.py
@@ -17,9 +17,9 @@
 from plankspindle_daemon.platform.errors import PlatformUnavailable
 from plankspindle_daemon.platform.table import Row
 from plankspindle_daemon.quarantine import quarantine_store
-from plankspindle_daemon.quarantine.crash_cases import CONTEST_S
+from plankspindle_daemon.quarantine.crash_records import CLEARANCE_WINDOW_S
 from plankspindle_daemon.quarantine.quarantine import Quarantine
-from plankspindle_daemon.quarantine.quarantine_store import ROW
+from plankspindle_daemon.quarantine.quarantine_store import ROW_KEY
 from plankspindle_daemon.quarantine.quarantine_store import QuarantineStore
 from plankspindle_testkit.builders import build_membership
 
@@ -31,7 +31,7 @@
 class FakePlatform:
     """One row, and failures that come first."""
 
-    row: Row = field(factory=lambda: Row(key=ROW, version=0))
+    row: Row = field(factory=lambda: Row(key=ROW_KEY, version=0))
     failing_reads: int = 0
     refused_writes: int = 0
     reads: int = 0
@@ -48,15 +48,15 @@
         write = transaction.writes[0]
         if self.refused_writes or write.expected_version != self.row.version:
             self.refused_writes = max(0, self.refused_writes - 1)
-            return Err(ConditionFailed((ROW,)))
+            return Err(ConditionFailed((ROW_KEY,)))
         self.writes += 1
-        self.row = Row(key=ROW, version=self.row.version + 1, value=write.value)
+        self.row = Row(key=ROW_KEY, version=self.row.version + 1, value=write.value)
         return Ok(None)
 
 
 async def keep(platform: FakePlatform, *, decides: bool) -> Quarantine:
     """Let an entry VM start, and put a request in quarantine perhaps."""
-    quarantine = Quarantine.of("a", "ba-1", build_membership("a"))
+    quarantine = Quarantine.create("a", "ba-1", build_membership("a"))
     store = QuarantineStore(
         quarantine=quarantine,
         platform=platform,
@@ -67,9 +67,9 @@
     if decides:
         now = quarantine_store.monotonic()
         for life in "abc":
-            quarantine.note_crash(REQUEST, life, at=now, now=now)
-        quarantine.tick(now + CONTEST_S)
-        await store.look()
+            quarantine.record_crash(REQUEST, life, at=now, now=now)
+        quarantine.tick(now + CLEARANCE_WINDOW_S)
+        await store.wake_if_needed()
     await curio.sleep(SETTLED_S)
     await task.cancel()
     return quarantine
@@ -84,7 +84,7 @@
     platform = FakePlatform()
     curio.run(partial(keep, platform, decides=True))
     found = curio.run(partial(keep, platform, decides=False))
-    assert list(found.listed.entries_by_identity) == [REQUEST]
+    assert list(found.quarantine_list.entries_by_identity) == [REQUEST]
     assert platform.writes == 1
 
 
@@ -106,7 +106,7 @@
     curio.run(partial(keep, platform, decides=True))
     assert platform.row.value is not None
     entry = ["00000000000000aa", platform.row.value["entries"][0][1], 1]
-    platform.row = Row(key=ROW, version=7, value={"entries": [entry]})
+    platform.row = Row(key=ROW_KEY, version=7, value={"entries": [entry]})
     curio.run(partial(keep, platform, decides=True))
     assert [each[0] for each in platform.row.value["entries"]] == [
         "00000000000000aa",
@@ -121,7 +121,7 @@
 
 async def keep_cut_off(platform: FakePlatform) -> None:
     """Let the others decide while this VM runs and hears nothing of them."""
-    quarantine = Quarantine.of("a", "ba-1", build_membership("a"))
+    quarantine = Quarantine.create("a", "ba-1", build_membership("a"))
     store = QuarantineStore(
         quarantine=quarantine,
         platform=platform,  # type: ignore[arg-type]
@@ -130,14 +130,14 @@
     task = await curio.spawn(store.run, daemon=True)
     await curio.sleep(SETTLED_S)
     await keep(platform, decides=True)
-    store._read_at -= quarantine_store.DOUBT_S
+    store._read_at -= quarantine_store.MIN_REREAD_INTERVAL_S
     for _ in range(3):
         now = quarantine_store.monotonic()
-        quarantine.note_crash(REQUEST, "d", at=now, now=now)
+        quarantine.record_crash(REQUEST, "d", at=now, now=now)
         reads = platform.reads
-        await store.look()
+        await store.wake_if_needed()
         await curio.sleep(SETTLED_S)
-        assert list(quarantine.listed.entries_by_identity) == [REQUEST]
+        assert list(quarantine.quarantine_list.entries_by_identity) == [REQUEST]
     assert platform.reads == reads
     await task.cancel()
 
@@ -157,7 +157,7 @@
     ],
 )
 def test_a_row_that_was_damaged_holds_nothing_back(value: dict[str, Any]) -> None:
-    platform = FakePlatform(row=Row(key=ROW, version=3, value=value))
+    platform = FakePlatform(row=Row(key=ROW_KEY, version=3, value=value))
     found = curio.run(partial(keep, platform, decides=True))
-    assert list(found.listed.entries_by_identity) == [REQUEST]
+    assert list(found.quarantine_list.entries_by_identity) == [REQUEST]
     assert platform.writes == 1
--- a/packages/daemon/tests/quarantine/test_trial_of_a_real_process.py
+++ b/packages/daemon/tests/quarantine/test_trial_of_a_real_process.py
@@ -17,7 +17,7 @@
 
 from plankspindle_core import header_names
 from plankspindle_core.endpoint import Endpoint
-from plankspindle_daemon.quarantine.crash_cases import CRASHES
+from plankspindle_daemon.quarantine.crash_records import QUARANTINE_AFTER_CRASHES
 from plankspindle_testkit.builders import GOLD_KEY
 from plankspindle_testkit.builders import VmPlace
 from plankspindle_testkit.builders import build_configuration
@@ -43,8 +43,9 @@
 TARGET = "/v1/services/registry/plates/crash"
 LIFE_S = 1.0
 SHORT_TIMES = f"""
-from plankspindle_daemon.quarantine import crash_probe, quarantine_list
-crash_probe.LIFE_S, quarantine_list.TRIAL_S = {LIFE_S}, 3.0
+from plankspindle_daemon.quarantine import crash_detector, quarantine_list
+crash_detector.UNNUMBERED_INCARNATION_S = {LIFE_S}
+quarantine_list.FIRST_PROBE_DELAY_S = 3.0
 """
 
 
@@ -79,7 +80,7 @@
 
 
 def test_an_answer_to_a_trial_releases_it(processes: Processes) -> None:
-    for _ in range(CRASHES):
+    for _ in range(QUARANTINE_AFTER_CRASHES):
         crash = json.dumps({"crash_path": "/plates/crash"}).encode()
         call(UPSTREAM.endpoint, "POST", "/control", body=crash)
         assert ask() in (502, 503)
--- a/packages/daemon/tests/quotas/test_limit_loads.py
+++ b/packages/daemon/tests/quotas/test_limit_loads.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from plankspindle_daemon.quotas.limit_holder import KEEP_S
+from plankspindle_daemon.quotas.limit_holder import UNUSED_POOL_TTL_S
 from plankspindle_testkit.lab.statement_record import WINDOW_S
 from plankspindle_testkit.lab.statement_record import most_allowed
 from plankspindle_testkit.quota_fleet import QuotaFleet
@@ -179,14 +179,14 @@
     del fleet.limit_by_life[LIFE]
     fleet.run(3.0, load(fleet))
     for vm in fleet.vms_by_name.values():
-        assert not vm.quotas.limits.gate_by_life
+        assert not vm.quotas.limits.limiter_by_incarnation
 
 
 def test_a_limit_that_nobody_wants_tokens_of_costs_no_messages() -> None:
     fleet = build_fleet(9)
     name_limit(fleet, 4.6)
     fleet.run(5.0, load(fleet))
-    fleet.run(KEEP_S + 10.0)
+    fleet.run(UNUSED_POOL_TTL_S + 10.0)
     sent = fleet.sent_by_kind.total()
     fleet.run(10.0)
     assert fleet.sent_by_kind.total() == sent
@@ -212,5 +212,7 @@
     assert fleet.most_arrived(LIFE, WINDOW_S) <= most_allowed(0.0)
     del fleet.limit_by_life[LIFE]
     fleet.run(40.0, load(fleet))
-    gates = [vm.quotas.limits.gate_by_life for vm in fleet.vms_by_name.values()]
+    gates = [
+        vm.quotas.limits.limiter_by_incarnation for vm in fleet.vms_by_name.values()
+    ]
     assert not any(gates)
--- a/packages/daemon/tests/quotas/test_quota_machine.py
+++ b/packages/daemon/tests/quotas/test_quota_machine.py
@@ -52,7 +52,9 @@
         holder = QuotaHolder(
             vm=f"vm-{vm}", incarnation=self.incarnation, options=QuotaOptions()
         )
-        holder.use({"desk": build_workspace(rate_per_s=RATE_PER_S, burst=BURST)})
+        holder.update_quotas(
+            {"desk": build_workspace(rate_per_s=RATE_PER_S, burst=BURST)}
+        )
         return holder
 
     @rule(vm=vms)
@@ -73,7 +75,7 @@
     def deliver_lease(self, at: int) -> None:
         if self.leases:
             holder, lease = self.leases[at % len(self.leases)]
-            self.holders[holder].take_lease(lease, self.now)
+            self.holders[holder].add_lease(lease, self.now)
 
     @rule()
     def claim_and_lease_everywhere(self) -> None:
@@ -82,11 +84,11 @@
             for lessor in self.lessors:
                 lease = lessor.answer(claim, fleet_size=VMS, now=self.now)
                 if lease is not None:
-                    holder.take_lease(lease, self.now)
+                    holder.add_lease(lease, self.now)
 
     @rule(vm=vms, wanted=st.integers(1, 20))
     def want(self, vm: int, wanted: int) -> None:
-        taken = self.holders[vm].take("desk", wanted, self.now)
+        taken = self.holders[vm].take_tokens("desk", wanted, self.now)
         self.given_at += [self.now] * taken.count
 
     @rule(seconds=st.sampled_from([0.05, 0.3, 0.8, 2.0, LEASE_S, 6.0]))
--- a/packages/daemon/tests/sharing/test_calls_at_start.py
+++ b/packages/daemon/tests/sharing/test_calls_at_start.py
@@ -14,7 +14,7 @@
 
 from plankspindle_daemon.platform.live_list import ListedVm
 from plankspindle_daemon.platform.live_list import VmKind
-from plankspindle_daemon.sharing.shared_reads import LOOK_S
+from plankspindle_daemon.sharing.shared_reads import MIN_CHECK_DELAY_S
 from plankspindle_daemon.sharing.shared_reads import SharedReads
 from plankspindle_testkit.builders import build_reader_group
 from plankspindle_testkit.builders import build_upstream
@@ -56,20 +56,20 @@
             if step == "read":
                 self._take(name, subject, now)
                 pause_s = reads.list_pause_s(now) if subject == "list" else None
-                event = (now + (pause_s or LOOK_S), name, subject, "look")
+                event = (now + (pause_s or MIN_CHECK_DELAY_S), name, subject, "look")
             elif self._is_to_read(reads, subject, now):
                 self.calls += 1
                 wait_s = self._wait_s(reads, subject, now)
                 event = (now + wait_s, name, subject, "read")
             else:
-                event = (now + LOOK_S, name, subject, "look")
+                event = (now + MIN_CHECK_DELAY_S, name, subject, "look")
             heapq.heappush(self._events, event)
 
     def _take(self, name: str, subject: str, now: float) -> None:
         """Take what a read brought, and tell the others."""
         reads = self.reads_by_vm[name]
         if subject == "list":
-            told = reads.note_list_read(
+            told = reads.record_list_read(
                 [LISTED],
                 version=1,
                 configuration_version=1,
@@ -77,16 +77,16 @@
                 now=now,
             )
         else:
-            told = reads.note_configuration_read(1, now)
+            told = reads.record_configuration_read(1, now)
         for each in told[:1]:
             for other in NAMES:
                 if other != name:
-                    self.reads_by_vm[other].take_news(each.message, now)
+                    self.reads_by_vm[other].apply_update(each.message, now)
 
     def _is_to_read(self, reads: SharedReads, subject: str, now: float) -> bool:
         if subject == "list":
-            return reads.reads_list(now)
-        return reads.reads_configuration(1, now)
+            return reads.should_read_list(now)
+        return reads.should_read_configuration(1, now)
 
     def _wait_s(self, reads: SharedReads, subject: str, now: float) -> float:
         if subject == "list":
--- a/packages/daemon/tests/sharing/test_rests_of_followers.py
+++ b/packages/daemon/tests/sharing/test_rests_of_followers.py
@@ -10,8 +10,8 @@
 
 from plankspindle_daemon.platform.live_list import ListedVm
 from plankspindle_daemon.platform.live_list import VmKind
-from plankspindle_daemon.sharing.shared_reads import LOOK_S
-from plankspindle_daemon.sharing.shared_reads import MOST_LOOK_S
+from plankspindle_daemon.sharing.shared_reads import MAX_CHECK_DELAY_S
+from plankspindle_daemon.sharing.shared_reads import MIN_CHECK_DELAY_S
 from plankspindle_daemon.sharing.shared_reads import SETTLE_S
 from plankspindle_daemon.sharing.shared_reads import SharedReads
 from plankspindle_testkit.builders import build_reader_group
@@ -37,7 +37,7 @@
         failure_domain="ba-1",
         upstream=build_upstream(),
     )
-    sent = reads.note_list_read(
+    sent = reads.record_list_read(
         [listed],
         version=version,
         configuration_version=1,
@@ -52,28 +52,28 @@
     looks, now, next_word = 0, 0.0, 0.0
     while now < 20.0:
         while next_word <= now:
-            follower.take_news(read(reader, version=1, now=next_word)[0], next_word)
+            follower.apply_update(read(reader, version=1, now=next_word)[0], next_word)
             next_word += PERIOD_S
-        assert not follower.reads_list(now)
+        assert not follower.should_read_list(now)
         looks += 1
-        now += follower.list_rest_s(now)
+        now += follower.list_check_delay_s(now)
     assert looks / 20.0 <= LOOKS_PER_S
 
 
 def test_a_follower_looks_when_its_reader_falls_silent() -> None:
     reader, follower = build_reads(NAMES[0]), build_reads(NAMES[1])
-    follower.take_news(read(reader, version=1, now=0.0)[0], 0.0)
+    follower.apply_update(read(reader, version=1, now=0.0)[0], 0.0)
     now = 0.0
-    while not follower.reads_list(now):
-        now += follower.list_rest_s(now)
-    assert now <= 1.8 * PERIOD_S + 0.1 + LOOK_S
+    while not follower.should_read_list(now):
+        now += follower.list_check_delay_s(now)
+    assert now <= 1.8 * PERIOD_S + 0.1 + MIN_CHECK_DELAY_S
 
 
 def test_who_lacks_a_change_looks_soon() -> None:
     reader, follower = build_reads(NAMES[0]), build_reads(NAMES[1])
     for version in range(2, 12):
         news = read(reader, version=version, now=float(version))
-    follower.take_news(news[0], 11.0)
-    assert follower.lacks_a_change()
-    assert follower.list_rest_s(11.0) == LOOK_S
-    assert MOST_LOOK_S > LOOK_S
+    follower.apply_update(news[0], 11.0)
+    assert follower.lacks_change()
+    assert follower.list_check_delay_s(11.0) == MIN_CHECK_DELAY_S
+    assert MAX_CHECK_DELAY_S > MIN_CHECK_DELAY_S
--- a/packages/daemon/tests/beliefs/test_belief_watch.py
+++ b/packages/daemon/tests/status_changes/test_belief_watch.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from plankspindle_daemon.beliefs.belief_watch import BeliefWatch
-from plankspindle_daemon.beliefs.member_watch import MemberWatch
-from plankspindle_daemon.beliefs.plan_watch import PlanWatch
-from plankspindle_daemon.beliefs.upstream_watch import UpstreamWatch
-from plankspindle_daemon.dispatch.messages import Ended
-from plankspindle_daemon.dispatch.messages import Stated
-from plankspindle_daemon.dispatch.messages import Verdict
+from plankspindle_daemon.dispatch.messages import AttemptCompleted
+from plankspindle_daemon.dispatch.messages import AttemptOutcome
+from plankspindle_daemon.dispatch.messages import StatementReceived
 from plankspindle_daemon.platform.bounded_calls import BoundedCalls
+from plankspindle_daemon.status_changes.member_monitor import MemberMonitor
+from plankspindle_daemon.status_changes.plan_monitor import PlanMonitor
+from plankspindle_daemon.status_changes.status_monitor import StatusMonitor
+from plankspindle_daemon.status_changes.upstream_monitor import UpstreamMonitor
 from plankspindle_daemon.upstreams.upstream_statement import UpstreamStatement
 from plankspindle_testkit.builders import build_dispatcher
 from plankspindle_testkit.builders import build_member
@@ -22,22 +22,22 @@
 from plankspindle_testkit.builders import build_ticket
 
 if TYPE_CHECKING:
-    from plankspindle_daemon.beliefs.belief import Belief
+    from plankspindle_daemon.status_changes.status_change import StatusChange
 
 NOW = 100.0
 
 
 def test_an_upstream_is_told_of_when_its_standing_changes_with_what_was_seen() -> None:
     dispatcher = build_dispatcher(slots_by_upstream={"u": 4})
-    watch = UpstreamWatch()
+    watch = UpstreamMonitor()
     by_service = {"registry": dispatcher}
     assert watch.observe(by_service, NOW) == []
     for number in range(3):
-        ended = Ended(
+        ended = AttemptCompleted(
             ticket=build_ticket(number),
             upstream="u",
-            verdict=Verdict.UNREACHABLE,
-            came="no connection: refused",
+            outcome=AttemptOutcome.UNREACHABLE,
+            cause="no connection: refused",
         )
         dispatcher.handle(ended, NOW)
     (lost,) = watch.observe(by_service, NOW + 0.5)
@@ -55,20 +55,20 @@
 def test_members_and_whole_domains_are_told_of_when_they_fall_silent_and_return() -> (
     None
 ):
-    membership, watch = build_membership("own", all_domains=True), MemberWatch()
+    membership, watch = build_membership("own", all_domains=True), MemberMonitor()
     first = build_member("a", failure_domain="ke-1", last_heard=NOW)
     second = build_member("b", failure_domain="ke-1", last_heard=NOW)
     membership.members_by_name |= {"a": first, "b": second}
     seen = watch.observe(membership, NOW)
     assert [each.fields["now"] for each in seen] == ["heard", "heard"]
-    first.last_heard = NOW - 50
+    first.last_heartbeat_at = NOW - 50
     (suspected,) = watch.observe(membership, NOW)
     assert suspected.fields["now"] == "suspected"
     assert suspected.fields["silent_ms"] == 50_000
-    second.last_heard = NOW - 50
+    second.last_heartbeat_at = NOW - 50
     events = [each.event for each in watch.observe(membership, NOW)]
     assert events == ["member_standing", "domain_lost"]
-    first.last_heard = NOW
+    first.last_heartbeat_at = NOW
     events = [each.event for each in watch.observe(membership, NOW)]
     assert events == ["member_standing", "domain_regained"]
     del membership.members_by_name["b"]
@@ -77,7 +77,7 @@
 
 
 def test_a_restart_of_a_member_is_told_of() -> None:
-    membership, watch = build_membership("own", all_domains=True), MemberWatch()
+    membership, watch = build_membership("own", all_domains=True), MemberMonitor()
     member = build_member("a", failure_domain="ke-1", last_heard=NOW)
     membership.members_by_name["a"] = member
     watch.observe(membership, NOW)
@@ -88,7 +88,7 @@
 
 @pytest.mark.parametrize("failures", [2, 3])
 def test_a_platform_that_goes_is_told_of_once(failures: int) -> None:
-    calls, watch = BoundedCalls(timeout_s=1.0), BeliefWatch()
+    calls, watch = BoundedCalls(timeout_s=1.0), StatusMonitor()
     for _ in range(failures):
         calls.breaker.note(failed=True, now=NOW)
     calls.failure = "status 503"
@@ -103,17 +103,17 @@
 def test_random_state_is_untouched_by_watching() -> None:
     dispatcher = build_dispatcher(slots_by_upstream={"u": 4})
     before = dispatcher.random.getstate()
-    UpstreamWatch().observe({"registry": dispatcher}, NOW)
+    UpstreamMonitor().observe({"registry": dispatcher}, NOW)
     assert dispatcher.random.getstate() == before
 
 
 def test_keys_that_begin_to_leave_the_region_are_told_of_with_how_busy_it_is() -> None:
     dispatcher = build_reporting_dispatcher("u")
-    watch = PlanWatch()
+    watch = PlanMonitor()
     by_service = {"registry": dispatcher}
     assert list(watch.observe(by_service)) == []
     plan = dispatcher.placement.plan
-    plan.note_room(near=6.0, far=66.0, vm_share=1 / 3)
+    plan.update(local_slots=6.0, remote_slots=66.0, vm_share=1 / 3)
     (told,) = watch.observe(by_service)
     assert told.event == "keys_leaving_region"
     assert told.fields["service"] == "registry"
@@ -123,10 +123,10 @@
 
 def test_what_an_upstream_states_of_itself_is_told_when_it_changes() -> None:
     dispatcher = build_dispatcher(slots_by_upstream={"u": 4})
-    watch, by_service = UpstreamWatch(), {"registry": dispatcher}
+    watch, by_service = UpstreamMonitor(), {"registry": dispatcher}
 
-    def state(statement: UpstreamStatement) -> list[Belief]:
-        stated = Stated(
+    def state(statement: UpstreamStatement) -> list[StatusChange]:
+        stated = StatementReceived(
             upstream="u", incarnation=0, statement=statement, sent_at=NOW - 0.1
         )
         dispatcher.handle(stated, NOW)
--- a/packages/daemon/tests/steering/test_steering.py
+++ b/packages/daemon/tests/steering/test_steering.py
@@ -4,7 +4,7 @@
 
 from plankspindle_core.endpoint import Endpoint
 from plankspindle_daemon.steering.steering import EntryVm
-from plankspindle_daemon.steering.steering import NamedBecause
+from plankspindle_daemon.steering.steering import SelectionReason
 from plankspindle_daemon.steering.steering import Steering
 from plankspindle_testkit.builders import build_configuration
 from plankspindle_testkit.builders import build_upstream
@@ -18,7 +18,7 @@
         }
     )
     steering = Steering(configuration=configuration, home_domain="ba-1")
-    steering.use_vms(
+    steering.update_vms(
         EntryVm(
             name=name,
             failure_domain="ke-1" if name.startswith("ke") else "ba-1",
@@ -30,17 +30,17 @@
     return steering
 
 
-def names(steering: Steering, address: str) -> list[tuple[str, NamedBecause]]:
+def names(steering: Steering, address: str) -> list[tuple[str, SelectionReason]]:
     answer = steering.look_up(service="registry", address=address)
-    return [(named.vm.name, named.because) for named in answer.vms]
+    return [(named.vm.name, named.reason) for named in answer.vms]
 
 
 def test_the_home_domain_is_named_first() -> None:
     steering = build_steering(ba_a=True, ba_b=True, ke_a=True)
     in_bratislava = names(steering, "127.0.0.1")
     assert {name for name, _ in in_bratislava[:2]} == {"ba_a", "ba_b"}
-    assert in_bratislava[2] == ("ke_a", NamedBecause.NEXT_NEAREST)
-    assert names(steering, "10.2.3.4")[0] == ("ke_a", NamedBecause.HOME)
+    assert in_bratislava[2] == ("ke_a", SelectionReason.NEXT_NEAREST)
+    assert names(steering, "10.2.3.4")[0] == ("ke_a", SelectionReason.HOME)
 
 
 def test_an_unusable_vm_is_not_named_while_another_is_usable() -> None:
@@ -51,8 +51,8 @@
 def test_the_answer_is_never_empty_while_a_vm_is_known() -> None:
     steering = build_steering(ba_a=False, ke_a=False)
     assert names(steering, "127.0.0.1") == [
-        ("ba_a", NamedBecause.LAST_RESORT),
-        ("ke_a", NamedBecause.LAST_RESORT),
+        ("ba_a", SelectionReason.LAST_RESORT),
+        ("ke_a", SelectionReason.LAST_RESORT),
     ]
 
 
@@ -70,13 +70,13 @@
 
 
 def near(steering: Steering, domain: str) -> list[str]:
-    return sorted(vm.name for vm in steering.near(domain))
+    return sorted(vm.name for vm in steering.nearest_vms(domain))
 
 
 def build_near(**usable_by_name: bool) -> Steering:
     """Build look-ups over VMs named after their failure domain, as ``ba1_a``."""
     steering = Steering(configuration=build_configuration(), home_domain="ba-1")
-    steering.use_vms(
+    steering.update_vms(
         EntryVm(
             name=name,
             failure_domain=f"{name[:2]}-{name[2]}",
--- a/packages/daemon/tests/test_slices.py
+++ b/packages/daemon/tests/test_slices.py
@@ -43,6 +43,6 @@
 
 def test_a_circle_would_be_found() -> None:
     arrows = graph()
-    arrows["stories"] = arrows["stories"] | {"node"}
+    arrows["traces"] = arrows["traces"] | {"node"}
     with pytest.raises(CycleError):
         TopologicalSorter(arrows).prepare()
--- a/packages/daemon/tests/stories/test_story_log.py
+++ b/packages/daemon/tests/traces/test_story_log.py
@@ -10,14 +10,14 @@
 from plankspindle_core.logs.key_value_destination import start_logging
 from plankspindle_core.logs.key_value_destination import stop_logging
 from plankspindle_core.logs.line_rendering import parse_line
-from plankspindle_daemon.stories.steps import AttemptEnded
-from plankspindle_daemon.stories.steps import Queued
-from plankspindle_daemon.stories.steps import Ran
-from plankspindle_daemon.stories.story import MAX_STEPS
-from plankspindle_daemon.stories.story import Ending
-from plankspindle_daemon.stories.story import Story
-from plankspindle_daemon.stories.story_log import FAILED_BURST
-from plankspindle_daemon.stories.story_log import StoryLog
+from plankspindle_daemon.traces.request_trace import MAX_STEPS
+from plankspindle_daemon.traces.request_trace import Completion
+from plankspindle_daemon.traces.request_trace import RequestTrace
+from plankspindle_daemon.traces.request_trace_log import FAILED_BURST
+from plankspindle_daemon.traces.request_trace_log import RequestTraceLog
+from plankspindle_daemon.traces.steps import AttemptEnded
+from plankspindle_daemon.traces.steps import Executed
+from plankspindle_daemon.traces.steps import Queued
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -27,7 +27,7 @@
     upstream="u",
     verdict="failed",
     came="connection lost: reset",
-    ran=Ran.MAYBE,
+    ran=Executed.MAYBE,
     took_ms=250,
 )
 
@@ -52,20 +52,22 @@
     stop_logging(destination)
 
 
-def build_story(log: StoryLog, *, request: str = "r-1", at: float = 5.0) -> Story:
-    story = log.begin(request.encode(), now=at, wall=1_000.0)
+def build_story(
+    log: RequestTraceLog, *, request: str = "r-1", at: float = 5.0
+) -> RequestTrace:
+    story = log.start_trace(request.encode(), now=at, wall=1_000.0)
     story.service = "registry"
     story.rank = 1
     return story
 
 
 def test_a_failed_request_is_told_step_by_step(captured: Captured) -> None:
-    log = StoryLog(vm="a")
+    log = RequestTraceLog(vm="a")
     story = build_story(log)
-    story.note(Queued(ahead=3, limit=9), 5.1)
-    story.note(ENDED, 5.4)
-    story.end(Ending.UNKNOWN, status=502, reason="upstream-lost")
-    log.end(story, 5.5)
+    story.record(Queued(ahead=3, limit=9), 5.1)
+    story.record(ENDED, 5.4)
+    story.complete(Completion.UNKNOWN, status=502, reason="upstream-lost")
+    log.log_completed(story, 5.5)
     queued, ended, failed = captured.lines()
     assert queued["event"] == "request_queued"
     assert (queued["ahead"], queued["limit"], queued["step"]) == ("3", "9", "1")
@@ -80,67 +82,67 @@
 
 
 def test_a_served_request_gets_one_line_and_most_get_none(captured: Captured) -> None:
-    log = StoryLog(vm="a")
+    log = RequestTraceLog(vm="a")
     for number in range(100):
         story = build_story(log, request=f"r-{number}")
-        story.note(ENDED, 5.1)
-        story.end(Ending.SERVED, status=200)
-        log.end(story, 5.2)
+        story.record(ENDED, 5.1)
+        story.complete(Completion.SERVED, status=200)
+        log.log_completed(story, 5.2)
     events = captured.events()
     assert set(events) == {"request_served"}
-    assert len(events) + log.served_untold == 100
+    assert len(events) + log.skipped_served == 100
     assert len(events) <= 10
 
 
 def test_a_late_answer_is_told_step_by_step(captured: Captured) -> None:
-    log = StoryLog(vm="a")
+    log = RequestTraceLog(vm="a")
     story = build_story(log)
     story.target_s = 0.4
-    story.note(ENDED, 5.1)
-    story.end(Ending.SERVED, status=200)
-    log.end(story, 5.5)
+    story.record(ENDED, 5.1)
+    story.complete(Completion.SERVED, status=200)
+    log.log_completed(story, 5.5)
     assert captured.events() == ["attempt_ended", "request_late"]
 
 
 def test_a_flood_of_refused_requests_hides_no_lost_answer(captured: Captured) -> None:
-    log = StoryLog(vm="a")
+    log = RequestTraceLog(vm="a")
     for _ in range(1_000):
         story = build_story(log, request="stranger")
-        story.end(Ending.REFUSED, status=404, reason="no route")
-        log.end(story, 5.1)
+        story.complete(Completion.REFUSED, status=404, reason="no route")
+        log.log_completed(story, 5.1)
     lost = build_story(log, request="lost")
-    lost.note(ENDED, 5.2)
-    lost.end(Ending.UNKNOWN, status=502, reason="upstream-lost")
-    log.end(lost, 5.2)
+    lost.record(ENDED, 5.2)
+    lost.complete(Completion.UNKNOWN, status=502, reason="upstream-lost")
+    log.log_completed(lost, 5.2)
     told = [line for line in captured.lines() if line["request"] == "lost"]
     assert [line["event"] for line in told] == ["attempt_ended", "request_failed"]
     assert told[-1]["not_logged"] == str(1_000 - (len(captured.lines()) - 2))
 
 
 def test_failed_requests_beyond_the_bound_are_counted(captured: Captured) -> None:
-    log = StoryLog(vm="a")
+    log = RequestTraceLog(vm="a")
     for _ in range(2 * int(FAILED_BURST)):
         story = build_story(log)
-        story.end(Ending.NOT_RUN, status=503, reason="busy")
-        log.end(story, 5.1)
-    assert log.untold == FAILED_BURST
+        story.complete(Completion.NOT_RUN, status=503, reason="busy")
+        log.log_completed(story, 5.1)
+    assert log.skipped_failed == FAILED_BURST
     assert len(captured.lines()) == FAILED_BURST
 
 
 def test_a_request_without_id_gets_one_that_no_other_has() -> None:
-    log = StoryLog(vm="a")
-    first, second = (log.begin(None, now=1.0, wall=2.0) for _ in range(2))
-    assert first.request != second.request
-    assert not first.is_callers_id
-    assert first.request.startswith("a/")
+    log = RequestTraceLog(vm="a")
+    first, second = (log.start_trace(None, now=1.0, wall=2.0) for _ in range(2))
+    assert first.request_id != second.request_id
+    assert not first.id_is_from_caller
+    assert first.request_id.startswith("a/")
 
 
 def test_an_id_is_bounded_and_steps_are(captured: Captured) -> None:
-    log = StoryLog(vm="a")
+    log = RequestTraceLog(vm="a")
     story = build_story(log, request="x" * 1_000)
     for _ in range(10 * MAX_STEPS):
-        story.note(ENDED, 5.1)
-    story.end(Ending.UNKNOWN, status=502, reason="upstream-lost")
-    log.end(story, 5.2)
+        story.record(ENDED, 5.1)
+    story.complete(Completion.UNKNOWN, status=502, reason="upstream-lost")
+    log.log_completed(story, 5.2)
     assert len(captured.lines()) == MAX_STEPS + 1
     assert len(captured.lines()[0]["request"]) == 64
--- a/packages/daemon/tests/upstreams/test_connection_pool.py
+++ b/packages/daemon/tests/upstreams/test_connection_pool.py
@@ -12,7 +12,7 @@
 from plankspindle_core.endpoint import Endpoint
 from plankspindle_core.http.limits import HttpLimits
 from plankspindle_core.http.server import HttpServer
-from plankspindle_daemon.upstreams.connection_pool import MAX_RESTING
+from plankspindle_daemon.upstreams.connection_pool import MAX_IDLE_PER_ENDPOINT
 from plankspindle_daemon.upstreams.connection_pool import ConnectionPool
 from plankspindle_testkit.loopback_network import host_of_run
 
@@ -98,7 +98,7 @@
         before = pool.open_connections
         await server.close()
         await curio.sleep(0.05)
-        await pool.drop_stale()
+        await pool.discard_stale()
         return before, pool.open_connections
 
     assert run(use) == (1, 0)
@@ -107,10 +107,10 @@
 def test_idle_connections_are_bounded_where_each_request_wants_a_new_one() -> None:
     async def use(pool: ConnectionPool, server: HttpServer) -> int:
         pool.max_per_endpoint = 1_000
-        for _ in range(3 * MAX_RESTING):
+        for _ in range(3 * MAX_IDLE_PER_ENDPOINT):
             acquired = await pool.acquire(server.endpoint, max_idle_s=0.0)
             await exchange(acquired.unwrap())
             await pool.release(acquired.unwrap())
         return pool.open_connections
 
-    assert run(use) == MAX_RESTING
+    assert run(use) == MAX_IDLE_PER_ENDPOINT
--- a/packages/daemon/tests/upstreams/test_health.py
+++ b/packages/daemon/tests/upstreams/test_health.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from plankspindle_daemon.dispatch.messages import Arrived
 from plankspindle_daemon.dispatch.messages import Assign
-from plankspindle_daemon.dispatch.messages import Ended
-from plankspindle_daemon.dispatch.messages import Verdict
+from plankspindle_daemon.dispatch.messages import AttemptCompleted
+from plankspindle_daemon.dispatch.messages import AttemptOutcome
+from plankspindle_daemon.dispatch.messages import RequestArrived
 from plankspindle_daemon.upstreams.health import MAX_BACK_OFF_S
 from plankspindle_daemon.upstreams.health import RAMP_S
 from plankspindle_daemon.upstreams.health import BackedOff
@@ -31,7 +31,7 @@
 
 def back_off(health: UpstreamHealth, now: float) -> float:
     """Back it off, and give when a request may try it."""
-    health.note_refusal(now)
+    health.record_failure(now)
     assert isinstance(health.state, BackedOff)
     return health.state.until
 
@@ -39,12 +39,12 @@
 def test_one_request_tries_an_upstream_until_it_answers() -> None:
     health = build_health()
     until = back_off(health, 0.0)
-    assert health.limit(SHARE, until - 0.01) == 0
-    assert health.limit(SHARE, until) == 1
-    assert health.limit(SHARE, until + 10 * RAMP_S) == 1
-    health.note_success(until + 10 * RAMP_S)
-    assert health.limit(SHARE, until + 10 * RAMP_S) == 1
-    assert health.limit(SHARE, until + 11 * RAMP_S) == SHARE
+    assert health.usable_share(SHARE, until - 0.01) == 0
+    assert health.usable_share(SHARE, until) == 1
+    assert health.usable_share(SHARE, until + 10 * RAMP_S) == 1
+    health.record_success(until + 10 * RAMP_S)
+    assert health.usable_share(SHARE, until + 10 * RAMP_S) == 1
+    assert health.usable_share(SHARE, until + 11 * RAMP_S) == SHARE
 
 
 @pytest.mark.parametrize("sign", ["timeout", "break"])
@@ -53,12 +53,12 @@
     now, waits = 0.0, []
     until = back_off(health, now)
     for _ in range(12):
-        assert health.limit(SHARE, until) == 1
+        assert health.usable_share(SHARE, until) == 1
         now = until + 2.0
         if sign == "timeout":
-            health.note_timeout(now)
+            health.record_timeout(now)
         else:
-            health.note_break(now)
+            health.record_connection_loss(now)
         assert isinstance(health.state, BackedOff)
         waits.append(health.state.until - now)
         until = health.state.until
@@ -68,13 +68,17 @@
 
 def test_a_single_timeout_of_a_trusted_upstream_says_little() -> None:
     health = build_health()
-    health.note_success(0.0)
-    health.note_timeout(5.0)
+    health.record_success(0.0)
+    health.record_timeout(5.0)
     assert isinstance(health.state, Warm)
 
 
-def ended(ticket: Ticket, verdict: Verdict, waited_s: float | None = None) -> Ended:
-    return Ended(ticket=ticket, upstream="u", verdict=verdict, waited_s=waited_s)
+def ended(
+    ticket: Ticket, verdict: AttemptOutcome, waited_s: float | None = None
+) -> AttemptCompleted:
+    return AttemptCompleted(
+        ticket=ticket, upstream="u", outcome=verdict, waited_s=waited_s
+    )
 
 
 @pytest.mark.parametrize(("waited_s", "counts"), [(0.15, False), (3.0, True)])
@@ -84,11 +88,11 @@
     dispatcher = build_dispatcher(slots_by_upstream={"u": 4})
     for number in range(3):
         ticket = build_ticket(number, deadline=100.0)
-        (assigned,) = dispatcher.handle(Arrived(ticket), 10.0)
+        (assigned,) = dispatcher.handle(RequestArrived(ticket), 10.0)
         assert isinstance(assigned, Assign)
     for number in range(3):
         ticket = build_ticket(number, deadline=100.0)
-        left = ended(ticket, Verdict.CANCELLED, waited_s)
+        left = ended(ticket, AttemptOutcome.CANCELLED, waited_s)
         dispatcher.handle(left, 10.0 + waited_s)
     state = dispatcher.upstreams_by_name["u"].health.state
     assert isinstance(state, BackedOff) is counts
@@ -97,10 +101,10 @@
 def test_a_caller_that_leaves_a_busy_upstream_is_no_evidence() -> None:
     dispatcher = build_dispatcher(slots_by_upstream={"u": 4})
     for number in range(4):
-        dispatcher.handle(Arrived(build_ticket(number, deadline=100.0)), 10.0)
-    answered = ended(build_ticket(3, deadline=100.0), Verdict.ANSWERED)
+        dispatcher.handle(RequestArrived(build_ticket(number, deadline=100.0)), 10.0)
+    answered = ended(build_ticket(3, deadline=100.0), AttemptOutcome.ANSWERED)
     dispatcher.handle(answered, 12.0)
     for number in range(3):
         ticket = build_ticket(number, deadline=100.0)
-        dispatcher.handle(ended(ticket, Verdict.CANCELLED, 3.0), 13.0)
+        dispatcher.handle(ended(ticket, AttemptOutcome.CANCELLED, 3.0), 13.0)
     assert isinstance(dispatcher.upstreams_by_name["u"].health.state, Warm)
--- a/packages/daemon/tests/upstreams/test_reported_slots.py
+++ b/packages/daemon/tests/upstreams/test_reported_slots.py
@@ -5,14 +5,14 @@
 import hypothesis.strategies as st
 from hypothesis import given
 
-from plankspindle_daemon.upstreams.cold_gate import MAX_SENDERS
-from plankspindle_daemon.upstreams.cold_gate import MOST_PARTS
-from plankspindle_daemon.upstreams.cold_gate import ColdGate
-from plankspindle_daemon.upstreams.cold_gate import ColdParts
-from plankspindle_daemon.upstreams.cold_gate import cold_part_of
-from plankspindle_daemon.upstreams.reported_slots import FULL_FADES_S
+from plankspindle_daemon.upstreams.average_use import AverageUse
+from plankspindle_daemon.upstreams.cold_limiter import MAX_CACHED_RATES
+from plankspindle_daemon.upstreams.cold_limiter import MAX_COLD_SENDERS
+from plankspindle_daemon.upstreams.cold_limiter import ColdLimiter
+from plankspindle_daemon.upstreams.cold_limiter import ColdRateCache
+from plankspindle_daemon.upstreams.cold_limiter import cold_rate_share
+from plankspindle_daemon.upstreams.reported_slots import FULL_AFTER_SHED_S
 from plankspindle_daemon.upstreams.reported_slots import ReportedSlots
-from plankspindle_daemon.upstreams.usual_use import UsualUse
 
 SLOTS = 4
 MOST = 2 * SLOTS
@@ -32,36 +32,36 @@
 def test_what_others_run_leaves_less_and_fades() -> None:
     slots = ReportedSlots(slots=SLOTS)
     start(slots, 1)
-    slots.note_reported(4, 0.0)
+    slots.record_reported_load(4, 0.0)
     assert slots.load(0.0) == 4
     assert slots.own_allowance(0.0) == MOST - 3
     assert slots.load(60.0) < 1.1
     assert slots.own_allowance(60.0) == MOST
 
 
-def report_of_a_full_service(usual: UsualUse, now: float, use: float = 2.0) -> None:
+def report_of_a_full_service(usual: AverageUse, now: float, use: float = 2.0) -> None:
     for _ in range(64):
-        usual.note(use, now)
+        usual.record(use, now)
 
 
 def test_an_old_report_fades_to_what_is_usual_among_the_services_upstreams() -> None:
-    usual = UsualUse()
-    slots = ReportedSlots(slots=SLOTS, usual=usual)
-    slots.note_reported(0, 0.0)
+    usual = AverageUse()
+    slots = ReportedSlots(slots=SLOTS, average_use=usual)
+    slots.record_reported_load(0, 0.0)
     report_of_a_full_service(usual, 0.0, use=3.0)
     assert slots.load(0.0) < 0.5
     for tenth in range(60):
         report_of_a_full_service(usual, tenth / 10, use=3.0)
     assert slots.load(6.0) > 2.7 * SLOTS
     assert slots.own_allowance(6.0) == 0
-    slots.note_reported(1, 6.0)
+    slots.record_reported_load(1, 6.0)
     assert slots.own_allowance(6.0) == MOST - 1
 
 
 def test_a_vm_that_hears_nothing_more_tries_a_full_service_again() -> None:
-    usual = UsualUse()
-    slots = ReportedSlots(slots=SLOTS, usual=usual)
-    slots.note_reported(2 * SLOTS, 0.0)
+    usual = AverageUse()
+    slots = ReportedSlots(slots=SLOTS, average_use=usual)
+    slots.record_reported_load(2 * SLOTS, 0.0)
     report_of_a_full_service(usual, 0.0)
     assert slots.own_allowance(0.0) == 0
     assert slots.own_allowance(2.0) > 0
@@ -69,36 +69,36 @@
 
 
 def test_an_upstream_that_never_answered_gets_a_request_that_finds_out() -> None:
-    usual = UsualUse()
+    usual = AverageUse()
     report_of_a_full_service(usual, 0.0, use=5.0)
-    slots = ReportedSlots(slots=SLOTS, usual=usual)
+    slots = ReportedSlots(slots=SLOTS, average_use=usual)
     assert slots.load(0.0) == SLOTS
     assert slots.own_allowance(0.0) == MOST - SLOTS
 
 
 def test_reports_of_one_upstream_are_heard_by_the_others() -> None:
-    usual = UsualUse()
-    first = ReportedSlots(slots=SLOTS, usual=usual)
-    second = ReportedSlots(slots=SLOTS, usual=usual)
+    usual = AverageUse()
+    first = ReportedSlots(slots=SLOTS, average_use=usual)
+    second = ReportedSlots(slots=SLOTS, average_use=usual)
     for _ in range(64):
-        first.note_reported(SLOTS, 0.0)
+        first.record_reported_load(SLOTS, 0.0)
     assert second.load(0.0) > 0.9 * SLOTS
 
 
 def test_a_report_that_tells_less_than_own_requests_gains_nothing() -> None:
     slots = ReportedSlots(slots=SLOTS)
     start(slots, 3)
-    slots.note_reported(0, 0.0)
+    slots.record_reported_load(0, 0.0)
     assert slots.load(0.0) == 3
 
 
 def test_an_upstream_that_shed_gets_nothing_more_for_a_while() -> None:
     slots = ReportedSlots(slots=SLOTS)
     start(slots, 1)
-    slots.note_full(0.0)
+    slots.record_shed(0.0)
     assert slots.own_allowance(0.1) == 1
     assert slots.load(0.1) > SLOTS
-    assert slots.own_allowance(FULL_FADES_S) == MOST
+    assert slots.own_allowance(FULL_AFTER_SHED_S) == MOST
 
 
 def test_the_oldest_running_request_is_known() -> None:
@@ -120,8 +120,10 @@
 ) -> None:
     names = [f"vm-{number}" for number in range(vms)]
     gates = [
-        ColdGate(
-            per_s=cold_part_of(vm=name, others=names, upstream="u", per_s=per_s),
+        ColdLimiter(
+            rate_per_s=cold_rate_share(
+                vm=name, others=names, upstream="u", total_rate_per_s=per_s
+            ),
             until=1e9,
         )
         for name in names
@@ -131,34 +133,39 @@
         now += gap
         for gate in gates:
             if gate.allows(now):
-                gate.take(now)
+                gate.record_sent(now)
                 sent.append(now)
     for first in sent:
         in_a_second = sum(first <= each < first + 1.0 for each in sent)
-        assert in_a_second <= MAX_SENDERS + per_s + 1e-6
+        assert in_a_second <= MAX_COLD_SENDERS + per_s + 1e-6
 
 
 def test_a_warm_upstream_is_not_bound() -> None:
-    gate = ColdGate(per_s=0.0, until=5.0)
+    gate = ColdLimiter(rate_per_s=0.0, until=5.0)
     assert not gate.allows(4.9)
     assert gate.allows(5.0)
 
 
 def test_remembered_parts_are_those_of_the_present_members() -> None:
-    members = tuple(f"vm-{number}" for number in range(3 * MAX_SENDERS))
-    parts = ColdParts(vm=members[0])
+    members = tuple(f"vm-{number}" for number in range(3 * MAX_COLD_SENDERS))
+    parts = ColdRateCache(vm=members[0])
     names = [f"u{number}" for number in range(20)]
-    for others in (members, members, members[:MAX_SENDERS], members):
+    for others in (members, members, members[:MAX_COLD_SENDERS], members):
         for per_s in (8.0, 16.0):
-            assert [parts.of(name, members=others, per_s=per_s) for name in names] == [
-                cold_part_of(vm=members[0], others=others, upstream=name, per_s=per_s)
+            assert [
+                parts.rate_per_s(name, members=others, total_rate_per_s=per_s)
+                for name in names
+            ] == [
+                cold_rate_share(
+                    vm=members[0], others=others, upstream=name, total_rate_per_s=per_s
+                )
                 for name in names
             ]
 
 
 def test_parts_of_upstreams_that_come_and_go_are_forgotten() -> None:
-    parts = ColdParts(vm="a")
+    parts = ColdRateCache(vm="a")
     members = ("a", "b")
-    for number in range(2 * MOST_PARTS):
-        parts.of(f"u{number}", members=members, per_s=1.0)
-    assert len(parts._part_by_place) <= MOST_PARTS
+    for number in range(2 * MAX_CACHED_RATES):
+        parts.rate_per_s(f"u{number}", members=members, total_rate_per_s=1.0)
+    assert len(parts._part_by_place) <= MAX_CACHED_RATES
--- a/packages/testkit/src/plankspindle_testkit/bench/drain_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/drain_bench.py
@@ -67,7 +67,7 @@
             deadline=now + 600.0,
             expected_s=took if knows_durations else 0.0,
         )
-        for effect in dispatcher.handle(d.Arrived(ticket), now):
+        for effect in dispatcher.handle(d.RequestArrived(ticket), now):
             if isinstance(effect, d.Assign):
                 running.append((now + took, ticket, effect.upstream))
                 if effect.upstream == "u0" and now + took > LEAVES_AT_S:
@@ -79,8 +79,10 @@
 def _announce(dispatcher: Dispatcher, now: float) -> None:
     if now >= LEAVES_AT_S - NOTICE_S:
         report = LoadReport(leaves_at=LEAVES_AT_S)
-        dispatcher.handle(d.Probed(upstream="u0", report=report, wall=now), now)
+        dispatcher.handle(d.ProbeCompleted(upstream="u0", report=report, wall=now), now)
 
 
-def _ended(ticket: Ticket, upstream: str) -> d.Ended:
-    return d.Ended(ticket=ticket, upstream=upstream, verdict=d.Verdict.CANCELLED)
+def _ended(ticket: Ticket, upstream: str) -> d.AttemptCompleted:
+    return d.AttemptCompleted(
+        ticket=ticket, upstream=upstream, outcome=d.AttemptOutcome.CANCELLED
+    )
--- a/packages/testkit/src/plankspindle_testkit/bench/headroom_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/headroom_bench.py
@@ -11,8 +11,8 @@
 from attrs import field
 
 from plankspindle_core.endpoint import Endpoint
-from plankspindle_daemon.headroom.grant_book import GrantBook
-from plankspindle_daemon.headroom.grant_book import HeldGrant
+from plankspindle_daemon.headroom.grant_table import GrantTable
+from plankspindle_daemon.headroom.grant_table import HeldGrant
 from plankspindle_daemon.headroom.headroom_ledger import HeadroomLedger
 from plankspindle_daemon.peer_messages.headroom_messages import HeadroomGrant
 from plankspindle_daemon.peer_messages.headroom_messages import HeadroomRequest
@@ -81,7 +81,7 @@
     in_time_by_home: dict[str, int] = field(factory=dict)
     sent_by_home: dict[str, int] = field(factory=dict)
     _regions: dict[str, _Region] = field(factory=dict)
-    _books: dict[str, GrantBook] = field(factory=dict)
+    _books: dict[str, GrantTable] = field(factory=dict)
     _events: list[tuple[float, int, str, _Job | None]] = field(factory=list)
     _numbers: count[int] = field(factory=count)
 
@@ -89,7 +89,7 @@
         """Run to the end."""
         random = Random(self.seed)
         self._regions = {name: _Region() for name in TARGETS}
-        self._books = {name: GrantBook(incarnation=1) for name in TARGETS}
+        self._books = {name: GrantTable(incarnation=1) for name in TARGETS}
         self._plan(random)
         while self._events:
             now, _, kind, job = heapq.heappop(self._events)
@@ -120,7 +120,7 @@
 
     def _ask(self, name: str, region: _Region, now: float) -> None:
         book = self._books[name]
-        wanted = book.wanted(service="s", region=name, now=now)
+        wanted = book.take_demand(service="s", region=name, now=now)
         if wanted == 0 or region.queue:
             return
         request = HeadroomRequest(
@@ -131,14 +131,14 @@
             duration_ms=int(GRANT_S * 1000),
             incarnation=1,
         )
-        book.note_asked(request, region=name, endpoint=Endpoint("::1", 1), now=now)
+        book.record_request(request, region=name, endpoint=Endpoint("::1", 1), now=now)
         granted = region.ledger.grant(
             request_id=request.request_id,
-            wanted=request.count,
+            requested=request.count,
             capacity=SLOTS,
             in_flight=region.running,
             now=now,
-            until=now + GRANT_S,
+            valid_until=now + GRANT_S,
         )
         if granted:
             grant = HeadroomGrant(
@@ -149,7 +149,7 @@
                 duration_ms=request.duration_ms,
                 holder_incarnation=1,
             )
-            book.take_grant(grant, now + 2 * REGION_DELAY_S)
+            book.accept_grant(grant, now + 2 * REGION_DELAY_S)
 
     def _arrive(self, job: _Job, now: float, random: Random) -> None:
         counted = now >= FAILS_AT_S
@@ -170,11 +170,11 @@
             job.region = min(TARGETS, key=lambda name: loads[name])
             return True
         for name in TARGETS:
-            held = self._books[name].use(service="s", region=name, now=now)
+            held = self._books[name].acquire(service="s", region=name, now=now)
             if held is None:
                 continue
             if not self._regions[name].ledger.begin(held.request_id, now):
-                self._books[name].give_back(held)
+                self._books[name].release(held)
                 continue
             job.held = held
             job.region = name
@@ -194,7 +194,7 @@
         region.running -= 1
         if job.held is not None:
             region.ledger.end(job.held.request_id)
-            self._books[job.region].give_back(job.held)
+            self._books[job.region].release(job.held)
         if now - job.arrived_at <= TIMEOUT_S and job.arrived_at >= FAILS_AT_S:
             self.in_time_by_home[job.home] = self.in_time_by_home.get(job.home, 0) + 1
         self._serve(region, now, random)
