--- a/packages/testkit/src/plankspindle_testkit/bench/log_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/log_bench.py
@@ -14,14 +14,14 @@
 from plankspindle_core.logs.key_value_destination import KeyValueDestination
 from plankspindle_core.logs.line_writer import LineWriter
 from plankspindle_daemon.observability.metrics import RequestMetrics
-from plankspindle_daemon.stories.steps import AttemptEnded
-from plankspindle_daemon.stories.steps import Placed
-from plankspindle_daemon.stories.steps import Ran
-from plankspindle_daemon.stories.steps import Rejected
-from plankspindle_daemon.stories.steps import Routed
-from plankspindle_daemon.stories.steps import Sent
-from plankspindle_daemon.stories.story import Ending
-from plankspindle_daemon.stories.story_log import StoryLog
+from plankspindle_daemon.traces.request_trace import Completion
+from plankspindle_daemon.traces.request_trace_log import RequestTraceLog
+from plankspindle_daemon.traces.steps import AttemptEnded
+from plankspindle_daemon.traces.steps import Executed
+from plankspindle_daemon.traces.steps import Placed
+from plankspindle_daemon.traces.steps import Rejected
+from plankspindle_daemon.traces.steps import Routed
+from plankspindle_daemon.traces.steps import Sent
 from plankspindle_testkit.bench.proxy_bench import PLACE
 from plankspindle_testkit.bench.proxy_bench import SERVICES
 from plankspindle_testkit.bench.proxy_bench import load_endpoint
@@ -32,7 +32,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from plankspindle_daemon.stories.story import Story
+    from plankspindle_daemon.traces.request_trace import RequestTrace
 
 STORIES = 5_000
 RUNNING = 1_000
@@ -91,30 +91,30 @@
     return ticks / os.sysconf("SC_CLK_TCK")
 
 
-def _story_us(make: Callable[[StoryLog], Story]) -> float:
+def _story_us(make: Callable[[RequestTraceLog], RequestTrace]) -> float:
     """Processor time of a story, its lines written to a file, bounds lifted."""
     metrics = RequestMetrics()
     with Path(os.devnull).open("wb") as sink:
         destination = KeyValueDestination(sink=LineWriter(descriptor=sink.fileno()))
         eliot.add_destinations(destination)
-        log = StoryLog(vm="a")
+        log = RequestTraceLog(vm="a")
         began = time.process_time()
         for _ in range(STORIES):
             if make is not _serve:
                 # A bucket that was never used is full, so all steps are logged.
-                log = StoryLog(vm="a")
+                log = RequestTraceLog(vm="a")
                 destination._buckets_by_event.clear()
             story = make(log)
             metrics.note_request(story, 1.0)
-            log.end(story, 1.0)
+            log.log_completed(story, 1.0)
             destination.flush(1.0)
         used_s = time.process_time() - began
         eliot.remove_destination(destination)
     return 1e6 * used_s / STORIES
 
 
-def _begin(log: StoryLog) -> Story:
-    story = log.begin(b"9c41d07be2a35f68", now=0.0, wall=1e9)
+def _begin(log: RequestTraceLog) -> RequestTrace:
+    story = log.start_trace(b"9c41d07be2a35f68", now=0.0, wall=1e9)
     routed = Routed(
         service="registry",
         operation="plates",
@@ -126,11 +126,11 @@
         version=7,
         version_age_ms=60_000,
     )
-    story.note(routed, 0.0)
+    story.record(routed, 0.0)
     return story
 
 
-def _note_attempt(story: Story, *, came: str, ran: Ran) -> None:
+def _note_attempt(story: RequestTrace, *, came: str, ran: Executed) -> None:
     placed = Placed(
         upstream="i-7f3a91c2",
         own_load=1,
@@ -142,10 +142,10 @@
         hit=True,
         leaves_region=False,
     )
-    story.note(placed, 0.0)
+    story.record(placed, 0.0)
     to = "10.1.64.3:8080"
     sent = Sent(attempt=1, to=to, connection="reused", deadline_ms=2_480, rested_ms=90)
-    story.note(sent, 0.0)
+    story.record(sent, 0.0)
     ended = AttemptEnded(
         attempt=1,
         upstream="i-7f3a91c2",
@@ -154,17 +154,17 @@
         ran=ran,
         took_ms=180,
     )
-    story.note(ended, 0.2)
+    story.record(ended, 0.2)
 
 
-def _serve(log: StoryLog) -> Story:
+def _serve(log: RequestTraceLog) -> RequestTrace:
     story = _begin(log)
-    _note_attempt(story, came="status 200", ran=Ran.YES)
-    story.end(Ending.SERVED, status=200)
+    _note_attempt(story, came="status 200", ran=Executed.YES)
+    story.complete(Completion.SERVED, status=200)
     return story
 
 
-def _reject(log: StoryLog) -> Story:
+def _reject(log: RequestTraceLog) -> RequestTrace:
     story = _begin(log)
     rejected = Rejected(
         reason="busy",
@@ -175,20 +175,20 @@
         usual_ms=200,
         left_ms=2_400,
     )
-    story.note(rejected, 0.1)
-    story.end(Ending.NOT_RUN, status=503, reason="busy", retry_after_s=0.4)
+    story.record(rejected, 0.1)
+    story.complete(Completion.NOT_RUN, status=503, reason="busy", retry_after_s=0.4)
     return story
 
 
-def _lose(log: StoryLog) -> Story:
+def _lose(log: RequestTraceLog) -> RequestTrace:
     story = _begin(log)
-    _note_attempt(story, came="connection lost: reset", ran=Ran.MAYBE)
-    story.end(Ending.UNKNOWN, status=502, reason="upstream-lost")
+    _note_attempt(story, came="connection lost: reset", ran=Executed.MAYBE)
+    story.complete(Completion.UNKNOWN, status=502, reason="upstream-lost")
     return story
 
 
 def _bytes_a_story() -> float:
-    log = StoryLog(vm="a")
+    log = RequestTraceLog(vm="a")
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     stories = [_serve(log) for _ in range(RUNNING)]
--- a/packages/testkit/src/plankspindle_testkit/bench/lookup_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/lookup_bench.py
@@ -104,7 +104,7 @@
         site_by_prefix=blocks,
     )
     steering = Steering(configuration=configuration, home_domain="d0")
-    steering.use_vms(
+    steering.update_vms(
         EntryVm(
             name=f"vm-{number}",
             failure_domain=f"d{number % DOMAINS}",
--- a/packages/testkit/src/plankspindle_testkit/bench/policy_model.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/policy_model.py
@@ -140,17 +140,19 @@
 
     def arrive(self, ticket: Ticket, now: float) -> list[Start | Refuse]:
         """Take a new request."""
-        return self._handle(d.Arrived(ticket), now)
+        return self._handle(d.RequestArrived(ticket), now)
 
     def end(
         self, ticket: Ticket, upstream: str, took_s: float, now: float
     ) -> list[Start | Refuse]:
         """Take the end of a request."""
         in_time = now < ticket.deadline
-        ended = d.Ended(
+        ended = d.AttemptCompleted(
             ticket=ticket,
             upstream=upstream,
-            verdict=d.Verdict.ANSWERED if in_time else d.Verdict.TIMED_OUT,
+            outcome=d.AttemptOutcome.ANSWERED
+            if in_time
+            else d.AttemptOutcome.TIMED_OUT,
             head_s=took_s if in_time else None,
             total_s=took_s if in_time else None,
         )
@@ -168,9 +170,11 @@
                     decisions.append(Start(ticket, upstream))
                 case d.Reject(ticket=ticket):
                     decisions.append(Refuse(ticket))
-                case d.Probe(upstream=upstream):
+                case d.SendProbe(upstream=upstream):
                     report = LoadReport()
-                    probed = d.Probed(upstream=upstream, report=report, wall=now)
+                    probed = d.ProbeCompleted(
+                        upstream=upstream, report=report, wall=now
+                    )
                     decisions += self._handle(probed, now)
                 case _:
                     pass
--- a/packages/testkit/src/plankspindle_testkit/bench/sharing_slopes.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/sharing_slopes.py
@@ -55,7 +55,7 @@
     def hear() -> None:
         news = sealer.open(frame).and_then(decode).unwrap()
         assert isinstance(news, ListNews)
-        reads.take_news(news, LONG_S)
+        reads.apply_update(news, LONG_S)
 
     return median_ms(hear)
 
@@ -69,7 +69,7 @@
 
 
 def _read_list(reads: SharedReads, *, version: int) -> list[SendToPeer]:
-    return reads.note_list_read(
+    return reads.record_list_read(
         UPSTREAMS,
         version=version,
         configuration_version=1,
--- a/packages/testkit/src/plankspindle_testkit/bench/size_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/size_bench.py
@@ -7,10 +7,10 @@
 
 from attrs import frozen
 
-from plankspindle_daemon.beliefs.belief_watch import BeliefWatch
 from plankspindle_daemon.membership.messages import HeartbeatReceived
 from plankspindle_daemon.membership.messages import LiveListRead
 from plankspindle_daemon.platform.bounded_calls import BoundedCalls
+from plankspindle_daemon.status_changes.status_monitor import StatusMonitor
 from plankspindle_daemon.wire.codec import decode
 from plankspindle_daemon.wire.codec import encode
 from plankspindle_daemon.wire.frame import FrameSealer
@@ -86,7 +86,7 @@
         for _ in range(100):
             heartbeat = sealer.open(next(rest)).and_then(decode).unwrap()
             event = HeartbeatReceived(heartbeat)  # type: ignore[arg-type]
-            node.take_membership(event, now=START, wall=WALL)
+            node.handle_membership(event, now=START, wall=WALL)
 
     return median_ms(receive) / 100
 
@@ -103,7 +103,7 @@
     node = build_fleet_node(fleet, now=START)
     listed = tuple(fleet.listed())
     return median_ms(
-        lambda: node.take_membership(LiveListRead(listed), now=START, wall=WALL)
+        lambda: node.handle_membership(LiveListRead(listed), now=START, wall=WALL)
     )
 
 
@@ -113,14 +113,14 @@
     whole = tuple(fleet.listed())
     lists = iter((whole[1:], whole) * 10)
     return median_ms(
-        lambda: node.take_membership(LiveListRead(next(lists)), now=START, wall=WALL)
+        lambda: node.handle_membership(LiveListRead(next(lists)), now=START, wall=WALL)
     )
 
 
 def watch_ms(fleet: Fleet) -> float:
     """Compare what is believed with what was believed before."""
     node = build_fleet_node(fleet, now=START)
-    watch = BeliefWatch()
+    watch = StatusMonitor()
     calls = BoundedCalls(timeout_s=0.5)
     watch.observe(node, calls, START)
     return median_ms(lambda: watch.observe(node, calls, START))
@@ -134,8 +134,8 @@
     node = build_empty_node(fleet)
     node.adopt(fleet.configuration(), version=1, now=START)
     for heartbeat in heartbeats:
-        node.take_membership(HeartbeatReceived(heartbeat), now=START, wall=WALL)
-    node.take_membership(LiveListRead(listed), now=START, wall=WALL)
+        node.handle_membership(HeartbeatReceived(heartbeat), now=START, wall=WALL)
+    node.handle_membership(LiveListRead(listed), now=START, wall=WALL)
     return 1000 * (time.process_time() - began)
 
 
--- a/packages/testkit/src/plankspindle_testkit/bench/slopes_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/slopes_bench.py
@@ -124,9 +124,9 @@
     node = _build_reported_node(upstreams)
     placement = node.dispatchers_by_service["registry"].placement
     assert placement is not None
-    orders = placement.orders
+    orders = placement.rankings
     for number in range(400):
-        orders.of(f"k{number}")
+        orders.get(f"k{number}")
     domain_by_name = dict(orders.domain_by_name)
     numbers = iter(range(10**6))
 
@@ -134,7 +134,7 @@
         number = next(numbers)
         del domain_by_name[f"u{number}"]
         domain_by_name[f"new{number}"] = "ba-1"
-        orders.use(domain_by_name)
+        orders.set_upstreams(domain_by_name)
 
     return median_ms(change)
 
@@ -152,7 +152,7 @@
     for place in places[1:]:
         other = TrialVm.start(place, seeds=[], random=Random(place.name), now=0.0)
         heartbeat = other.node.heartbeat(now=0.1)
-        node.take_membership(
+        node.handle_membership(
             membership.HeartbeatReceived(heartbeat), now=0.1, wall=WALL
         )
     return node
@@ -186,22 +186,22 @@
             heartbeat = sealer.open(next(rest)).and_then(decode).unwrap()
             assert isinstance(heartbeat, Heartbeat)
             event = membership.HeartbeatReceived(heartbeat)
-            node.take_membership(event, now=0.3, wall=WALL)
+            node.handle_membership(event, now=0.3, wall=WALL)
 
     return median_ms(receive) / 100
 
 
 def _serve_one(node: Node, ticket: Ticket) -> None:
-    arrived = node.take_dispatch("registry", dispatch.Arrived(ticket), 3.0)
+    arrived = node.handle_dispatch("registry", dispatch.RequestArrived(ticket), 3.0)
     upstream = arrived[0].effect.upstream  # type: ignore[union-attr]
-    ended = dispatch.Ended(
+    ended = dispatch.AttemptCompleted(
         ticket=ticket,
         upstream=upstream,
-        verdict=dispatch.Verdict.ANSWERED,
+        outcome=dispatch.AttemptOutcome.ANSWERED,
         head_s=0.01,
         total_s=0.01,
     )
-    node.take_dispatch("registry", ended, 3.0)
+    node.handle_dispatch("registry", ended, 3.0)
 
 
 def _dispatch_ms(upstreams: int) -> float:
@@ -275,7 +275,9 @@
 
     def read() -> None:
         listed = parse_live_list(json.loads(content)).unwrap()
-        node.take_membership(membership.LiveListRead(tuple(listed)), now=9.0, wall=WALL)
+        node.handle_membership(
+            membership.LiveListRead(tuple(listed)), now=9.0, wall=WALL
+        )
 
     return median_ms(read)
 
@@ -284,11 +286,15 @@
     """Add up the load of all failure domains for a plan."""
     node = _build_node(1)
     node.tick(now=3.0, wall=WALL)
-    digest = node.talk.own_digest(node.dispatchers_by_service, node.version, 3.0)
+    digest = node.digest_exchange.own_digest(
+        node.dispatchers_by_service, node.version, 3.0
+    )
     for number in range(senders):
-        node.talk.digests.take(evolve(digest, sender=f"vm-{number}"), 3.0)
+        node.digest_exchange.digests.take(evolve(digest, sender=f"vm-{number}"), 3.0)
     return median_ms(
-        lambda: node.talk.digests.load_of(service="registry", domains={"ba-1"}, now=3.0)
+        lambda: node.digest_exchange.digests.load_of(
+            service="registry", domains={"ba-1"}, now=3.0
+        )
     )
 
 
--- a/packages/testkit/src/plankspindle_testkit/builders.py
+++ b/packages/testkit/src/plankspindle_testkit/builders.py
@@ -24,9 +24,9 @@
 from plankspindle_daemon.admission.class_queue import ClassQueue
 from plankspindle_daemon.admission.ticket import Ticket
 from plankspindle_daemon.dispatch.dispatcher import Dispatcher
-from plankspindle_daemon.dispatch.measured_distances import MeasuredDistances
+from plankspindle_daemon.dispatch.domain_distances import DomainDistances
 from plankspindle_daemon.dispatch.placement import Placement
-from plankspindle_daemon.dispatch.region_limiter import RegionLimiter
+from plankspindle_daemon.dispatch.spillover_limiter import SpilloverLimiter
 from plankspindle_daemon.membership.member import Member
 from plankspindle_daemon.membership.membership import Membership
 from plankspindle_daemon.membership.membership_options import MembershipOptions
@@ -269,7 +269,7 @@
         incarnation=1,
         random=random,
         queue=ClassQueue(limit=queue_limit),
-        probe_s=1.0,
+        probe_period_s=1.0,
         upstreams_by_name=upstreams,
     )
 
@@ -283,12 +283,12 @@
         The upstreams, all in the home domain.
     """
     dispatcher = build_dispatcher(slots_by_upstream={})
-    distances = MeasuredDistances(home_domain="ba-1")
-    distances.use(build_configuration())
+    distances = DomainDistances(home_domain="ba-1")
+    distances.set_configuration(build_configuration())
     dispatcher.placement = Placement(
-        distances=distances, limiter=RegionLimiter(), random=Random(1)
+        distances=distances, limiter=SpilloverLimiter(), random=Random(1)
     )
-    dispatcher.placement.orders.use(dict.fromkeys(names, "ba-1"))
+    dispatcher.placement.rankings.set_upstreams(dict.fromkeys(names, "ba-1"))
     for name in names:
         dispatcher.upstreams_by_name[name] = build_reported_upstream(name, slots=1)
     return dispatcher
@@ -331,9 +331,9 @@
     return Member(
         name=name,
         peer_endpoint=Endpoint("127.0.0.1", 1),
-        counted_since=0.0,
+        known_since=0.0,
         failure_domain=failure_domain,
-        last_heard=last_heard,
+        last_heartbeat_at=last_heard,
     )
 
 
--- a/packages/testkit/src/plankspindle_testkit/fleet_node.py
+++ b/packages/testkit/src/plankspindle_testkit/fleet_node.py
@@ -162,8 +162,8 @@
             incarnation=1,
             secret=b"s" * 32,
             ttl_s=60.0,
-            memory_s=60.0,
-            max_remembered=10_000,
+            retention_s=60.0,
+            max_retained=10_000,
         ),
         leave=Leave(leave_s=60.0),
         needs_list=True,
@@ -186,8 +186,8 @@
     """
     node = build_empty_node(fleet)
     node.adopt(fleet.configuration(), version=1, now=now)
-    node.take_membership(LiveListRead(tuple(fleet.listed())), now=now, wall=WALL)
+    node.handle_membership(LiveListRead(tuple(fleet.listed())), now=now, wall=WALL)
     for number in range(1, fleet.vms):
         event = HeartbeatReceived(fleet.heartbeat(number, sequence=1))
-        node.take_membership(event, now=now, wall=WALL)
+        node.handle_membership(event, now=now, wall=WALL)
     return node
--- a/packages/testkit/src/plankspindle_testkit/lab/deployment.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/deployment.py
@@ -9,7 +9,7 @@
 from attrs import field
 
 from plankspindle_core.configuration.configuration import Configuration
-from plankspindle_daemon.steering.steering import ENOUGH_IN_DOMAIN
+from plankspindle_daemon.steering.steering import SUFFICIENT_VMS_IN_DOMAIN
 from plankspindle_testkit.lab.lab_vm import LabVm
 from plankspindle_testkit.lab.lab_vm import configuration_of
 from plankspindle_testkit.lab.lab_vm import vm_names
@@ -91,7 +91,7 @@
         regions = self.pattern.region_by_domain
         up = self.running_vms()
         own = [each for each in up if each.domain == domain]
-        if len(own) >= ENOUGH_IN_DOMAIN:
+        if len(own) >= SUFFICIENT_VMS_IN_DOMAIN:
             return self.random.choice(own)
         near = [each for each in up if regions[each.domain] == regions[domain]]
         return self.random.choice(near or up) if up else None
--- a/packages/testkit/src/plankspindle_testkit/lab/ends.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/ends.py
@@ -4,9 +4,9 @@
 
 from typing import TYPE_CHECKING
 
-from plankspindle_daemon.dispatch.messages import Ended
-from plankspindle_daemon.dispatch.messages import Stated
-from plankspindle_daemon.dispatch.messages import Verdict
+from plankspindle_daemon.dispatch.messages import AttemptCompleted
+from plankspindle_daemon.dispatch.messages import AttemptOutcome
+from plankspindle_daemon.dispatch.messages import StatementReceived
 
 if TYPE_CHECKING:
     from plankspindle_daemon.upstreams.upstream_statement import UpstreamStatement
@@ -17,10 +17,10 @@
 def ended_of(
     handled: Handled,
     upstream: str,
-    verdict: Verdict,
+    verdict: AttemptOutcome,
     now: float,
     load: int | None = None,
-) -> Ended:
+) -> AttemptCompleted:
     """Give the end of the present attempt of a request.
 
     Parameters
@@ -29,17 +29,17 @@
         The request.
     upstream : str
         Where it was.
-    verdict : Verdict
+    verdict : AttemptOutcome
         How it ended.
     now : float
         Seconds of the run.
     load : int, optional
         Requests that ran and waited there, as the answer told.
     """
-    return Ended(
+    return AttemptCompleted(
         ticket=handled.ticket,
         upstream=upstream,
-        verdict=verdict,
+        outcome=verdict,
         reported_load=load,
         incarnation=handled.incarnation,
         waited_s=now - handled.sent_at,
@@ -48,7 +48,7 @@
 
 def answered_of(
     handled: Handled, upstream: str, told: AnswerTold, connect_s: float, now: float
-) -> Ended:
+) -> AttemptCompleted:
     """Give the end of the present attempt of a request that was answered.
 
     Parameters
@@ -63,10 +63,10 @@
         Time that a connection needs, and now, in seconds.
     """
     took_s = now - handled.sent_at
-    return Ended(
+    return AttemptCompleted(
         ticket=handled.ticket,
         upstream=upstream,
-        verdict=Verdict.ANSWERED,
+        outcome=AttemptOutcome.ANSWERED,
         head_s=took_s,
         total_s=took_s,
         connect_s=connect_s,
@@ -75,19 +75,21 @@
     )
 
 
-def given_back(handled: Handled, upstream: str, incarnation: int) -> Ended:
+def given_back(handled: Handled, upstream: str, incarnation: int) -> AttemptCompleted:
     """Give the end of a request that is not sent to the upstream that it got."""
-    return Ended(
+    return AttemptCompleted(
         ticket=handled.ticket,
         upstream=upstream,
-        verdict=Verdict.CANCELLED,
+        outcome=AttemptOutcome.CANCELLED,
         incarnation=incarnation,
     )
 
 
-def stated_of(handled: Handled, upstream: str, statement: UpstreamStatement) -> Stated:
+def stated_of(
+    handled: Handled, upstream: str, statement: UpstreamStatement
+) -> StatementReceived:
     """Give what an upstream said of itself in its answer to a request."""
-    return Stated(
+    return StatementReceived(
         upstream=upstream,
         incarnation=handled.incarnation,
         statement=statement,
--- a/packages/testkit/src/plankspindle_testkit/lab/exchanges.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/exchanges.py
@@ -11,14 +11,14 @@
 from attrs import define
 from attrs import field
 
-from plankspindle_daemon.dispatch.messages import Arrived
 from plankspindle_daemon.dispatch.messages import Assign
-from plankspindle_daemon.dispatch.messages import Ended
+from plankspindle_daemon.dispatch.messages import AttemptCompleted
+from plankspindle_daemon.dispatch.messages import AttemptOutcome
 from plankspindle_daemon.dispatch.messages import Reject
-from plankspindle_daemon.dispatch.messages import Verdict
-from plankspindle_daemon.dispatch.messages import Withdrawn
-from plankspindle_daemon.exchange import patience
-from plankspindle_daemon.node.effects import OfService
+from plankspindle_daemon.dispatch.messages import RequestArrived
+from plankspindle_daemon.dispatch.messages import RequestWithdrawn
+from plankspindle_daemon.exchange import attempt_timeout
+from plankspindle_daemon.node.effects import ServiceEffect
 from plankspindle_daemon.peer_messages.peer_message import SendToPeer
 from plankspindle_daemon.quarantine.quarantine_list import QuarantineEntry
 from plankspindle_testkit.lab.clock import Clock
@@ -124,7 +124,7 @@
             match effect:
                 case SendToPeer():
                     self.network.send(vm, [effect])
-                case OfService(effect=Assign() | Reject() as decided):
+                case ServiceEffect(effect=Assign() | Reject() as decided):
                     self._take_decision(decided)
                 case _:
                     pass
@@ -154,7 +154,7 @@
     def _is_held_back(self, handled: Handled, holding: Holding) -> bool:
         entry = holding(handled.request.identity, self.clock.now)
         if entry is not None:
-            self._refuse(handled, entry.trial_at - self.clock.now)
+            self._refuse(handled, entry.next_probe_at - self.clock.now)
         return entry is not None
 
     def _place(self, handled: Handled) -> None:
@@ -162,10 +162,10 @@
         if handled.may_have_run and quarantine.is_suspected(identity):
             self._end(handled, Outcome.FAILED)
             return
-        if self._is_held_back(handled, quarantine.holding):
+        if self._is_held_back(handled, quarantine.blocking_entry):
             return
         if self.oracle is None:
-            self._tell(handled, Arrived(handled.ticket))
+            self._tell(handled, RequestArrived(handled.ticket))
             return
         upstream = self.oracle.choose(
             handled.request.operation,
@@ -178,7 +178,11 @@
         else:
             self._send(handled, upstream.name, upstream.incarnation)
 
-    def _tell(self, handled: Handled, event: Arrived | Ended | Withdrawn) -> None:
+    def _tell(
+        self,
+        handled: Handled,
+        event: RequestArrived | AttemptCompleted | RequestWithdrawn,
+    ) -> None:
         self.handle(handled.vm, handled.service, event)
 
     def _refuse(self, handled: Handled, retry_after_s: float) -> None:
@@ -193,7 +197,7 @@
         self.finish(handled.request, outcome)
 
     def _send(self, handled: Handled, upstream: str, incarnation: int) -> None:
-        if self._is_held_back(handled, handled.vm.quarantine.holding_or_trial):
+        if self._is_held_back(handled, handled.vm.quarantine.blocking_entry_on_send):
             self._tell(handled, given_back(handled, upstream, incarnation))
             return
         handled.upstream, handled.incarnation = upstream, incarnation
@@ -223,8 +227,11 @@
 
     def _watch(self, handled: Handled, attempt: int) -> None:
         dispatcher = handled.vm.book.dispatchers_by_service[handled.service]
-        usual_s = dispatcher.usual_s(handled.ticket)
-        wait_s = max(patience.MIN_PATIENCE_S, patience.PATIENCE * usual_s)
+        usual_s = dispatcher.expected_duration_s(handled.ticket)
+        wait_s = max(
+            attempt_timeout.MIN_ATTEMPT_TIMEOUT_S,
+            attempt_timeout.ATTEMPT_TIMEOUT_FACTOR * usual_s,
+        )
         self.clock.after(wait_s, partial(self._look_after, handled, attempt))
 
     def _look_after(self, handled: Handled, attempt: int) -> None:
@@ -232,12 +239,12 @@
         if handled.is_over or handled.attempt != attempt:
             return
         if may_leave(handled, self.clock.now):
-            self._leave(handled, Verdict.TIMED_OUT)
+            self._leave(handled, AttemptOutcome.TIMED_OUT)
         else:
             self._watch(handled, attempt)
 
     def _leave(
-        self, handled: Handled, verdict: Verdict, load: int | None = None
+        self, handled: Handled, verdict: AttemptOutcome, load: int | None = None
     ) -> None:
         """End an attempt without an answer, and make another one if that may be."""
         upstream = handled.upstream
@@ -268,11 +275,12 @@
         upstream = handled.upstream
         self._end(handled, Outcome.FAILED)
         if upstream is None:
-            self._tell(handled, Withdrawn(handled.ticket.id))
+            self._tell(handled, RequestWithdrawn(handled.ticket.id))
             return
         self._drop(upstream, handled.attempt)
         self._tell(
-            handled, ended_of(handled, upstream, Verdict.TIMED_OUT, self.clock.now)
+            handled,
+            ended_of(handled, upstream, AttemptOutcome.TIMED_OUT, self.clock.now),
         )
 
     def _reach(self, handled: Handled, upstream: str, work: Work) -> None:
@@ -281,7 +289,7 @@
         known = self.deployment.upstreams_by_name[upstream]
         self.statements.note_arrival(upstream, handled.vm.name, self.clock.now)
         if known.refuses:
-            lost = partial(self._lose, handled, work.number, Verdict.UNREACHABLE)
+            lost = partial(self._lose, handled, work.number, AttemptOutcome.UNREACHABLE)
             self.clock.after(self._way_s(handled, upstream), lost)
             return
         if known.is_dead:
@@ -298,7 +306,7 @@
             return
         self._take_statement(handled, told.statement)
         if self.oracle is None:
-            self._leave(handled, Verdict.SHED, told.load)
+            self._leave(handled, AttemptOutcome.SHED, told.load)
         else:
             self._place(handled)
 
@@ -330,18 +338,18 @@
         for number in upstream.crash():
             handled = self._by_attempt.get(number)
             if handled is not None:
-                lost = partial(self._lose, handled, number, Verdict.FAILED)
+                lost = partial(self._lose, handled, number, AttemptOutcome.FAILED)
                 self.clock.after(self._way_s(handled, upstream.name), lost)
 
-    def _lose(self, handled: Handled, attempt: int, verdict: Verdict) -> None:
+    def _lose(self, handled: Handled, attempt: int, verdict: AttemptOutcome) -> None:
         """Take the loss of the connection of an attempt."""
         if handled.is_over or handled.attempt != attempt:
             return
-        if verdict is Verdict.FAILED:
+        if verdict is AttemptOutcome.FAILED:
             handled.may_have_run = True
             self._report_crash(handled)
         is_idempotent = self._operation_of(handled.request).idempotent
-        if is_idempotent or verdict is Verdict.UNREACHABLE:
+        if is_idempotent or verdict is AttemptOutcome.UNREACHABLE:
             self._leave(handled, verdict)
             return
         upstream = handled.upstream
@@ -374,7 +382,7 @@
 
     def _report_crash(self, handled: Handled) -> None:
         """Tell the quarantine of the entry VM, as its probe of the upstream does."""
-        news = handled.vm.quarantine.note_crash(
+        news = handled.vm.quarantine.record_crash(
             handled.request.identity,
             f"{handled.upstream}#{handled.incarnation}",
             at=self.clock.now,
@@ -395,5 +403,5 @@
         self._tell(handled, ended)
         if handled.vm.quarantine.is_active:
             identity, now = handled.request.identity, self.clock.now
-            news = handled.vm.quarantine.note_answered(identity, now)
+            news = handled.vm.quarantine.record_completion(identity, now)
             self.network.send(handled.vm, news)
--- a/packages/testkit/src/plankspindle_testkit/lab/lab_run.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/lab_run.py
@@ -207,7 +207,7 @@
                 self._exchanges.handle(vm, service, TimePassed())
             self.network.send(vm, vm.quarantine.tick(self._clock.now))
             ticked = vm.limited.tick(
-                readiness=Readiness.READY, knows_list=True, now=self._clock.now
+                readiness=Readiness.READY, has_list=True, now=self._clock.now
             )
             self._exchanges.perform(vm, ticked)
 
@@ -222,7 +222,7 @@
         now = self._clock.now
         for vm in self._deployment.running_vms():
             vm.book.apply_drains(now=now, wall=now)
-            vm.book.note_room(now)
+            vm.book.update_region_capacity(now)
 
     def _read_lists(self) -> None:
         self._clock.after(LIST_S, self._read_lists)
--- a/packages/testkit/src/plankspindle_testkit/lab/lab_vm.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/lab_vm.py
@@ -16,7 +16,7 @@
 from plankspindle_core.configuration.service import SlotSharing
 from plankspindle_core.configuration.upstream import Upstream
 from plankspindle_core.endpoint import Endpoint
-from plankspindle_daemon.dispatch.service_book import ServiceBook
+from plankspindle_daemon.dispatch.service_registry import ServiceRegistry
 from plankspindle_daemon.membership.membership import Membership
 from plankspindle_daemon.membership.membership_options import MembershipOptions
 from plankspindle_daemon.node.limited_dispatch import LimitedDispatch
@@ -50,7 +50,7 @@
     ----------
     name, domain : str
         Its name and where it stands.
-    book : ServiceBook
+    book : ServiceRegistry
         Its decisions.
     quarantine : Quarantine
         Requests that it holds back.
@@ -62,7 +62,7 @@
 
     name: str
     domain: str
-    book: ServiceBook
+    book: ServiceRegistry
     quarantine: Quarantine
     limited: LimitedDispatch
     is_up: bool = True
@@ -94,16 +94,16 @@
             Failure domains that are drained at present.
         """
         membership = _membership(name, pattern)
-        book = ServiceBook(
+        book = ServiceRegistry(
             vm=name,
             failure_domain=domain,
             incarnation=1,
             random=Random(seed),
             membership=membership,
-            probe_s=1.0,
-            new_from=now,
+            probe_period_s=1.0,
+            ramping_from=now,
         )
-        quarantine = Quarantine.of(name, domain, membership)
+        quarantine = Quarantine.create(name, domain, membership)
         quotas = Quotas(
             vm=name,
             failure_domain=domain,
@@ -128,14 +128,14 @@
         """Take the configuration with the drains of the moment."""
         configuration = configuration_of(pattern, drained)
         version = int(now * 1000) + 2
-        self.limited.quotas.use(configuration)
-        self.book.use(configuration, version=version, now=now, wall=now)
+        self.limited.quotas.update_configuration(configuration)
+        self.book.apply_configuration(configuration, version=version, now=now, wall=now)
         self.book.apply_drains(now=now, wall=now)
 
     def read_list(self, upstreams: Iterable[ModelledUpstream], now: float) -> None:
         """Read the list of upstreams; the silent ones stay listed for a while."""
         listed = [_listed(each) for each in upstreams]
-        self.book.take_list(listed, now=now, wall=now)
+        self.book.apply_list(listed, now=now, wall=now)
 
 
 def peer_endpoint_of(vm: str) -> Endpoint:
--- a/packages/testkit/src/plankspindle_testkit/lab/mechanisms.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/mechanisms.py
@@ -46,7 +46,7 @@
     Mechanism(
         name="an upstream that shed counts as full",
         module="upstreams.reported_slots",
-        constant="FULL_FADES_S",
+        constant="FULL_AFTER_SHED_S",
         off=0.0,
     ),
     Mechanism(
@@ -58,25 +58,25 @@
     Mechanism(
         name="upstreams that saw a key lately count",
         module="dispatch.placement",
-        constant="SEEN_S",
+        constant="SEEN_KEY_TTL_S",
         off=0.0,
     ),
     Mechanism(
         name="less loaded upstreams are preferred",
         module="dispatch.placement",
-        constant="SPREAD_SHARE",
+        constant="LOAD_COST_SHARE",
         off=0.0,
     ),
     Mechanism(
         name="the second in a key's order takes over",
         module="dispatch.placement",
-        constant="SECOND_LOAD",
+        constant="MAX_MISS_LOAD_SHARE",
         off=-1.0,
     ),
     Mechanism(
         name="silent upstreams cost more",
         module="dispatch.placement",
-        constant="SILENCE_FROM",
+        constant="MIN_SILENCE_FACTOR",
         off=1e9,
     ),
     Mechanism(
@@ -87,20 +87,20 @@
     ),
     Mechanism(
         name="silent upstreams are left",
-        module="exchange.patience",
-        constant="MIN_PATIENCE_S",
+        module="exchange.attempt_timeout",
+        constant="MIN_ATTEMPT_TIMEOUT_S",
         off=1e9,
     ),
     Mechanism(
         name="late requests are given up while they wait",
         module="dispatch.dispatcher",
-        constant="LATE_SHARE",
+        constant="MIN_TIME_LEFT_FACTOR",
         off=0.0,
     ),
     Mechanism(
         name="requests leave their region at a bounded rate",
-        module="dispatch.region_limiter",
-        constant="RATE_PER_S",
+        module="dispatch.spillover_limiter",
+        constant="MAX_SHARE_CHANGE_PER_S",
         off=1e9,
     ),
 )
--- a/packages/testkit/src/plankspindle_testkit/lab/modelled_upstream.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/modelled_upstream.py
@@ -11,7 +11,7 @@
 from attrs import field
 from attrs import frozen
 
-from plankspindle_daemon.upstreams.upstream_statement import SAYS_NOTHING
+from plankspindle_daemon.upstreams.upstream_statement import NO_STATEMENT
 from plankspindle_daemon.upstreams.upstream_statement import UpstreamStatement
 from plankspindle_testkit.lab.pattern import ModelOperation
 from plankspindle_testkit.lab.pattern import ModelService
@@ -170,16 +170,16 @@
 
         That is what held as it began: answers to requests under way say nothing new.
         """
-        return self._said_by_number.pop(number, SAYS_NOTHING)
+        return self._said_by_number.pop(number, NO_STATEMENT)
 
     def statement(self) -> UpstreamStatement:
         """Give what it says of itself now."""
         if self.silent_part and self.random.random() < self.silent_part:
-            return SAYS_NOTHING
+            return NO_STATEMENT
         return UpstreamStatement(
             limit_per_s=self.limit_per_s,
             is_leaving=self.is_leaving,
-            rest_s=self.rest_s,
+            retry_after_s=self.rest_s,
         )
 
     def has(self, number: int) -> bool:
--- a/packages/testkit/src/plankspindle_testkit/lab/peer_network.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/peer_network.py
@@ -76,6 +76,8 @@
             return
         reply_to = peer_endpoint_of(sender.name)
         if isinstance(message, CrashNews):
-            self.send(vm, vm.quarantine.take(message, reply_to, self.clock.now))
+            self.send(
+                vm, vm.quarantine.handle_update(message, reply_to, self.clock.now)
+            )
         else:
             self.take_quota_message(vm, cast("QuotaMessage", message), reply_to)
--- a/packages/testkit/src/plankspindle_testkit/lab/statement_record.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/statement_record.py
@@ -70,8 +70,8 @@
             self._told_at.setdefault(place, now)
         if statement.is_leaving:
             self._leaving_at.setdefault(place, now)
-        if statement.rest_s is not None:
-            self._rests[place].append((now, now + statement.rest_s))
+        if statement.retry_after_s is not None:
+            self._rests[place].append((now, now + statement.retry_after_s))
 
     def sent_to_leaving(self, *, drain_s: float) -> int:
         """Count requests that came long after their entry VM knew of the leaving."""
--- a/packages/testkit/src/plankspindle_testkit/membership_fleet.py
+++ b/packages/testkit/src/plankspindle_testkit/membership_fleet.py
@@ -17,7 +17,7 @@
 from plankspindle_daemon.membership.messages import HeartbeatReceived
 from plankspindle_daemon.membership.messages import LiveListRead
 from plankspindle_daemon.membership.messages import MembershipEvent
-from plankspindle_daemon.membership.messages import Paused
+from plankspindle_daemon.membership.messages import ProcessPaused
 from plankspindle_daemon.membership.messages import SendHeartbeat
 from plankspindle_daemon.membership.messages import SuspicionReceived
 from plankspindle_daemon.membership.messages import TimePassed
@@ -119,7 +119,7 @@
         """Let a frozen VM go on."""
         vm = self.vms[number]
         vm.is_running = True
-        self._perform(vm, vm.membership.handle(Paused(), self.now))
+        self._perform(vm, vm.membership.handle(ProcessPaused(), self.now))
 
     def silent_at(self, number: int) -> set[str]:
         """Name the members that a VM takes for silent."""
--- a/packages/testkit/src/plankspindle_testkit/quota_fleet.py
+++ b/packages/testkit/src/plankspindle_testkit/quota_fleet.py
@@ -27,7 +27,7 @@
 from plankspindle_daemon.quotas.quota_options import QuotaOptions
 from plankspindle_daemon.quotas.quotas import QuotaMessage
 from plankspindle_daemon.quotas.quotas import Quotas
-from plankspindle_daemon.quotas.upstream_limits import GateChanged
+from plankspindle_daemon.quotas.upstream_limits import FleetLimiterChanged
 from plankspindle_daemon.upstreams.upstream_statement import UpstreamStatement
 from plankspindle_testkit.builders import build_configuration
 
@@ -58,7 +58,7 @@
 
     fleet: QuotaFleet
     vm: str
-    changes: int = 0
+    change_count: int = 0
     members_by_name: dict[str, Member] = Factory(dict)
     listed_by_name: dict[str, ListedVm] = Factory(dict)
 
@@ -155,7 +155,7 @@
         """Put other quotas in force at all VMs that run."""
         self.workspaces_by_name = workspaces_by_name
         for vm in self.vms_by_name.values():
-            vm.quotas.use(self._configuration())
+            vm.quotas.update_configuration(self._configuration())
 
     def cut(self, reaches: Callable[[str, str], bool]) -> None:
         """Say from now on which VM reaches which."""
@@ -185,32 +185,34 @@
         self._workspace_by_ticket[ticket] = workspace
         running = self.vms_by_name[vm]
         if running.is_running:
-            self._take(running, running.quotas.want(ticket, workspace, self.now))
+            self._take(
+                running, running.quotas.request_token(ticket, workspace, self.now)
+            )
 
     def send_to_upstream(self, vm: str, life: str) -> None:
         """Let a request come to a VM that wants to go on to an upstream."""
         running = self.vms_by_name[vm]
         if not running.is_running:
             return
-        gate = running.quotas.limits.gate_by_life.get(life)
+        gate = running.quotas.limits.limiter_by_incarnation.get(life)
         if gate is not None and not gate.has_token(self.now):
             self._waiting_by_place[vm, life] += 1
-            if gate.may_ask(self.now):
-                gate.note_asked(self.now)
-                wanted = running.quotas.want_for_upstream(life, life, self.now)
+            if gate.may_request_token(self.now):
+                gate.record_token_request(self.now)
+                wanted = running.quotas.request_upstream_token(life, life, self.now)
                 self._take(running, wanted)
         else:
             self._arrive(running, life)
 
     def _arrive(self, vm: QuotaFleetVm, life: str) -> None:
         """Let a request reach an upstream, and its answer come at once."""
-        gate = vm.quotas.limits.gate_by_life.get(life)
+        gate = vm.quotas.limits.limiter_by_incarnation.get(life)
         if gate is not None:
-            gate.take(self.now)
+            gate.use_token(self.now)
             self.arrived_at_by_life.setdefault(life, []).append(self.now)
         statement = UpstreamStatement(limit_per_s=self.limit_by_life.get(life))
         # An answer is later than its request, by which a limit is seen to be lifted.
-        told = vm.quotas.limits.take_statement(
+        told = vm.quotas.limits.apply_statement(
             life, statement, sent_at=self.now - ANSWER_S, now=self.now
         )
         self._take(vm, [*told])
@@ -218,7 +220,7 @@
     def _serve_waiting(self, vm: QuotaFleetVm, life: str) -> None:
         """Send what waits for a token that came; the rest goes to other upstreams."""
         waiting = self._waiting_by_place.pop((vm.name, life), 0)
-        gate = vm.quotas.limits.gate_by_life.get(life)
+        gate = vm.quotas.limits.limiter_by_incarnation.get(life)
         if waiting and gate is not None and gate.has_token(self.now):
             self._arrive(vm, life)
 
@@ -271,7 +273,7 @@
                     refused = self.refused_at_by_workspace.setdefault(workspace, [])
                     refused.append(self.now)
                     self.refusals.append(effect)
-                case GateChanged(service=life):
+                case FleetLimiterChanged(service=life):
                     self._serve_waiting(vm, life)
 
     def _send(self, vm: QuotaFleetVm, message: QuotaMessage, to: Endpoint) -> None:
@@ -296,21 +298,21 @@
             membership=cast("Membership", membership),
             options=QuotaOptions(slack_requests=self.slack_requests),
         )
-        quotas.use(self._configuration())
+        quotas.update_configuration(self._configuration())
         self.vms_by_name[name] = QuotaFleetVm(
             name=name, region=region, quotas=quotas, membership=membership
         )
 
     def _meet(self, vm: QuotaFleetVm) -> None:
-        vm.membership.changes += 1
+        vm.membership.change_count += 1
         vm.membership.members_by_name = {
             other.name: Member(
                 name=other.name,
                 peer_endpoint=_endpoint(other.name),
                 failure_domain=other.region,
-                counted_since=0.0,
+                known_since=0.0,
                 readiness=Readiness.READY,
-                last_heard=self.now,
+                last_heartbeat_at=self.now,
             )
             for other in self.vms_by_name.values()
             if other is not vm
--- a/packages/testkit/src/plankspindle_testkit/trial/trial.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/trial.py
@@ -16,7 +16,7 @@
 from plankspindle_daemon.membership import messages as membership
 from plankspindle_daemon.node.effects import BeginLeaving
 from plankspindle_daemon.node.effects import NodeEffect
-from plankspindle_daemon.node.effects import OfService
+from plankspindle_daemon.node.effects import ServiceEffect
 from plankspindle_daemon.peer_messages.content_messages import ContentChunk
 from plankspindle_daemon.peer_messages.content_messages import ContentRequest
 from plankspindle_daemon.peer_messages.heartbeat import Heartbeat
@@ -150,15 +150,17 @@
             case ContentRequest():
                 self._perform(vm, [*vm.node.versions.answer(message, sender)])
             case ContentChunk():
-                self._perform(vm, vm.node.take_content_chunk(message, self.world.now))
+                self._perform(
+                    vm, vm.node.receive_content_chunk(message, self.world.now)
+                )
             case SlotRequest():
-                lent = vm.node.slots.lend(message, sender, self.world.now)
+                lent = vm.node.shared_slots.lend(message, sender, self.world.now)
                 self._perform(vm, [*lent])
             case SlotGrant():
                 self._take_dispatch(vm, SERVICE, dispatch.SlotsGranted(message))
 
     def _take_membership(self, vm: TrialVm, event: membership.MembershipEvent) -> None:
-        effects = vm.node.take_membership(
+        effects = vm.node.handle_membership(
             event, now=self.world.now, wall=self.world.wall()
         )
         self._perform(vm, effects)
@@ -166,13 +168,13 @@
     def _take_dispatch(
         self, vm: TrialVm, service: str, event: dispatch.DispatchEvent
     ) -> None:
-        self._perform(vm, vm.node.take_dispatch(service, event, self.world.now))
+        self._perform(vm, vm.node.handle_dispatch(service, event, self.world.now))
 
     def _run_vm(self, vm: TrialVm) -> None:
         if vm.paused_until is not None:
             vm.paused_until = None
             self.world.note(f"{vm.place.name} wakes")
-            effects = vm.node.wake_from_pause(
+            effects = vm.node.recover_from_pause(
                 now=self.world.now, wall=self.world.wall()
             )
             self._perform(vm, effects)
@@ -182,7 +184,7 @@
         self._perform(vm, vm.node.tick(now=self.world.now, wall=self.world.wall()))
         for request in list(vm.requests_by_number.values()):
             if self.world.now >= request.ticket.deadline:
-                self.requests.handle(vm, request, m.DeadlinePassed())
+                self.requests.handle(vm, request, m.DeadlineExceeded())
         self._advance_leave(vm)
 
     def _advance_leave(self, vm: TrialVm) -> None:
@@ -240,7 +242,7 @@
                 case membership.SendHeartbeat(to=to):
                     heartbeat = vm.node.heartbeat(now=self.world.now)
                     self.world.send(vm, heartbeat, to)
-                case OfService(service=service, effect=inner):
+                case ServiceEffect(service=service, effect=inner):
                     self._perform_dispatch(vm, service, inner)
                 case SendToPeer(message=message, to=to):
                     self.world.send(vm, message, to)
@@ -254,9 +256,9 @@
         match effect:
             case dispatch.Assign() | dispatch.Reject():
                 self.requests.decide(vm, effect)
-            case dispatch.Probe(upstream=name):
+            case dispatch.SendProbe(upstream=name):
                 self._probe(vm, service, name)
-            case dispatch.AskSlots(request=request):
+            case dispatch.RequestSlots(request=request):
                 peers = vm.node.membership.peer_endpoints()
                 if peers:
                     self.world.send(vm, request, self.world.random.choice(peers))
@@ -268,7 +270,7 @@
         answers = upstream.conduct is not Conduct.DOWN
         silent = not answers or upstream.reports_stopped
         report = None if silent else upstream.report()
-        probed = dispatch.Probed(
+        probed = dispatch.ProbeCompleted(
             upstream=name, report=report, wall=self.world.wall(), reached=answers
         )
         self._take_dispatch(vm, service, probed)
--- a/packages/testkit/src/plankspindle_testkit/trial/trial_claims.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/trial_claims.py
@@ -10,7 +10,7 @@
 
 from plankspindle_daemon.idempotency import claim_attempt as claims
 from plankspindle_daemon.idempotency.claim_row import ClaimRow
-from plankspindle_daemon.idempotency.claim_store import may_still_be_claimed
+from plankspindle_daemon.idempotency.claim_store import needs_closing_write
 from plankspindle_daemon.platform.errors import ConditionFailed
 from plankspindle_daemon.platform.table import RowWrite
 from plankspindle_daemon.platform.table import Transaction
@@ -41,13 +41,13 @@
 
     def claim(self, key: str, row: ClaimRow) -> ClaimVerdict:
         """Claim a key."""
-        attempt = claims.ClaimAttempt(key=key, wanted=row)
+        attempt = claims.ClaimAttempt(key=key, claim_row=row)
         effects = attempt.begin()
         for _ in range(8):
             if isinstance(effects[-1], claims.Settled):
                 return effects[-1].verdict
             effects = attempt.handle(self._claim_step(effects[-1]))
-        settled = attempt.handle(claims.OutOfTime())[-1]
+        settled = attempt.handle(claims.DeadlineExceeded())[-1]
         assert isinstance(settled, claims.Settled)
         self.closings.append((key, row.released()))
         return settled.verdict
@@ -80,7 +80,7 @@
             self.closings.append((key, wanted))
             return
         row = read.unwrap()
-        if not may_still_be_claimed(row, wanted):
+        if not needs_closing_write(row, wanted):
             return
         write = RowWrite(
             key=key, expected_version=row.version, value=wanted.to_mapping()
@@ -97,10 +97,10 @@
     key: str
     row: ClaimRow
 
-    def note_started(self) -> None:
+    def record_started(self) -> None:
         """Do nothing."""
 
-    def note_not_run(self) -> None:
+    def record_not_run(self) -> None:
         """Do nothing."""
 
     def release(self) -> None:
--- a/packages/testkit/src/plankspindle_testkit/trial/trial_request.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/trial_request.py
@@ -11,7 +11,7 @@
 from plankspindle_daemon.exchange import messages as m
 from plankspindle_daemon.exchange.exchange import Exchange
 from plankspindle_daemon.idempotency.recorded_answer import RecordedAnswer
-from plankspindle_daemon.idempotency.records import RequestRecord
+from plankspindle_daemon.idempotency.request_records import RequestRecord
 
 ANSWER = RecordedAnswer(status=200, headers=[], body=b"done")
 
@@ -49,7 +49,7 @@
     aborted: bool = False
     over: bool = False
     awaited: m.ExchangeEffect | None = None
-    ended: list[dispatch.Ended] = field(factory=list)
+    ended: list[dispatch.AttemptCompleted] = field(factory=list)
 
     def begin(self) -> None:
         """Take the first step."""
@@ -64,7 +64,7 @@
         self.awaited = None
         for effect in effects:
             match effect:
-                case m.EndUpstream(verdict=verdict):
+                case m.ReleaseUpstream(verdict=verdict):
                     self._end_upstream(verdict, now)
                 case m.AnswerCaller(outcome=outcome):
                     self.told = outcome
@@ -80,15 +80,17 @@
                 case _:
                     self.awaited = effect
 
-    def _end_upstream(self, verdict: dispatch.Verdict, now: float | None) -> None:
+    def _end_upstream(
+        self, verdict: dispatch.AttemptOutcome, now: float | None
+    ) -> None:
         assert self.upstream is not None
-        answered = verdict is dispatch.Verdict.ANSWERED
+        answered = verdict is dispatch.AttemptOutcome.ANSWERED
         took = now - self.sent_at if answered and now and self.sent_at else None
         self.ended.append(
-            dispatch.Ended(
+            dispatch.AttemptCompleted(
                 ticket=self.ticket,
                 upstream=self.upstream,
-                verdict=verdict,
+                outcome=verdict,
                 head_s=took,
                 total_s=took,
             )
@@ -97,8 +99,8 @@
 
     def answer_whole(self, now: float) -> None:
         """Take the whole answer of the upstream."""
-        self.handle(m.HeadArrived(), now)
+        self.handle(m.HeadReceived(), now)
         self.record.finish(ANSWER)
-        self.handle(m.AnswerEnded(), now)
+        self.handle(m.AnswerRelayed(), now)
         self.told = Outcome.DONE
         self.over = True
--- a/packages/testkit/src/plankspindle_testkit/trial/trial_requests.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/trial_requests.py
@@ -16,9 +16,9 @@
 from plankspindle_daemon.idempotency.claim_row import ClaimState
 from plankspindle_daemon.idempotency.claim_row import claim_key
 from plankspindle_daemon.idempotency.fingerprint import Fingerprint
-from plankspindle_daemon.idempotency.records import IdRecord
-from plankspindle_daemon.idempotency.records import NoRecord
-from plankspindle_daemon.idempotency.records import RequestRecord
+from plankspindle_daemon.idempotency.request_records import IdRecord
+from plankspindle_daemon.idempotency.request_records import NoRecord
+from plankspindle_daemon.idempotency.request_records import RequestRecord
 from plankspindle_daemon.idempotency.verdicts import AnsweredUnrecorded
 from plankspindle_daemon.idempotency.verdicts import InProgress
 from plankspindle_daemon.idempotency.verdicts import Replay
@@ -140,7 +140,7 @@
             self._issued_ids.append((text, mark))
             self.world.truth.expect(mark, idempotent=False, sole=False)
         if vm.node.ids.begin(text, FINGERPRINT, self.world.now) == RunIt():
-            record = IdRecord(ids=vm.node.ids, text=text)
+            record = IdRecord(ids=vm.node.ids, request_id=text)
             self._start_request(vm, number, mark, record)
 
     def _try_as_stranger(self, vm: TrialVm, text: str) -> None:
@@ -149,7 +149,7 @@
         if isinstance(verdict, Replay | InProgress | AnsweredUnrecorded):
             raise BrokenPromiseError(f"what became of {text} was told a stranger")
         if verdict == RunIt():
-            vm.node.ids.forget(text)
+            vm.node.ids.release(text)
 
     def _submit_key(self, vm: TrialVm, number: int) -> None:
         key = f"key-{self.world.random.randrange(max(1, self.requests // 10))}"
@@ -181,7 +181,7 @@
             vm=vm.place.name,
             service=SERVICE,
             exchange=Exchange(
-                terms=m.Terms(
+                policy=m.ExecutionPolicy(
                     idempotent=idempotent,
                     resendable=True,
                     recorded=not isinstance(record, NoRecord),
@@ -205,7 +205,7 @@
 
     def _move(self, vm: TrialVm, caller_key: str) -> None:
         """Let the meter decide; what it moves is not followed any further."""
-        meter = vm.node.meter
+        meter = vm.node.shift_meter
         chosen = meter.choose(
             service=SERVICE, caller_key=caller_key, now=self.world.now
         )
@@ -216,7 +216,7 @@
         self, vm: TrialVm, request: TrialRequest, event: m.ExchangeEvent
     ) -> None:
         """Give an event to a request and carry out what follows."""
-        if request.upstream is not None and isinstance(event, m.DeadlinePassed):
+        if request.upstream is not None and isinstance(event, m.DeadlineExceeded):
             self.world.upstreams_by_name[request.upstream].cancel(
                 request.number, request.vm
             )
@@ -233,7 +233,7 @@
         match request.awaited:
             case m.FindUpstream():
                 request.awaited = None
-                arrived = dispatch.Arrived(request.ticket)
+                arrived = dispatch.RequestArrived(request.ticket)
                 self.tell(vm, request.service, arrived)
             case m.OpenConnection():
                 self._open(vm, request)
@@ -241,7 +241,7 @@
                 request.awaited = None
                 self._send_request(vm, request)
             case m.WithdrawTicket():
-                withdrawn = dispatch.Withdrawn(request.ticket.id)
+                withdrawn = dispatch.RequestWithdrawn(request.ticket.id)
                 self.tell(vm, request.service, withdrawn)
             case _:
                 pass
@@ -269,14 +269,14 @@
         assert request.upstream is not None
         upstream = self.world.upstreams_by_name[request.upstream]
         request.sent_at = self.world.now
-        request.record.note_started()
+        request.record.record_started()
         if self.world.random.random() < 0.02:
-            request.record.note_not_run()
-            self.handle(vm, request, m.Broke(bytes_handed_over=False))
+            request.record.record_not_run()
+            self.handle(vm, request, m.ConnectionBroken(bytes_handed_over=False))
             return
         if upstream.conduct is Conduct.SHED:
-            request.record.note_not_run()
-            self.handle(vm, request, m.HeadArrived(proves_not_run=True))
+            request.record.record_not_run()
+            self.handle(vm, request, m.HeadReceived(proves_not_run=True))
             return
         duration = self.world.random.uniform(0.02, 0.2)
         directed = self._durations_by_request.get(request.number)
@@ -306,7 +306,7 @@
             vm.ended_while_paused.append((upstream, run))
             return
         if upstream.conduct is Conduct.LOSE_ANSWERS:
-            self.handle(vm, request, m.Broke(bytes_handed_over=True))
+            self.handle(vm, request, m.ConnectionBroken(bytes_handed_over=True))
             return
         request.answer_whole(self.world.now)
         self._carry_on(vm, request)
--- a/packages/testkit/tests/lab/test_crashing_requests.py
+++ b/packages/testkit/tests/lab/test_crashing_requests.py
@@ -17,7 +17,7 @@
 import pytest
 from attrs import evolve
 
-from plankspindle_daemon.quarantine.crash_cases import CRASHES
+from plankspindle_daemon.quarantine.crash_records import QUARANTINE_AFTER_CRASHES
 from plankspindle_testkit.lab.lab_run import LabRun
 from plankspindle_testkit.lab.mechanisms import setting
 from plankspindle_testkit.lab.outcomes import Outcome
@@ -90,7 +90,7 @@
     run.run()
     regions = 3
     crashed = len(run.crashes.crashed_at_by_identity[FIRST])
-    assert crashed <= regions * (CRASHES + SENT_ON)
+    assert crashed <= regions * (QUARANTINE_AFTER_CRASHES + SENT_ON)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -113,10 +113,10 @@
     )
     run = LabRun(pattern=struck, seed=seed)
     outcomes = run.run()
-    held = sum(vm.quarantine.refused for vm in run.vms())
+    held = sum(vm.quarantine.requests_refused for vm in run.vms())
     assert held == 0
     failed = outcomes.by_outcome[Outcome.FAILED]
-    with setting("quarantine.crash_cases", "WATCHED_FROM", 1e9):
+    with setting("quarantine.crash_records", "WATCH_AFTER_CRASHES", 1e9):
         without = LabRun(pattern=struck, seed=seed).run()
     assert failed <= without.by_outcome[Outcome.FAILED]
     assert failed < 0.01 * outcomes.by_outcome.total()
--- a/tests/fleet/fleet_vm.py
+++ b/tests/fleet/fleet_vm.py
@@ -117,7 +117,7 @@
         leave=lambda _: None,
     )
     lists = ListFollower(node=node, platform=platform, effects=effects, period_s=0.05)
-    effects.take_news = lists.take_news
+    effects.on_list_update = lists.apply_update
     configurations = ConfigurationFollower(
         node=node,
         reader=OperatorReader(store=watched, boot=boot),
--- a/tests/fleet/soak/mutant.py
+++ b/tests/fleet/soak/mutant.py
@@ -13,7 +13,7 @@
 
 from curio import sleep
 
-from plankspindle_daemon.upstreams.upstream_statement import SAYS_NOTHING
+from plankspindle_daemon.upstreams.upstream_statement import NO_STATEMENT
 from plankspindle_platform import dialect
 from plankspindle_platform import operator_reader
 from plankspindle_platform import store_platform
@@ -117,7 +117,7 @@
 
 def hear_nothing() -> None:
     """Pass over all that upstreams say of themselves."""
-    nothing = lambda _status, _headers: SAYS_NOTHING  # noqa: E731
+    nothing = lambda _status, _headers: NO_STATEMENT  # noqa: E731
     object.__setattr__(dialect.DIALECT, "read_statement", nothing)
 
 
--- a/tests/fleet/soak/upstreams.py
+++ b/tests/fleet/soak/upstreams.py
@@ -387,7 +387,7 @@
         await source.read_body(max_bytes=100_000)
         request = find_header(source.headers, ID) or b""
         own: HeaderList = [(ID, request), (INSTANCE, upstream.name.encode())]
-        wanted = find_header(source.headers, DIALECT.wanted_upstream or b"")
+        wanted = find_header(source.headers, DIALECT.target_upstream or b"")
         if wanted is not None and wanted.decode() != upstream.name:
             await source.answer(status=421, headers=own)
             return
--- a/tests/fleet/test_boot_settings.py
+++ b/tests/fleet/test_boot_settings.py
@@ -12,10 +12,10 @@
 
 from plankspindle_core.endpoint import Endpoint
 from plankspindle_daemon.platform.read_watch import RETRY_S
-from plankspindle_daemon.sharing.shared_reads import FRESH_MARGIN_S
-from plankspindle_daemon.sharing.shared_reads import FRESH_PERIODS
-from plankspindle_daemon.sharing.shared_reads import LOOK_S
-from plankspindle_daemon.sharing.shared_reads import MOST_DELAY_PERIODS
+from plankspindle_daemon.sharing.shared_reads import MAX_RANK_DELAY_PERIODS
+from plankspindle_daemon.sharing.shared_reads import MIN_CHECK_DELAY_S
+from plankspindle_daemon.sharing.shared_reads import STALE_AFTER_PERIODS
+from plankspindle_daemon.sharing.shared_reads import STALE_MARGIN_S
 from plankspindle_platform.boot_settings import UNBOUNDED_WATCH_MS
 from plankspindle_platform.boot_settings import read_daemon_settings
 from plankspindle_platform.store_platform import MAX_OPEN_S
@@ -93,8 +93,8 @@
     boot = build_boot(monkeypatch)
     bounds = yaml.safe_load(BOOT.read_text())["terms"]["bounds"]
     period_ms = boot.daemon.timing.shared_read_ms
-    replaced_ms = (FRESH_PERIODS + MOST_DELAY_PERIODS) * period_ms
-    replaced_ms += 1000 * (FRESH_MARGIN_S + 1.2 * LOOK_S)
+    replaced_ms = (STALE_AFTER_PERIODS + MAX_RANK_DELAY_PERIODS) * period_ms
+    replaced_ms += 1000 * (STALE_MARGIN_S + 1.2 * MIN_CHECK_DELAY_S)
     for name in ("drain", "config_apply", "evacuate"):
         assert 0 < replaced_ms < 0.8 * milliseconds(bounds[name])
 
--- a/tests/fleet/test_shared_reads.py
+++ b/tests/fleet/test_shared_reads.py
@@ -61,7 +61,7 @@
 
 def roles(vms: list[FleetVm]) -> list[str]:
     now = monotonic()
-    return [vm.node.reads.role(now).value for vm in vms]
+    return [vm.node.shared_reads.role(now).value for vm in vms]
 
 
 def test_one_vm_reads_and_all_know_what_changes(
--- a/tests/fleet/test_upstream_statements.py
+++ b/tests/fleet/test_upstream_statements.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from plankspindle_daemon.upstreams.upstream_statement import SAYS_NOTHING
+from plankspindle_daemon.upstreams.upstream_statement import NO_STATEMENT
 from plankspindle_platform.upstream_statements import read_statement
 
 LIMIT = b"server-limit"
@@ -20,7 +20,7 @@
 
 
 def test_an_answer_without_statements_says_nothing() -> None:
-    assert read_statement(200, [(b"date", b"now")]) == SAYS_NOTHING
+    assert read_statement(200, [(b"date", b"now")]) == NO_STATEMENT
 
 
 @pytest.mark.parametrize("value", [b"0", b"0.5", b"12", b"7.", b"1000000"])
@@ -65,15 +65,15 @@
 
 
 def test_a_rest_is_read_from_a_refusal_only() -> None:
-    assert read_statement(503, [(RETRY_AFTER, b"2.5")]).rest_s == 2.5
+    assert read_statement(503, [(RETRY_AFTER, b"2.5")]).retry_after_s == 2.5
     for status in (200, 301, 429, 500):
-        assert read_statement(status, [(RETRY_AFTER, b"2.5")]) == SAYS_NOTHING
+        assert read_statement(status, [(RETRY_AFTER, b"2.5")]) == NO_STATEMENT
 
 
 @pytest.mark.parametrize("value", [b"", b"-1", b"nan", b"Wed, 21 Oct", b"601"])
 def test_a_rest_that_cannot_be_read_counts_as_not_asked_for(value: bytes) -> None:
     statement = read_statement(503, [(RETRY_AFTER, value)])
-    assert statement.rest_s is None
+    assert statement.retry_after_s is None
     assert len(statement.unreadable) == 1
 
 
@@ -87,5 +87,5 @@
 def test_one_unreadable_statement_leaves_the_others() -> None:
     headers = [(LIMIT, b"-4"), (LEAVING, b"1"), (RETRY_AFTER, b"3")]
     statement = read_statement(503, headers)
-    assert (statement.is_leaving, statement.rest_s) == (True, 3.0)
+    assert (statement.is_leaving, statement.retry_after_s) == (True, 3.0)
     assert len(statement.unreadable) == 1
--- a/tests/fleet/test_values_from_store.py
+++ b/tests/fleet/test_values_from_store.py
@@ -20,7 +20,7 @@
 from plankspindle_core.stable_hash import stable_hash
 from plankspindle_core.steady_clock import monotonic
 from plankspindle_daemon.peer_messages.list_news import ListNews
-from plankspindle_daemon.sharing.told_upstreams import told_of
+from plankspindle_daemon.sharing.upstream_codec import encode_upstream
 from plankspindle_daemon.wire.codec import decode
 from plankspindle_daemon.wire.codec import encode
 from plankspindle_platform.listed_rows import RowTranslator
@@ -165,7 +165,7 @@
         list_age_ms=0,
         configuration_age_ms=0,
         configuration_version=1,
-        changed=(told_of(listed, monotonic()),),
+        changed=(encode_upstream(listed, monotonic()),),
     )
     stable_hash(listed.name)
     return decode(encode(news)).is_ok()
