--- a/packages/daemon/tests/quarantine/test_crash_probe.py
+++ b/packages/daemon/tests/quarantine/test_crash_probe.py
@@ -65,7 +65,10 @@
     quarantine = curio.run(partial(lose, listens=False, rests=False))
     assert quarantine.crashes_reported == 2
     records = quarantine.crash_records.records_by_identity.values()
-    assert [list(each.crashed_at_by_incarnation) for each in records] == [["u#5"], ["u#5"]]
+    assert [list(each.crashed_at_by_incarnation) for each in records] == [
+        ["u#5"],
+        ["u#5"],
+    ]
 
 
 @pytest.mark.parametrize("rests", [False, True])
