--- a/packages/daemon/src/plankspindle_daemon/dispatch/__init__.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/__init__.py
@@ -1,3 +1,3 @@
-"""Bringing waiting requests and free upstreams together."""
+"""Placement of waiting requests on upstreams."""
 
 from __future__ import annotations
--- a/packages/daemon/src/plankspindle_daemon/dispatch/cached_capacity.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/cached_capacity.py
@@ -1,4 +1,4 @@
-"""The requests that all upstreams of a service may run at once."""
+"""Number of requests that all upstreams of a service may run at once, cached."""
 
 from __future__ import annotations
 
@@ -13,35 +13,35 @@
     from plankspindle_daemon.upstreams.upstream_state import UpstreamState
 
 CACHE_TTL_PER_UPSTREAM_S = 0.00025
-"""Time for which a sum over the upstreams stands, for each of them, in seconds.
+"""Time for which the sum is cached, in seconds for each upstream that it adds up.
 
-It is asked for at each request that waits or is rejected, and takes 3 us an upstream:
-at 900, where it stands for 0.23 s, a rejection took 5 ms of the loop, and all of them
-together take 1 percent of it now.
+The sum is read for each request that is queued or rejected, and takes 3 us per
+upstream. With 900 upstreams and no cache, a rejection took 5 ms of the event loop;
+cached for 0.23 s, all sums together take 1 percent of the loop.
 """
 
 
 @define
 class CachedCapacity:
-    """Sum up limits, anew only once the last sum is old."""
+    """Sum of the limits of a service's upstreams, computed again after it expires."""
 
     _capacity: int = 0
     _computed_at: float = -math.inf
     _upstream_count: int = 0
 
     def invalidate(self) -> None:
-        """Sum up anew when asked next."""
+        """Compute the sum again at the next read."""
         self._computed_at = -math.inf
 
     def get(self, upstreams_by_name: Mapping[str, UpstreamState], now: float) -> int:
-        """Give the requests that may run at once, as summed up a moment ago.
+        """Return the number of requests that may run at once; up to one TTL old.
 
         Parameters
         ----------
         upstreams_by_name : mapping of str to UpstreamState
-            The upstreams.
+            Upstreams of the service.
         now : float
-            Monotonic seconds.
+            Monotonic time in seconds.
         """
         count = len(upstreams_by_name)
         if (
--- a/packages/daemon/src/plankspindle_daemon/dispatch/cold_rate_limits.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/cold_rate_limits.py
@@ -1,4 +1,4 @@
-"""Bounds on what cold upstreams get from one entry VM."""
+"""Rate limits of this entry VM on requests to cold upstreams."""
 
 from __future__ import annotations
 
@@ -18,36 +18,36 @@
 
 @define(kw_only=True)
 class ColdRateLimits:
-    """Bound the requests to upstreams that are cold.
+    """Limit the rate of requests to cold upstreams.
 
     Parameters
     ----------
     vm : str
-        This VM.
+        Name of this VM.
     membership : Membership
-        Entry VMs that share the bounds.
+        Entry VMs that divide each limit among them.
     """
 
     vm: str
     membership: Membership
-    _shares: ColdRateCache = field(init=False)
+    _rates: ColdRateCache = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self._shares = ColdRateCache(vm=self.vm)
+        self._rates = ColdRateCache(vm=self.vm)
 
     def mark_cold(
         self, upstream: UpstreamState, service: Service | None, now: float
     ) -> None:
-        """Take an upstream as cold for the time of its service after a start.
+        """Mark an upstream as cold from now on, for the time that its service declares.
 
         Parameters
         ----------
         upstream : UpstreamState
-            One that started, or had nothing to do.
+            Upstream that started, or received no requests for a while.
         service : Service, optional
-            Its service, if that is declared.
+            Its service; None if that is not declared.
         now : float
-            Monotonic seconds.
+            Monotonic time in seconds.
         """
         if service is not None:
             self.mark_cold_until(upstream, service, now + service.cold_ms / 1000)
@@ -55,20 +55,20 @@
     def mark_cold_until(
         self, upstream: UpstreamState, service: Service | None, until: float
     ) -> None:
-        """Take an upstream as cold until a time, or longer if it is so already.
+        """Mark an upstream as cold until a time; never shorten an existing mark.
 
         Parameters
         ----------
         upstream : UpstreamState
             The upstream.
         service : Service, optional
-            Its service, if that is declared.
+            Its service; None if that is not declared.
         until : float
-            End of the cold time, monotonic seconds.
+            End of the cold period, monotonic time in seconds.
         """
         if service is None or service.cold_requests_per_s == 0:
             return
-        per_s = self._shares.rate_per_s(
+        per_s = self._rates.rate_per_s(
             upstream.name,
             members=self.membership.member_names(),
             total_rate_per_s=service.cold_requests_per_s,
--- a/packages/daemon/src/plankspindle_daemon/dispatch/completion_recorder.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/completion_recorder.py
@@ -1,4 +1,4 @@
-"""What the end of a request says of its upstream."""
+"""Effects of a completed attempt on the health and the measurements of its upstream."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 MIN_DURATION_S = 0.001
 ABANDONED_WAIT_FACTOR = 2.0
-"""Usual durations after which a caller that leaves says something of the upstream."""
+"""Expected durations that a caller must wait before its leaving counts as a timeout."""
 
 
 @frozen(kw_only=True)
 class CompletionRecorder:
-    """Tell an upstream, the averages and the placement how a request ended.
+    """Record the outcome of an attempt in the upstream, the averages and the placement.
 
     Parameters
     ----------
     durations : DurationAverages
-        Averages of the service.
+        Average durations of the service's operations.
     placement : Placement, optional
-        Order of preference among its upstreams, if any entry VM may use them.
+        Preferences among the upstreams, if every entry VM may use them.
     """
 
     durations: DurationAverages
@@ -43,18 +43,18 @@
         missed: bool,
         now: float,
     ) -> None:
-        """Take the end of a request.
+        """Record a completed attempt.
 
         Parameters
         ----------
         completed : AttemptCompleted
-            How it ended.
+            The attempt and its outcome.
         upstream : UpstreamState
-            Where it ran.
+            Upstream that the attempt ran on.
         missed : bool
-            Whether the upstream was taken for one that had not seen its key.
+            Whether the upstream was assumed not to have seen the affinity key.
         now : float
-            Monotonic seconds.
+            Monotonic time in seconds.
         """
         self._record_measurements(upstream, completed, now)
         if completed.outcome in (AttemptOutcome.ANSWERED, AttemptOutcome.SHED):
@@ -72,12 +72,12 @@
                 self._record_failure(upstream, completed, now)
 
     def _record_failure(
-        self, upstream: UpstreamState, ended: AttemptCompleted, now: float
+        self, upstream: UpstreamState, completed: AttemptCompleted, now: float
     ) -> None:
-        """Tell the health of an upstream that a request had no good end there."""
-        match ended.outcome:
+        """Record an outcome other than an answer in the health of the upstream."""
+        match completed.outcome:
             case AttemptOutcome.SHED:
-                upstream.record_shed(ended.reported_load, now)
+                upstream.record_shed(completed.reported_load, now)
             case AttemptOutcome.MISDIRECTED:
                 upstream.mark_misdirected()
             case AttemptOutcome.FAILED:
@@ -87,69 +87,71 @@
             case AttemptOutcome.TIMED_OUT:
                 upstream.health.record_timeout(now)
             case AttemptOutcome.CANCELLED if self._is_unanswered_wait(
-                upstream, ended, now
+                upstream, completed, now
             ):
-                upstream.record_evidence(f"a caller left it: {ended.cause}", now)
+                upstream.record_evidence(
+                    f"caller left after an unanswered wait: {completed.cause}", now
+                )
                 upstream.health.record_timeout(now)
             case _:
                 pass
 
     def _is_unanswered_wait(
-        self, upstream: UpstreamState, ended: AttemptCompleted, now: float
+        self, upstream: UpstreamState, completed: AttemptCompleted, now: float
     ) -> bool:
-        """Tell whether a caller left an upstream that answers nobody."""
-        waited_s = ended.waited_s
+        """Return whether an upstream answered nobody while a caller waited."""
+        waited_s = completed.waited_s
         if waited_s is None or upstream.answered_at > now - waited_s:
             return False
-        usual_s = self.durations.expected_total_s(
-            operation=ended.ticket.operation, declared_s=ended.ticket.expected_s
+        expected_s = self.durations.expected_total_s(
+            operation=completed.ticket.operation, declared_s=completed.ticket.expected_s
         )
-        return waited_s > max(UNRESPONSIVE_S, ABANDONED_WAIT_FACTOR * usual_s)
+        return waited_s > max(UNRESPONSIVE_S, ABANDONED_WAIT_FACTOR * expected_s)
 
     def _record_measurements(
-        self, upstream: UpstreamState, ended: AttemptCompleted, now: float
+        self, upstream: UpstreamState, completed: AttemptCompleted, now: float
     ) -> None:
-        """Take what is learned whatever the end: load, and the way to a domain."""
-        if ended.reported_load is not None:
-            upstream.record_reported_load(ended.reported_load, now)
-        if self.placement is not None and ended.connect_s is not None:
+        """Record the reported load and the connect time, whatever the outcome."""
+        if completed.reported_load is not None:
+            upstream.record_reported_load(completed.reported_load, now)
+        if self.placement is not None and completed.connect_s is not None:
             domain = upstream.upstream.failure_domain
-            self.placement.distances.record_connect_time(domain, ended.connect_s)
+            self.placement.distances.record_connect_time(domain, completed.connect_s)
 
     def _record_durations(
         self,
         upstream: UpstreamState,
-        ended: AttemptCompleted,
+        completed: AttemptCompleted,
         *,
         missed: bool,
         now: float,
     ) -> None:
-        if ended.head_s is None or ended.total_s is None:
+        if completed.head_s is None or completed.total_s is None:
             return
         rtt_s = self._rtt_s(upstream)
         relative = self.durations.record(
-            operation=miss_operation(ended.ticket)
+            operation=miss_operation(completed.ticket)
             if missed
-            else ended.ticket.operation,
-            head_s=max(MIN_DURATION_S, ended.head_s - rtt_s),
-            total_s=max(MIN_DURATION_S, ended.total_s - rtt_s),
+            else completed.ticket.operation,
+            head_s=max(MIN_DURATION_S, completed.head_s - rtt_s),
+            total_s=max(MIN_DURATION_S, completed.total_s - rtt_s),
         )
         upstream.record_latency(relative, now)
 
     def _record_seen_key(
-        self, upstream: UpstreamState, ended: AttemptCompleted, now: float
+        self, upstream: UpstreamState, completed: AttemptCompleted, now: float
     ) -> None:
-        key = ended.ticket.affinity
+        key = completed.ticket.affinity
         if key is not None and self.placement is not None:
             self.placement.record_seen(key, upstream.name, now)
 
     def _rtt_s(self, upstream: UpstreamState) -> float:
-        """Give the part of a duration that is the way there and back, in seconds."""
+        """Return the round-trip time within a measured duration, in seconds."""
         if self.placement is None:
             return 0.0
         return self.placement.distances.rtt_s(upstream.upstream.failure_domain)
 
 
 def miss_operation(ticket: Ticket) -> str:
-    """Name the durations of requests at upstreams that have not seen their key."""
+    """Return the name under which durations of affinity misses are averaged."""
     return f"{ticket.operation} miss"
--- a/packages/daemon/src/plankspindle_daemon/dispatch/dispatcher.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/dispatcher.py
@@ -1,4 +1,4 @@
-"""State machine that brings the requests and upstreams of one service together."""
+"""State machine that assigns the requests of one service to its upstreams."""
 
 from __future__ import annotations
 
@@ -50,13 +50,13 @@
     from plankspindle_daemon.admission.ticket import Ticket
 
 MIN_TIME_LEFT_FACTOR = 1.5
-"""A waiting request is given up once less than this share of its usual time is left.
+"""Expected durations that a waiting request must have left before its deadline.
 
-At 1.5 times the capacity a share of 0.5 wastes 8 percent of the slots on requests that
-end too late, 1.5 wastes none (docs/MEASUREMENTS.md).
+At 1.5 times the capacity, a factor of 0.5 wastes 8 percent of the slots on requests
+that complete too late, 1.5 wastes none (docs/MEASUREMENTS.md).
 """
 MAX_SCANNED_REQUESTS = 16
-"""Waiting requests that are tried on the free upstreams at a time."""
+"""Waiting requests that are matched against free upstreams in one pass."""
 
 
 @define(kw_only=True)
@@ -68,24 +68,24 @@
     vm : str
         Name of this VM.
     incarnation : int
-        Number of this process.
+        Incarnation number of this process.
     random : Random
         Source of tie-breaks and jitter.
     queue : ClassQueue
-        Requests that wait.
+        Waiting requests.
     probe_period_s : float
-        Period of reading load reports, in seconds.
+        Period at which load reports are read, in seconds.
     upstreams_by_name : dict of str to UpstreamState
         Upstreams of the service that this VM may use.
     placement : Placement, optional
-        Order of preference among upstreams that any entry VM may use; without it
-        their slots are shared by members.
+        Preferences among upstreams that every entry VM may use. None if the slots are
+        divided among the entry VMs instead.
     average_use : AverageUse
-        How busy other entry VMs keep such upstreams.
+        Average use of such upstreams by other entry VMs.
     shares_slots : bool
-        Whether members share the slots of any upstream that there ever was.
+        Whether entry VMs divide the slots of any upstream that was ever in use.
     fleet_limiter_by_incarnation : dict of str to FleetLimiter
-        Limits that upstreams name over all entry VMs, of any service.
+        Rate limits over all entry VMs that upstreams of any service stated.
     """
 
     vm: str
@@ -122,7 +122,7 @@
         )
 
     def handle(self, event: DispatchEvent, now: float) -> list[DispatchEffect]:
-        """Take one event.
+        """Apply an event; return the effects that the caller must carry out, in order.
 
         Parameters
         ----------
@@ -130,11 +130,6 @@
             What happened.
         now : float
             Monotonic time in seconds.
-
-        Returns
-        -------
-        list of DispatchEffect
-            What the shell must do, in order.
         """
         match event:
             case RequestArrived(ticket=ticket):
@@ -144,65 +139,61 @@
                 return []
             case AttemptCompleted():
                 self._record_completion(event, now)
-                return self._assign_waiting(now)
+                return self._assign_all(now)
             case StatementReceived():
                 self.apply_statement(event, now)
                 return []
             case ProbeCompleted():
                 self._apply_probe(event, now)
-                return self._assign_waiting(now)
+                return self._assign_all(now)
             case SlotsRequested():
                 return [*self.lending.lend(event, self.upstreams_by_name, now)]
             case SlotsGranted(grant=grant):
                 self.lending.borrow(grant, self.upstreams_by_name, now)
-                return self._assign_waiting(now)
+                return self._assign_all(now)
             case TimePassed():
-                return [
-                    *self._reject_late(now),
-                    *self._assign_waiting(now),
-                    *self._due_probes(now),
-                ]
+                return [*self._expire(now), *self._assign_all(now), *self._probes(now)]
             case ProcessPaused():
                 return self._resume_after_pause(now)
 
     def _resume_after_pause(self, now: float) -> list[DispatchEffect]:
-        """Distrust what was known of upstreams before the process stood still."""
+        """Mark the status of all upstreams as unconfirmed after a pause."""
         self._capacity.invalidate()
         for upstream in self.upstreams_by_name.values():
             upstream.ledger.release_all()
             upstream.is_unconfirmed = True
-        return [*self._reject_late(now), *self._due_probes(now, at_once=True)]
+        return [*self._expire(now), *self._probes(now, at_once=True)]
 
     def free_slots(self, now: float) -> int:
-        """Requests that could start at this moment."""
+        """Return the number of requests that could start now."""
         return sum(
             max(0, each.usable_slots(now) - each.ledger.in_flight)
             for each in self.upstreams_by_name.values()
         )
 
     def capacity(self, now: float) -> int:
-        """Requests that may run at once, as summed up a moment ago."""
+        """Return the number of requests that may run at once, from a cache."""
         return self._capacity.get(self.upstreams_by_name, now)
 
     def handle_upstream_restart(self, name: str) -> None:
-        """Forget what an upstream had seen: it has started anew under its name."""
+        """Discard the affinity keys recorded for an upstream that restarted."""
         if self.placement is not None:
             self.placement.discard_seen(name)
 
     def in_flight(self) -> int:
-        """Requests that run at upstreams."""
+        """Return the number of requests that run on upstreams."""
         return sum(each.ledger.in_flight for each in self.upstreams_by_name.values())
 
     def _admit(self, ticket: Ticket, now: float) -> list[DispatchEffect]:
         by_name = self.upstreams_by_name
-        may_run = (each for each in by_name.values() if self._may_run_at(ticket, each))
-        opens_at = earliest_available_at(may_run, now)
-        if opens_at is None:
+        allowed = (each for each in by_name.values() if self._may_run_at(ticket, each))
+        available_at = earliest_available_at(allowed, now)
+        if available_at is None:
             return [self._reject(ticket, RejectReason.NO_UPSTREAM, now)]
         assigned = None if self.queue else self._assign(ticket, now)
         if isinstance(assigned, Assign):
             return [assigned]
-        withheld = self._reject_if_withheld(ticket, opens_at, now)
+        withheld = self._check_limits(ticket, available_at, now)
         if withheld is not None:
             return [withheld]
         if self._would_be_late(ticket, now):
@@ -213,26 +204,24 @@
         effects: list[DispatchEffect] = [] if assigned is None else [assigned]
         if offered.evicted is not None:
             effects.append(self._reject(offered.evicted, RejectReason.EVICTED, now))
-        return [*effects, *self._assign_waiting(now)]
+        return [*effects, *self._assign_all(now)]
 
     def could_place_elsewhere(self, ticket: Ticket, upstream: str, now: float) -> bool:
-        """Tell whether another upstream than a given one could take a request now."""
-        elsewhere = ticket.excluding(ticket.excluded | {upstream})
-        fits = self._acceptance_check(elsewhere, now)
+        """Return whether another upstream could accept a request now."""
+        excluding = ticket.excluding(ticket.excluded | {upstream})
+        fits = self._can_start(excluding, now)
         if self.placement is None:
             return any(map(fits, self.upstreams_by_name.values()))
         return self.placement.has_candidate(
-            elsewhere, self.upstreams_by_name, fits=fits, now=now
+            excluding, self.upstreams_by_name, fits=fits, now=now
         )
 
-    def _acceptance_check(
-        self, ticket: Ticket, now: float
-    ) -> Callable[[UpstreamState], bool]:
-        """Give what tells whether an upstream may take a request now."""
-        ends_by = now + max(ticket.expected_s, self.expected_duration_s(ticket))
+    def _can_start(self, ticket: Ticket, now: float) -> Callable[[UpstreamState], bool]:
+        """Return a check whether an upstream may accept a request now."""
+        end = now + max(ticket.expected_s, self.expected_duration_s(ticket))
         return lambda each: (
             self._may_run_at(ticket, each)
-            and each.can_start(now=now, deadline=ticket.deadline, expected_end=ends_by)
+            and each.can_start(now=now, deadline=ticket.deadline, expected_end=end)
         )
 
     def _may_run_at(self, ticket: Ticket, upstream: UpstreamState) -> bool:
@@ -240,7 +229,7 @@
             return False
         return self.placement is None or self.placement.is_permitted(upstream, ticket)
 
-    def _assign_waiting(self, now: float) -> list[DispatchEffect]:
+    def _assign_all(self, now: float) -> list[DispatchEffect]:
         effects: list[DispatchEffect] = []
         scanned = 0
         for ticket in self.queue:
@@ -253,7 +242,7 @@
                 continue
             scanned += 1
             assigned = self._assign(ticket, now)
-            effect = assigned or self._reject_if_withheld(ticket, now, now)
+            effect = assigned or self._check_limits(ticket, now, now)
             if isinstance(effect, Assign | Reject):
                 self.queue.remove(ticket.id)
             if effect is not None:
@@ -262,18 +251,16 @@
             effects += self.lending.request(self.upstreams_by_name, now)
         return effects
 
-    def _reject_if_withheld(
-        self, ticket: Ticket, opens_at: float, now: float
+    def _check_limits(
+        self, ticket: Ticket, available_at: float, now: float
     ) -> Reject | None:
-        """Reject a request at once that limits and rests leave no upstream now."""
+        """Reject a request if limits or Retry-After periods block all upstreams."""
         if self.placement is not None and self.fleet_limiter_by_incarnation:
-            known_opens_at = self.placement.available_at(
-                ticket, self.upstreams_by_name, now
-            )
-            opens_at = max(opens_at, known_opens_at)
-        if opens_at <= now:
+            choice_at = self.placement.available_at(ticket, self.upstreams_by_name, now)
+            available_at = max(available_at, choice_at)
+        if available_at <= now:
             return None
-        return self._reject(ticket, RejectReason.WITHHELD, now, opens_at=opens_at)
+        return self._reject(ticket, RejectReason.WITHHELD, now, retry_at=available_at)
 
     def _assign(self, ticket: Ticket, now: float) -> Assign | RequestToken | None:
         chosen = self._choose(ticket, now)
@@ -305,29 +292,29 @@
         )
 
     def _choose(self, ticket: Ticket, now: float) -> UpstreamState | NeedsToken | None:
-        usual_s = self.expected_duration_s(ticket)
-        fits = self._acceptance_check(ticket, now)
+        hit_s = self.expected_duration_s(ticket)
+        fits = self._can_start(ticket, now)
         if self.placement is None:
-            fitting = [each for each in self.upstreams_by_name.values() if fits(each)]
-            scored = [(each.score(now), self.random.random()) for each in fitting]
-            return fitting[scored.index(min(scored))] if fitting else None
-        place = self.placement.choose(
+            accepting = [each for each in self.upstreams_by_name.values() if fits(each)]
+            scored = [(each.score(now), self.random.random()) for each in accepting]
+            return accepting[scored.index(min(scored))] if accepting else None
+        choice = self.placement.choose(
             ticket,
             self.upstreams_by_name,
             fits=fits,
-            hit_s=usual_s,
+            hit_s=hit_s,
             miss_s=self.durations.total_s_by_operation.get(miss_operation(ticket)),
             now=now,
         )
-        if not isinstance(place, PlacementChoice):
-            return place
-        if not place.is_hit:
+        if not isinstance(choice, PlacementChoice):
+            return choice
+        if not choice.is_hit:
             self._miss_ids.add(ticket.id)
-        self.placement.limiter.record_sent(spills=place.spills)
-        return place.upstream
+        self.placement.limiter.record_sent(spills=choice.spills)
+        return choice.upstream
 
     def expected_duration_s(self, ticket: Ticket) -> float:
-        """Give the usual duration of a request, in seconds."""
+        """Return the expected duration of a request, in seconds."""
         return self.durations.expected_total_s(
             operation=ticket.operation, declared_s=ticket.expected_s
         )
@@ -352,14 +339,14 @@
             > ticket.deadline
         )
 
-    def _reject_late(self, now: float) -> list[DispatchEffect]:
-        given_up: list[DispatchEffect] = []
+    def _expire(self, now: float) -> list[DispatchEffect]:
+        rejected: list[DispatchEffect] = []
         for ticket in self.queue:
             reason = self._give_up_reason(ticket, now)
             if reason is not None:
                 self.queue.remove(ticket.id)
-                given_up.append(self._reject(ticket, reason, now))
-        return given_up
+                rejected.append(self._reject(ticket, reason, now))
+        return rejected
 
     def _reject(
         self,
@@ -367,30 +354,30 @@
         reason: RejectReason,
         now: float,
         *,
-        opens_at: float | None = None,
+        retry_at: float | None = None,
     ) -> Reject:
         return self.rejections.reject(
             ticket,
             reason,
             capacity=self.capacity(now),
             in_flight=self.in_flight(),
-            available_at=opens_at,
+            available_at=retry_at,
             now=now,
         )
 
-    def _record_completion(self, ended: AttemptCompleted, now: float) -> None:
-        upstream = self.upstreams_by_name.get(ended.upstream)
-        if upstream is not None and ended.incarnation in (0, upstream.incarnation):
-            upstream.ledger.finish(ticket=ended.ticket.id)
-            missed = ended.ticket.id in self._miss_ids
-            judge = CompletionRecorder(
+    def _record_completion(self, completed: AttemptCompleted, now: float) -> None:
+        upstream = self.upstreams_by_name.get(completed.upstream)
+        if upstream is not None and completed.incarnation in (0, upstream.incarnation):
+            upstream.ledger.finish(ticket=completed.ticket.id)
+            missed = completed.ticket.id in self._miss_ids
+            recorder = CompletionRecorder(
                 durations=self.durations, placement=self.placement
             )
-            judge.record(ended, upstream, missed=missed, now=now)
-        self._miss_ids.discard(ended.ticket.id)
+            recorder.record(completed, upstream, missed=missed, now=now)
+        self._miss_ids.discard(completed.ticket.id)
 
     def apply_statement(self, stated: StatementReceived, now: float) -> None:
-        """Take what an upstream said of itself, if it is one of this service."""
+        """Apply a statement of an upstream, if the upstream belongs to this service."""
         upstream = self.upstreams_by_name.get(stated.upstream)
         if upstream is not None and stated.incarnation in (0, upstream.incarnation):
             upstream.apply_statement(stated.statement, now)
@@ -405,8 +392,8 @@
         else:
             upstream.record_probe_report(probed.report, now=now, wall_time=probed.wall)
 
-    def _due_probes(self, now: float, *, at_once: bool = False) -> list[DispatchEffect]:
+    def _probes(self, now: float, *, at_once: bool = False) -> list[DispatchEffect]:
         if self.placement is not None:
             return []
-        give = self._probe_schedule.all if at_once else self._probe_schedule.due
-        return [*give(self.upstreams_by_name, now)]
+        select = self._probe_schedule.all if at_once else self._probe_schedule.due
+        return [*select(self.upstreams_by_name, now)]
--- a/packages/daemon/src/plankspindle_daemon/dispatch/domain_distances.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/domain_distances.py
@@ -1,4 +1,4 @@
-"""Delays from this entry VM to failure domains, measured or declared."""
+"""Round-trip times from this entry VM to failure domains, measured or declared."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @define(kw_only=True)
 class DomainDistances:
-    """Delays to failure domains as seen from one of them.
+    """Round-trip times and regions of failure domains, as seen from one of them.
 
     Parameters
     ----------
@@ -24,17 +24,17 @@
     _is_local_by_domain: dict[str, bool] = Factory(dict)
 
     def set_configuration(self, configuration: Configuration) -> None:
-        """Take the declared delays of another version."""
+        """Set the configuration that declares regions and distances."""
         self._configuration = configuration
         self._is_local_by_domain.clear()
 
     def record_connect_time(self, domain: str, seconds: float) -> None:
-        """Take the time that a new connection needed; the shortest one counts."""
+        """Record the time that a connect took, in seconds; the minimum is used."""
         known = self._rtt_s_by_domain.get(domain, seconds)
         self._rtt_s_by_domain[domain] = min(known, seconds)
 
     def rtt_s(self, domain: str) -> float:
-        """Give the time there and back, in seconds."""
+        """Return the round-trip time to a failure domain, in seconds."""
         measured = self._rtt_s_by_domain.get(domain)
         if measured is not None:
             return measured
@@ -44,13 +44,13 @@
         return 2 * one_way / 1000
 
     def region_of(self, domain: str) -> str | None:
-        """Name the region of a failure domain."""
+        """Return the region of a failure domain."""
         if self._configuration is None:
             return None
         return self._configuration.region_of(domain)
 
     def is_local(self, domain: str) -> bool:
-        """Tell whether a failure domain lies in the region of this VM."""
+        """Return whether a failure domain is in the region of this VM."""
         is_near = self._is_local_by_domain.get(domain)
         if is_near is None:
             is_near = self.region_of(domain) == self.region_of(self.home_domain)
--- a/packages/daemon/src/plankspindle_daemon/dispatch/duration_averages.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/duration_averages.py
@@ -11,26 +11,26 @@
 
 @define(kw_only=True)
 class DurationAverages:
-    """Time to the head and to the end of answers, in seconds."""
+    """Average times to the head and to the end of responses, in seconds."""
 
     head_s_by_operation: dict[str, float] = Factory(dict)
     total_s_by_operation: dict[str, float] = Factory(dict)
     overall_total_s: float | None = None
 
     def record(self, *, operation: str, head_s: float, total_s: float) -> float:
-        """Take one answer.
+        """Record the durations of one response.
 
         Parameters
         ----------
         operation : str
             Name of the operation.
         head_s, total_s : float
-            Its durations in seconds.
+            Time to the head and to the end of the response, in seconds.
 
         Returns
         -------
         float
-            Its time to the head, relative to the average before.
+            Ratio of the time to the head to its previous average.
         """
         average = self.head_s_by_operation.get(operation, head_s)
         self.head_s_by_operation[operation] = _moving_average(average, head_s)
@@ -41,16 +41,16 @@
         return head_s / average if average > 0 else 1.0
 
     def expected_total_s(self, *, operation: str, declared_s: float) -> float:
-        """Give the average duration of an operation, or what was declared."""
+        """Return the average duration of an operation, or the declared one."""
         return self.total_s_by_operation.get(operation, declared_s)
 
     def estimated_wait_s(self, *, ahead: int, capacity: int) -> float:
-        """Estimate the wait of a request, in seconds.
+        """Return the estimated queueing time of a request, in seconds.
 
         Parameters
         ----------
         ahead : int
-            Requests that wait before it.
+            Requests ahead of it in the queue.
         capacity : int
             Requests that may run at once.
         """
--- a/packages/daemon/src/plankspindle_daemon/dispatch/messages.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/messages.py
@@ -18,7 +18,7 @@
 
 
 class AttemptOutcome(Enum):
-    """How a request at an upstream ended."""
+    """Outcome of an attempt to run a request on an upstream."""
 
     ANSWERED = "answered"
     UNREACHABLE = "unreachable"
@@ -31,44 +31,44 @@
 
 @frozen
 class RequestArrived:
-    """A request wants an upstream."""
+    """A request was admitted and needs an upstream."""
 
     ticket: Ticket
 
 
 @frozen
 class RequestWithdrawn:
-    """A waiting request was given up."""
+    """A waiting request was cancelled."""
 
     ticket_id: int
 
 
 @frozen(kw_only=True)
 class AttemptCompleted:
-    """A request left its upstream.
+    """An attempt completed and frees its slot.
 
     Parameters
     ----------
     ticket : Ticket
         The request.
     upstream : str
-        Where it ran.
+        Upstream that the attempt ran on.
     outcome : AttemptOutcome
-        How it ended.
+        Its outcome.
     head_s : float, optional
-        Time to the head of the answer, in seconds.
+        Time to the head of the response, in seconds.
     total_s : float, optional
-        Time to the end of the answer, in seconds.
+        Time to the end of the response, in seconds.
     connect_s : float, optional
-        Time that a new connection needed, in seconds.
+        Time that a new connection took, in seconds.
     reported_load : int, optional
-        Requests that ran and waited there, as the answer told.
+        Requests running and queued on the upstream, as reported in its response.
     waited_s : float, optional
-        Time for which its head was waited for, in seconds, if that never came.
+        Time spent waiting for the head of a response that never arrived, in seconds.
     incarnation : int
-        Life of the upstream that it ran in; zero if that is not known.
+        Incarnation of the upstream that the attempt ran on; zero if unknown.
     cause : str
-        What was seen of the upstream, for the log.
+        Observed failure of the upstream, for the log.
     """
 
     ticket: Ticket
@@ -85,18 +85,18 @@
 
 @frozen(kw_only=True)
 class StatementReceived:
-    """An upstream said something of itself in an answer.
+    """A response carried a statement of the upstream about itself.
 
     Parameters
     ----------
     upstream : str
-        Which one.
+        Name of the upstream.
     incarnation : int
-        Life of it that answered; zero if that is not known.
+        Incarnation that responded; zero if unknown.
     statement : UpstreamStatement
-        What it said.
+        The statement.
     sent_at : float
-        When the request was sent that it answered, monotonic seconds.
+        When the answered request was sent, monotonic time in seconds.
     """
 
     upstream: str
@@ -107,18 +107,18 @@
 
 @frozen(kw_only=True)
 class ProbeCompleted:
-    """A probe of an upstream ended.
+    """A probe of an upstream completed.
 
     Parameters
     ----------
     upstream : str
-        Which one.
+        Name of the upstream.
     report : LoadReport, optional
-        What it reported; None if it reported nothing that can be read.
+        Load report that it returned; None if there was none or it was unreadable.
     wall : float
         Seconds since the Unix epoch.
     reached : bool
-        Whether a connection to it was made.
+        Whether a connection was established.
     """
 
     upstream: str
@@ -129,7 +129,7 @@
 
 @frozen(kw_only=True)
 class SlotsRequested:
-    """A peer asks for idle slots."""
+    """A peer requests idle slots."""
 
     request: SlotRequest
     reply_to: Endpoint
@@ -144,12 +144,12 @@
 
 @frozen
 class TimePassed:
-    """Some time passed."""
+    """Timers are to be checked."""
 
 
 @frozen
 class ProcessPaused:
-    """The process noticed that it was not running for a while."""
+    """The process detected that it had not run for a while."""
 
 
 DispatchEvent = (
@@ -166,7 +166,7 @@
 
 
 class RejectReason(Enum):
-    """Why a request gets no upstream."""
+    """Why a request is rejected."""
 
     QUEUE_FULL = "queue-full"
     EVICTED = "evicted"
@@ -179,20 +179,20 @@
 
 @frozen(kw_only=True)
 class Assign:
-    """A request gets an upstream; its slot is counted from now on.
+    """Run a request on an upstream; its slot is taken from now on.
 
     Parameters
     ----------
     ticket : Ticket
         The request.
     upstream : str
-        Its upstream.
+        Name of the upstream.
     endpoint : Endpoint
-        Where that listens.
+        Address on which the upstream listens.
     incarnation : int
-        Which life of it is meant; zero if that is not known.
+        Incarnation of the upstream that is meant; zero if unknown.
     step : Placed, optional
-        What decided, for the log.
+        Values behind the choice, for the request trace.
     """
 
     ticket: Ticket
@@ -202,12 +202,12 @@
     step: Placed | None = field(default=None, eq=False)
 
     def cancellation(self) -> AttemptCompleted:
-        """Give the end of a request that goes no further at its upstream.
+        """Return the completion of an attempt that is cancelled.
 
         Returns
         -------
-        Ended
-            What frees the slot; it says nothing of the upstream.
+        AttemptCompleted
+            Event that frees the slot and has no effect on the upstream's health.
         """
         return AttemptCompleted(
             ticket=self.ticket,
@@ -219,18 +219,18 @@
 
 @frozen(kw_only=True)
 class Reject:
-    """A request gets no upstream; it was not run and never will be.
+    """Reject a request that was not run and will not be.
 
     Parameters
     ----------
     ticket : Ticket
         The request.
     reason : RejectReason
-        Why.
+        Why it is rejected.
     retry_after_s : float
-        When the caller should come back, in seconds.
+        Time after which the caller should retry, in seconds.
     step : Rejected, optional
-        What decided, for the log.
+        Values behind the rejection, for the request trace.
     """
 
     ticket: Ticket
@@ -241,7 +241,7 @@
 
 @frozen(kw_only=True)
 class SendProbe:
-    """An upstream is to be asked for its load report."""
+    """Request the load report of an upstream."""
 
     upstream: str
     endpoint: Endpoint
@@ -249,14 +249,14 @@
 
 @frozen(kw_only=True)
 class RequestToken:
-    """A request waits for a token of the limit that an upstream names.
+    """Request a token of the rate limit that an upstream stated.
 
     Parameters
     ----------
     upstream : str
-        The upstream.
+        Name of the upstream.
     incarnation : int
-        Which life of it is meant; zero if that is not known.
+        Incarnation of the upstream that is meant; zero if unknown.
     """
 
     upstream: str
@@ -265,14 +265,14 @@
 
 @frozen
 class RequestSlots:
-    """A peer, chosen by the shell's member list, is to be asked for slots."""
+    """Request slots of a peer, which the caller chooses from its member list."""
 
     request: SlotRequest
 
 
 @frozen(kw_only=True)
 class GrantSlots:
-    """Slots are lent to a peer."""
+    """Lend slots to a peer."""
 
     grant: SlotGrant
     to: Endpoint
--- a/packages/daemon/src/plankspindle_daemon/dispatch/placement.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/placement.py
@@ -1,4 +1,4 @@
-"""What it costs to send a request to one upstream rather than another."""
+"""Choice of an upstream for a request, by the expected time to its response."""
 
 from __future__ import annotations
 
@@ -33,57 +33,57 @@
 
 
 MISS_DURATION_FACTOR = 2.5
-"""Duration at an upstream that has not seen the affinity key, until it is measured."""
+"""Duration of an affinity miss over that of a hit, until misses are measured."""
 MAX_MISS_LOAD_SHARE = 0.7
-"""Load, as a share of the slots, up to which an upstream takes keys of others.
-
-Requests that miss keep an upstream busy several times as long, and make it forget one
-of the few keys that it remembers. A fleet that sends them anywhere once it is busy
-loses most of its capacity, and stays busy by that: no key goes beyond the next two
-upstreams of its own order. Beside letting idle upstreams take any key, that keeps 0.02
-of the worth of days with trouble, played on three seeds, and 0.03 of that of the
-modelled loads.
+"""Load, as a share of the slots, up to which an upstream accepts affinity misses.
+
+A miss occupies an upstream several times as long as a hit and evicts one of the few
+keys that its cache holds. A fleet that sends misses anywhere once it is busy loses most
+of its capacity and stays overloaded for that reason, so a key never goes beyond the
+next two upstreams of its ranking. Compared with misses on any idle upstream, the bound
+raises the score of days with faults by 0.02 over three seeds, and that of the modelled
+loads by 0.03.
 """
 LOAD_COST_SHARE = 0.25
-"""Cost of a fully used upstream over an idle one, in usual durations."""
+"""Cost of a full upstream over an idle one, as a share of the expected duration."""
 BULKY_CROSS_DOMAIN_COST_S = 0.25
 BULKY_CROSS_REGION_COST_S = 0.5
-"""Cost of a large answer that leaves its failure domain or region, in seconds."""
+"""Cost of a large response that leaves its failure domain or its region, in seconds."""
 MIN_SILENCE_FACTOR = 2.0
-"""Silence of an upstream that counts against it, in usual durations."""
+"""Expected durations without an answer after which an upstream costs more."""
 CANDIDATES_PER_SIDE = 2
-"""Upstreams of the own region, and of the others, that a key knows by rank."""
+"""Upstreams considered per key in the local region, and as many in the remote ones."""
 SEEN_KEY_TTL_S = 15.0
-"""Time for which an upstream that answered for a key is taken to know it, seconds.
+"""Time for which an upstream is assumed to cache a key that it answered, in seconds.
 
-A key that overflows to a second upstream does so every few seconds while it is hot.
+A hot key overflows to its second upstream every few seconds, which renews the entry.
 """
 MAX_SEEN_KEYS = 2 * MAX_CACHED_KEYS
-"""Keys at upstreams that are remembered as seen."""
+"""Limit on the recorded pairs of a key and an upstream that has seen it."""
 
 
 @define(kw_only=True)
 class Placement:
-    """Order of preference among the upstreams of one service.
+    """Preferences among the upstreams of one service.
 
     Parameters
     ----------
     distances : DomainDistances
-        Delays to failure domains.
+        Round-trip times to failure domains.
     limiter : SpilloverLimiter
-        Bound on what leaves the region, for all services of this VM.
+        Limit on spill-over to other regions, shared by all services of this VM.
     random : Random
         Source of tie-breaks.
     plan : RegionPlan
-        Which keys of this service have their upstream in another region.
+        Which keys of this service are planned for a remote region.
 
     Notes
     -----
-    Requests with one affinity key prefer one upstream, chosen by rendezvous hashing
-    among those of the own region or of all others, as the plan says, so that the entry
-    VMs of a region agree without talking. Any other upstream counts as one that has not
-    seen the key, until it has answered this VM for it: a key that is too hot for one
-    upstream then goes on to the second by which it overflowed before.
+    Requests with the same affinity key prefer the same upstream. It is found by
+    rendezvous hashing among the upstreams of the local region or of all others, as the
+    plan says, so that the entry VMs of a region agree without communication. Any other
+    upstream counts as an affinity miss until it has answered this VM for the key: a key
+    that is too hot for one upstream then keeps overflowing to the same second one.
     """
 
     distances: DomainDistances
@@ -91,7 +91,7 @@
     random: Random
     plan: RegionPlan = Factory(RegionPlan)
     rankings: UpstreamRankings = field(init=False)
-    _seen_at_by_key_and_upstream: dict[tuple[str, str], float] = field(factory=dict)
+    _seen_at: dict[tuple[str, str], float] = field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
         self.rankings = UpstreamRankings(distances=self.distances)
@@ -106,7 +106,7 @@
         miss_s: float | None,
         now: float,
     ) -> PlacementChoice | NeedsToken | None:
-        """Choose the upstream whose answer is expected first.
+        """Choose the upstream with the lowest expected time to a response.
 
         Parameters
         ----------
@@ -115,24 +115,24 @@
         by_name : mapping of str to UpstreamState
             All upstreams of the service.
         fits : callable
-            Tells whether an upstream may take the request now.
+            Returns whether an upstream may accept the request now.
         hit_s : float
-            Usual duration at an upstream that has seen the affinity key, in seconds.
+            Expected duration on an upstream that has seen the affinity key, in seconds.
         miss_s : float, optional
-            Usual duration at another one, if any was measured.
+            Expected duration on any other upstream, in seconds; None if not measured.
         now : float
-            Monotonic seconds.
+            Monotonic time in seconds.
 
         Returns
         -------
-        Place, NeedsToken or None
-            None if it is better to wait for an upstream that has seen the key.
+        PlacementChoice, NeedsToken or None
+            None if the request should wait, as for an upstream that has seen its key.
 
         Notes
         -----
-        Only the next upstreams in the key's order are looked at, so that the choice
-        does not grow with the service. A retry goes wherever there is room: it left an
-        upstream, and would end as unknown if it waited.
+        Only the first upstreams in the key's ranking are considered, so the cost of a
+        choice does not grow with the service. A retry ignores the spill-over limit: if
+        it waited and were rejected, the outcome of the request would be unknown.
         """
         query = PlacementQuery(
             ticket=ticket,
@@ -140,26 +140,26 @@
             miss_s=max(miss_s or 0.0, MISS_DURATION_FACTOR * hit_s),
             now=now,
         )
-        free = self._choose(query, by_name, fits)
-        if not isinstance(free, PlacementChoice):
-            return free
-        planned_near = self._is_planned_local(ticket)
-        wants = self.is_local(free.upstream) is not planned_near
+        best = self._choose(query, by_name, fits)
+        if not isinstance(best, PlacementChoice):
+            return best
+        planned_local = self._is_planned_local(ticket)
+        wants_spill = self.is_local(best.upstream) is not planned_local
         if ticket.excluded:
-            return evolve(free, spills=wants)
-        spills = self.limiter.should_spill(now, wants_spill=wants)
-        if spills == wants or (spills and ticket.bulky):
-            return evolve(free, spills=wants)
-        bound = self._choose(
+            return evolve(best, spills=wants_spill)
+        spills = self.limiter.should_spill(now, wants_spill=wants_spill)
+        if spills == wants_spill or (spills and ticket.bulky):
+            return evolve(best, spills=wants_spill)
+        restricted = self._choose(
             query,
             by_name,
             lambda each: (
-                (self.is_local(each) is planned_near) is not spills and fits(each)
+                (self.is_local(each) is planned_local) is not spills and fits(each)
             ),
         )
-        if isinstance(bound, PlacementChoice):
-            return evolve(bound, spills=spills)
-        return evolve(free, spills=wants) if spills else bound
+        if isinstance(restricted, PlacementChoice):
+            return evolve(restricted, spills=spills)
+        return evolve(best, spills=wants_spill) if spills else restricted
 
     def has_candidate(
         self,
@@ -169,24 +169,24 @@
         fits: Callable[[UpstreamState], bool],
         now: float,
     ) -> bool:
-        """Tell whether a retry would be given an upstream now, as :meth:`choose` does.
+        """Return whether a retry would be placed now, by the rules of :meth:`choose`.
 
         Parameters
         ----------
         ticket : Ticket
-            The request, with the upstreams that it leaves excluded.
+            The request, which excludes the upstreams that it leaves.
         by_name : mapping of str to UpstreamState
             All upstreams of the service.
         fits : callable
-            Tells whether an upstream may take the request now.
+            Returns whether an upstream may accept the request now.
         now : float
-            Monotonic seconds.
+            Monotonic time in seconds.
         """
         query = PlacementQuery(ticket=ticket, hit_s=0.0, miss_s=0.0, now=now)
         return isinstance(self._choose(query, by_name, fits), PlacementChoice)
 
     def _is_planned_local(self, ticket: Ticket) -> bool:
-        """Tell whether the upstream planned for a request is in the own region."""
+        """Return whether the upstream planned for a request is in the local region."""
         if ticket.affinity is None:
             return True
         planned = self.planned_rankings(ticket)[0]
@@ -200,57 +200,57 @@
         by_name: Mapping[str, UpstreamState],
         fits: Callable[[UpstreamState], bool],
     ) -> PlacementChoice | NeedsToken | None:
-        choice = BestChoice()
+        best = BestChoice()
         if query.ticket.affinity is None:
             for upstream in by_name.values():
                 if fits(upstream):
-                    self._consider(choice, query, upstream, is_hit=True)
-            return choice.choice or self._upstream_to_wait_for(query, by_name.values())
+                    self._consider(best, query, upstream, is_hit=True)
+            return best.choice or self._upstream_to_wait_for(query, by_name.values())
         key = query.ticket.affinity
-        known = self._candidates(query.ticket, by_name, query.now)
-        for name, is_planned in known.items():
+        candidates = self._candidates(query.ticket, by_name, query.now)
+        for name, is_planned in candidates.items():
             upstream = by_name[name]
             is_hit = is_planned or self.has_seen(key, name, query.now)
-            if is_planned and (needed := self._upstream_to_wait_for(query, [upstream])):
-                return needed
+            if is_planned and (wait := self._upstream_to_wait_for(query, [upstream])):
+                return wait
             if fits(upstream) and (
                 is_hit or _load_share(upstream, query.now) <= MAX_MISS_LOAD_SHARE
             ):
-                self._consider(choice, query, upstream, is_hit=is_hit)
-        return choice.choice
+                self._consider(best, query, upstream, is_hit=is_hit)
+        return best.choice
 
     def _upstream_to_wait_for(
         self, query: PlacementQuery, upstreams: Iterable[UpstreamState]
     ) -> NeedsToken | None:
-        """Give an upstream that a request should wait for, if a token may come soon.
+        """Return an upstream whose rate limit may grant a token soon, if any.
 
-        A retry does not wait, as it would end as unknown; nor does a request that would
-        be rejected before the token comes.
+        A retry does not wait, since a rejected retry has an unknown outcome; nor does a
+        request that would be rejected before the token arrives.
         """
         if query.ticket.excluded or query.ticket.hold_until < query.now + TOKEN_WAIT_S:
             return None
         for upstream in upstreams:
-            gate = upstream.fleet_limiter()
-            if gate is None or gate.has_token(query.now):
+            limiter = upstream.fleet_limiter()
+            if limiter is None or limiter.has_token(query.now):
                 continue
             if not self.is_permitted(upstream, query.ticket):
                 continue
-            is_open = gate.has_pending_request(query.now) or gate.may_request_token(
+            may_come = limiter.has_pending_request(
                 query.now
-            )
-            if is_open and upstream.is_usable(query.now):
+            ) or limiter.may_request_token(query.now)
+            if may_come and upstream.is_usable(query.now):
                 return NeedsToken(upstream)
         return None
 
     def is_permitted(self, upstream: UpstreamState, ticket: Ticket) -> bool:
-        """Tell whether a request may run in the region of an upstream."""
+        """Return whether a request may run in the region of an upstream."""
         domain = upstream.upstream.failure_domain
         return not ticket.regions or self.distances.region_of(domain) in ticket.regions
 
     def available_at(
         self, ticket: Ticket, by_name: Mapping[str, UpstreamState], now: float
     ) -> float:
-        """Give when limits and rests leave an upstream for a request.
+        """Return when rate limits and Retry-After periods allow a request to be placed.
 
         Parameters
         ----------
@@ -259,57 +259,55 @@
         by_name : mapping of str to UpstreamState
             All upstreams of the service.
         now : float
-            Monotonic seconds.
+            Monotonic time in seconds.
 
         Returns
         -------
         float
-            Monotonic seconds; now if there may be one.
+            Monotonic time in seconds; ``now`` if an upstream may be available already.
 
         Notes
         -----
-        Tokens are asked for at the upstream planned for a key; any other that the key
-        knows takes the request only if a token lies ready.
+        Tokens are requested only for the upstream planned for a key. The other
+        candidates of the key accept the request only if a token is already available.
         """
         if ticket.affinity is None:
             return earliest_available_at(by_name.values(), now) or now
         names = self._candidates(ticket, by_name, now)
-        known = [by_name[name] for name in names]
-        if not known or not all(each.lacks_token(now) for each in known[1:]):
+        candidates = [by_name[name] for name in names]
+        if not candidates or not all(each.lacks_token(now) for each in candidates[1:]):
             return now
-        return known[0].available_at(now)
+        return candidates[0].available_at(now)
 
     def has_seen(self, key: str, upstream: str, now: float) -> bool:
-        """Tell whether an upstream answered this VM for a key a while ago."""
-        seen_at = self._seen_at_by_key_and_upstream.get((key, upstream))
+        """Return whether an upstream answered this VM for a key within the TTL."""
+        seen_at = self._seen_at.get((key, upstream))
         return seen_at is not None and now - seen_at < SEEN_KEY_TTL_S
 
     def record_seen(self, key: str, upstream: str, now: float) -> None:
         """Record that an upstream answered for a key."""
-        if len(self._seen_at_by_key_and_upstream) >= MAX_SEEN_KEYS:
-            self._seen_at_by_key_and_upstream = {
-                place: at
-                for place, at in self._seen_at_by_key_and_upstream.items()
+        if len(self._seen_at) >= MAX_SEEN_KEYS:
+            self._seen_at = {
+                pair: at
+                for pair, at in self._seen_at.items()
                 if now - at < SEEN_KEY_TTL_S
             }
-        if len(self._seen_at_by_key_and_upstream) < MAX_SEEN_KEYS:
-            self._seen_at_by_key_and_upstream[key, upstream] = now
+        if len(self._seen_at) < MAX_SEEN_KEYS:
+            self._seen_at[key, upstream] = now
 
     def discard_seen(self, upstream: str) -> None:
-        """Forget the keys that an upstream has seen."""
-        self._seen_at_by_key_and_upstream = {
-            place: at
-            for place, at in self._seen_at_by_key_and_upstream.items()
-            if place[1] != upstream
+        """Discard the keys recorded for an upstream."""
+        self._seen_at = {
+            pair: at for pair, at in self._seen_at.items() if pair[1] != upstream
         }
 
     def is_local(self, upstream: UpstreamState) -> bool:
-        """Tell whether an upstream stands in the region of this VM."""
+        """Return whether an upstream is in the region of this VM."""
         return self.distances.is_local(upstream.upstream.failure_domain)
 
     def _consider(
         self,
-        choice: BestChoice,
+        best: BestChoice,
         query: PlacementQuery,
         upstream: UpstreamState,
         *,
@@ -318,19 +316,19 @@
         work_s = query.hit_s if is_hit else query.miss_s
         cost_s = self._cost_s(upstream, query.ticket, work_s, query.now)
         cost = (cost_s, self.random.random())
-        if cost < choice.cost:
-            choice.cost = cost
-            choice.choice = PlacementChoice(upstream=upstream, is_hit=is_hit)
+        if cost < best.cost:
+            best.cost = cost
+            best.choice = PlacementChoice(upstream=upstream, is_hit=is_hit)
 
     def _candidates(
         self, ticket: Ticket, by_name: Mapping[str, UpstreamState], now: float
     ) -> dict[str, bool]:
-        """Give the usable upstreams that a key knows, and which one is planned for it.
+        """Return the usable upstreams of a key, and which one is planned for it.
 
-        Those of the region that the plan gives to the key come first; the first of all
-        has seen it, as far as everybody goes by the plan.
+        The planned side is first. Only the first upstream of all is planned: all entry
+        VMs send the key there, so it is assumed to have seen it.
         """
-        known: dict[str, bool] = {}
+        candidates: dict[str, bool] = {}
         for names in self.planned_rankings(ticket):
             rank = 0
             for name in names:
@@ -339,40 +337,40 @@
                     continue
                 if not upstream.is_usable(now):
                     continue
-                known[name] = not known
+                candidates[name] = not candidates
                 rank += 1
                 if rank == CANDIDATES_PER_SIDE:
                     break
-        return known
+        return candidates
 
     def planned_rankings(self, ticket: Ticket) -> tuple[list[str], list[str]]:
-        """Give a key's orders of the upstreams, that of its planned place first.
+        """Return a key's local and remote upstreams by rank, its planned side first.
 
-        Large answers stay in the region, since they cost more on the way than a miss;
-        so does what may run in named regions only, if the own one is among them.
+        Large responses stay local, since their transfer costs more than a miss. So do
+        requests that are restricted to named regions, if the local one is among them.
         """
         assert ticket.affinity is not None
-        orders = self.rankings.get(ticket.affinity)
+        ranking = self.rankings.get(ticket.affinity)
         if ticket.regions:
-            return self._permitted(orders, ticket.regions)
-        if self.plan.is_remote(orders.hash_fraction) and not ticket.bulky:
-            return orders.remote, orders.local
-        return orders.local, orders.remote
+            return self._permitted(ranking, ticket.regions)
+        if self.plan.is_remote(ranking.hash_fraction) and not ticket.bulky:
+            return ranking.remote, ranking.local
+        return ranking.local, ranking.remote
 
     def _permitted(
-        self, orders: UpstreamRanking, regions: frozenset[str]
+        self, ranking: UpstreamRanking, regions: frozenset[str]
     ) -> tuple[list[str], list[str]]:
-        """Leave out the upstreams of other regions than the named ones."""
-        near, far = (
+        """Return a key's ranked upstreams in the named regions only."""
+        local, remote = (
             [
                 name
                 for name in names
                 if self.distances.region_of(self.rankings.domain_by_name[name])
                 in regions
             ]
-            for names in (orders.local, orders.remote)
+            for names in (ranking.local, ranking.remote)
         )
-        return (near, far) if near else (far, near)
+        return (local, remote) if local else (remote, local)
 
     def _cost_s(
         self, upstream: UpstreamState, ticket: Ticket, work_s: float, now: float
@@ -390,12 +388,12 @@
         distance = self.distances.rtt_s(domain)
         if not ticket.bulky or domain == self.distances.home_domain:
             return distance
-        near = self.distances.is_local(domain)
+        local = self.distances.is_local(domain)
         return distance + (
-            BULKY_CROSS_DOMAIN_COST_S if near else BULKY_CROSS_REGION_COST_S
+            BULKY_CROSS_DOMAIN_COST_S if local else BULKY_CROSS_REGION_COST_S
         )
 
 
 def _load_share(upstream: UpstreamState, now: float) -> float:
-    """Give the load of an upstream as a share of its slots."""
+    """Return the load of an upstream as a share of its slots."""
     return upstream.load(now) / upstream.upstream.slots
--- a/packages/daemon/src/plankspindle_daemon/dispatch/placement_choice.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/placement_choice.py
@@ -1,4 +1,4 @@
-"""A request to be placed, and the best upstream for it so far."""
+"""Types of the search for the best upstream of a request."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
     upstream : UpstreamState
         The upstream.
     is_hit : bool
-        Whether it is the one that the affinity key prefers.
+        Whether it is expected to have seen the affinity key.
     spills : bool
-        Whether it stands in a region that is not planned for the request.
+        Whether it is in a region other than the one planned for the request.
     """
 
     upstream: UpstreamState
@@ -31,14 +31,25 @@
 
 @frozen
 class NeedsToken:
-    """A request had better wait for a token of the limit that its upstream names."""
+    """The request should wait for a token of an upstream's rate limit."""
 
     upstream: UpstreamState
 
 
 @frozen(kw_only=True)
 class PlacementQuery:
-    """A request to be placed; what stays the same while upstreams are weighed."""
+    """A request to be placed, with the values that are the same for all upstreams.
+
+    Parameters
+    ----------
+    ticket : Ticket
+        The request.
+    hit_s, miss_s : float
+        Expected duration on an upstream that has seen the affinity key, and on one
+        that has not, in seconds.
+    now : float
+        Monotonic time in seconds.
+    """
 
     ticket: Ticket
     hit_s: float
@@ -48,7 +59,7 @@
 
 @define(kw_only=True)
 class BestChoice:
-    """The best place so far, and its cost with a tie-break."""
+    """The best choice found so far, and its cost in seconds with a random tie-break."""
 
     choice: PlacementChoice | None = None
     cost: tuple[float, float] = (math.inf, 0.0)
--- a/packages/daemon/src/plankspindle_daemon/dispatch/placement_explanation.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/placement_explanation.py
@@ -1,4 +1,4 @@
-"""What is logged of the choice of an upstream."""
+"""Explanation of the choice of an upstream, for the request trace."""
 
 from __future__ import annotations
 
@@ -24,22 +24,22 @@
     is_hit: bool,
     now: float,
 ) -> Placed:
-    """Say what decided for an upstream, before the request is counted there.
+    """Return the values behind a choice, before the request is counted on the upstream.
 
     Parameters
     ----------
     placement : Placement, optional
-        What chose it, if any entry VM may use the upstreams of the service.
+        Placement that made the choice; None if the slots are divided among entry VMs.
     ticket : Ticket
         The request.
     by_name : mapping of str to UpstreamState
         All upstreams of the service.
     chosen : UpstreamState
-        Its upstream.
+        The chosen upstream.
     is_hit : bool
-        Whether the affinity key prefers it.
+        Whether it is expected to have seen the affinity key.
     now : float
-        Monotonic seconds.
+        Monotonic time in seconds.
     """
     if placement is not None:
         step = PlacementExplanation(placement=placement)
@@ -55,12 +55,12 @@
 
 @frozen(kw_only=True)
 class PlacementExplanation:
-    """Say what decided for an upstream.
+    """Explain the choices of a placement.
 
     Parameters
     ----------
     placement : Placement
-        What chose it.
+        Placement that made the choices.
     """
 
     placement: Placement
@@ -74,10 +74,10 @@
         is_hit: bool,
         now: float,
     ) -> Placed:
-        """Say what decided, as :func:`explain_choice` does."""
-        leaves = not self.placement.is_local(chosen)
+        """Return the values behind a choice; see :func:`explain_choice`."""
+        is_remote = not self.placement.is_local(chosen)
         preferred = None
-        if ticket.affinity is not None and (leaves or not is_hit):
+        if ticket.affinity is not None and (is_remote or not is_hit):
             preferred = self._preferred(ticket, by_name)
         domain = chosen.upstream.failure_domain
         return Placed(
@@ -89,7 +89,7 @@
             latency=chosen.current_latency(now),
             rtt_ms=1000 * self.placement.distances.rtt_s(domain),
             hit=is_hit,
-            leaves_region=leaves,
+            leaves_region=is_remote,
             preferred=None if preferred is None else preferred.name,
             not_preferred=self._not_preferred_reason(preferred, ticket, now),
         )
@@ -97,18 +97,18 @@
     def _preferred(
         self, ticket: Ticket, by_name: Mapping[str, UpstreamState]
     ) -> UpstreamState | None:
-        """Give the upstream that the key of a request prefers, usable or not."""
+        """Return the upstream that the request's key prefers, whether usable or not."""
         names = self.placement.planned_rankings(ticket)[0]
         return by_name.get(names[0]) if names else None
 
     def _not_preferred_reason(
         self, preferred: UpstreamState | None, ticket: Ticket, now: float
     ) -> str | None:
-        """Say why the preferred upstream was not taken."""
+        """Return why the preferred upstream was not chosen."""
         if preferred is None:
             return None
         if preferred.name in ticket.excluded:
-            return "it failed this request before"
+            return "an earlier attempt failed there"
         if not preferred.is_usable(now):
             return preferred.status(now).value
         load = preferred.load(now)
--- a/packages/daemon/src/plankspindle_daemon/dispatch/probe_schedule.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/probe_schedule.py
@@ -1,4 +1,4 @@
-"""When upstreams whose slots are shared are asked for their load reports."""
+"""Schedule of probes that read the load reports of upstreams with divided slots."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 @define(kw_only=True)
 class ProbeSchedule:
-    """Probe each upstream once a period, and sooner to end a back-off.
+    """Probe each upstream once a period, and earlier to end a back-off.
 
     Parameters
     ----------
     random : Random
         Source of jitter.
     probe_period_s : float
-        Period of reading load reports, in seconds.
+        Period at which load reports are read, in seconds.
     """
 
     random: Random
@@ -36,12 +36,12 @@
     _last_by_name: dict[str, float] = Factory(dict)
 
     def all(self, by_name: Mapping[str, UpstreamState], now: float) -> list[SendProbe]:
-        """Probe all upstreams now."""
+        """Return a probe of every upstream, due now."""
         self._next_by_name.clear()
         return self.due(by_name, now)
 
     def due(self, by_name: Mapping[str, UpstreamState], now: float) -> list[SendProbe]:
-        """Give the probes that are due."""
+        """Return the probes that are due."""
         probes: list[SendProbe] = []
         for name, upstream in by_name.items():
             is_due = self._next_by_name.get(name, 0.0) <= now
--- a/packages/daemon/src/plankspindle_daemon/dispatch/region_capacity.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/region_capacity.py
@@ -1,4 +1,4 @@
-"""Room of the own region and the others, as the plans of services need it."""
+"""Capacity of the local region and of the others, for region plans and spill-over."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
     from plankspindle_daemon.dispatch.dispatcher import Dispatcher
 MAX_COUNTED_UPSTREAMS_PER_S = 2_000
-"""Upstreams whose room is counted a second, at 2 us each 0.4 percent of a core."""
+"""Upstreams whose slots are counted per second; at 2 us each, 0.4 percent of a core."""
 
 
 @frozen(kw_only=True)
 class _SlotCounts:
-    """Slots of one service's upstreams, in the own region and in the others."""
+    """Slots of one service's upstreams, in the local region and in the others."""
 
     local: int
     remote: int
@@ -37,13 +37,13 @@
     Parameters
     ----------
     vm, failure_domain : str
-        This VM and where it stands.
+        This VM and its failure domain.
     membership : Membership
-        Entry VMs that are known.
+        Known entry VMs.
     distances : DomainDistances
         Regions of failure domains.
     limiter : SpilloverLimiter
-        Bound on what leaves the region.
+        Limit on spill-over to other regions.
     """
 
     vm: str
@@ -57,24 +57,24 @@
     _updated_at: float | None = None
 
     def invalidate(self) -> None:
-        """Count anew: regions may have changed."""
+        """Count the entry VMs again, as domains may have changed their region."""
         self._counted_members = None
 
     def update(self, dispatchers: Iterable[Dispatcher], now: float) -> None:
-        """Tell the plans and the bound how much room there is, unless just done.
+        """Update the region plans and the spill-over limit, unless just done.
 
         Parameters
         ----------
         dispatchers : iterable of Dispatcher
-            Keepers of the upstreams of each service.
+            Dispatchers of all services.
         now : float
-            Monotonic seconds.
+            Monotonic time in seconds.
         """
         if now < self._next_update_at:
             return
         vm_share = self._current_vm_share()
-        most_change = self._max_change(now)
-        usable_near = upstreams = 0
+        max_change = self._max_change(now)
+        usable_local = upstreams = 0
         for dispatcher in dispatchers:
             upstreams += len(dispatcher.upstreams_by_name)
             if dispatcher.placement is not None:
@@ -83,17 +83,17 @@
                     local_slots=slots.local,
                     remote_slots=slots.remote,
                     vm_share=vm_share,
-                    max_change=most_change,
+                    max_change=max_change,
                 )
-                usable_near += slots.usable_local
+                usable_local += slots.usable_local
         self._next_update_at = now + upstreams / MAX_COUNTED_UPSTREAMS_PER_S
-        self.limiter.set_capacity(usable_near, now)
+        self.limiter.set_capacity(usable_local, now)
 
     def _max_change(self, now: float) -> float:
-        """Give the most by which plans may change; any change where room was lost.
+        """Return the maximum change of a plan; any change after a capacity loss.
 
-        A plan that jumped would move whole keys at once, to upstreams that have not
-        seen them.
+        A plan that changed in one step would move many keys at once to upstreams that
+        have not seen them.
         """
         before, self._updated_at = self._updated_at, now
         if before is None or not self.limiter.is_limiting(now):
@@ -101,29 +101,30 @@
         return MAX_SHARE_CHANGE_PER_S * (now - before)
 
     def _count_slots(self, dispatcher: Dispatcher, now: float) -> _SlotCounts:
-        """Count the slots of upstreams that stay.
+        """Count the slots of a service's upstreams that are to stay.
 
-        Those that are backed off are among them: a plan moves keys, and they return.
+        Upstreams that are backed off are included: a plan moves keys, and these
+        upstreams return.
         """
-        near = far = usable_near = 0
-        is_near = self.distances.is_local
+        local = remote = usable_local = 0
+        is_local = self.distances.is_local
         for upstream in dispatcher.upstreams_by_name.values():
             if not upstream.accepts_keys(now):
                 continue
             declared = upstream.upstream
-            if is_near(declared.failure_domain):
-                near += declared.slots
+            if is_local(declared.failure_domain):
+                local += declared.slots
                 if upstream.is_usable(now):
-                    usable_near += declared.slots
+                    usable_local += declared.slots
             else:
-                far += declared.slots
-        return _SlotCounts(local=near, remote=far, usable_local=usable_near)
+                remote += declared.slots
+        return _SlotCounts(local=local, remote=remote, usable_local=usable_local)
 
     def _current_vm_share(self) -> float:
-        """Give the part of the known entry VMs that stand in the own region.
+        """Return the share of the known entry VMs that are in the local region.
 
-        It is counted anew only when the members or the list have changed, since 4,500
-        VMs take milliseconds.
+        It is computed again only when the members or the platform's list have changed,
+        since counting 4,500 VMs takes milliseconds.
         """
         known = (self.membership.member_names(), self.membership.listed_by_name)
         if self._counted_members is None or any(
@@ -143,5 +144,5 @@
         for name, member in self.membership.members_by_name.items():
             domain_by_name[name] = member.failure_domain or self.failure_domain
         domain_by_name[self.vm] = self.failure_domain
-        near = sum(map(self.distances.is_local, domain_by_name.values()))
-        return near / len(domain_by_name)
+        local = sum(map(self.distances.is_local, domain_by_name.values()))
+        return local / len(domain_by_name)
--- a/packages/daemon/src/plankspindle_daemon/dispatch/region_plan.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/region_plan.py
@@ -1,4 +1,4 @@
-"""Which part of a service's keys has its upstream in another region."""
+"""Share of a service's keys that are planned for remote regions."""
 
 from __future__ import annotations
 
@@ -7,33 +7,33 @@
 
 @define(kw_only=True)
 class RegionPlan:
-    """Divide the keys of one service between the own region and the others.
+    """Divide the affinity keys of one service between the local region and the others.
 
     Attributes
     ----------
     remote_share : float
-        Part of the keys, from 0 to 1, whose upstream stands in another region.
+        Share of the keys whose planned upstream is in a remote region, from 0 to 1.
 
     Notes
     -----
-    An upstream that has seen a key answers in a third of the time. Where each request
-    decides by itself whether it leaves, a key is learned in each region: on a calm day
-    of 36 upstreams 2.0 of them learned each key, and 19 in 100 requests missed; by this
-    plan 1.5 learn it and 14 miss. A region short of upstreams sends out whole keys, the
-    same ones at each of its entry VMs, from the first request on: as many as balance
-    its part of the slots with its part of the entry VMs, which stands for its part of
-    the callers.
-
-    The part does not follow the load that answers tell: each VM hears of another one,
-    so that keys moved at each at other times and were known in two places. That cost
-    0.01 of the worth of days with trouble, and gained nothing where nine tenths of the
-    callers of a modelled load filled one region.
+    An upstream that has seen a key answers in a third of the time. If each request
+    chose its region by itself, every key would be cached in every region: over a day
+    without faults with 36 upstreams, 2.0 of them cached each key and 19 percent of the
+    requests missed; with this plan 1.5 cache it and 14 percent miss. A region short of
+    upstreams sends out whole keys, the same ones on each of its entry VMs, from the
+    first request on: as many as balance its share of the slots with its share of the
+    entry VMs, which approximates its share of the callers.
+
+    The share does not follow the load that upstreams report: each VM receives different
+    reports, so the VMs moved keys at different times and the keys were cached in two
+    places. That lowered the score of days with faults by 0.01, and gained nothing where
+    nine tenths of the callers of a modelled load were in one region.
     """
 
     remote_share: float = 0.0
 
     def is_remote(self, hash_fraction: float) -> bool:
-        """Tell whether a key leaves, by its place among all keys, from 0 to 1."""
+        """Return whether a key is remote, by its position in the hash range."""
         return hash_fraction < self.remote_share
 
     def update(
@@ -44,16 +44,16 @@
         vm_share: float,
         max_change: float = 1.0,
     ) -> None:
-        """Take the slots of upstreams that stay, and work out the part.
+        """Update the share of remote keys from the slots of upstreams that are to stay.
 
         Parameters
         ----------
         local_slots, remote_slots : float
-            Slots in the own region and in the others.
+            Slots in the local region and in all others.
         vm_share : float
-            Part of the entry VMs that stand in the own region; above 0.
+            Share of the entry VMs that are in the local region; above 0.
         max_change : float
-            Most by which the part may change now.
+            Maximum change of the share in this update.
         """
         if local_slots == 0 or remote_slots == 0:
             self.remote_share = 1.0 if remote_slots > 0 else 0.0
--- a/packages/daemon/src/plankspindle_daemon/dispatch/rejections.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/rejections.py
@@ -1,4 +1,4 @@
-"""Rejections of requests, with the time to come back."""
+"""Rejections of requests, with their Retry-After times."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 MIN_RETRY_AFTER_S = 0.05
 MAX_RETRY_AFTER_S = 30.0
 MIN_BUSY_RETRY_AFTER_S = 0.3
-"""Least time to come back for a request that found every fitting upstream busy."""
+"""Minimum time to a retry if all suitable upstreams were busy, in seconds."""
 
 
 @define(kw_only=True)
 class Rejections:
-    """Reject requests of one service, and count them.
+    """Reject requests of one service, and count the rejections.
 
     Parameters
     ----------
     queue : ClassQueue
-        Requests that wait.
+        Waiting requests.
     durations : DurationAverages
-        Averages of the service.
+        Average durations of the service's operations.
     random : Random
-        Source of jitter, so that not all come back at once.
+        Source of jitter, which keeps callers from retrying all at once.
 
     Attributes
     ----------
@@ -64,13 +64,13 @@
         ticket : Ticket
             The request.
         reason : RejectReason
-            Why.
+            Why it is rejected.
         capacity, in_flight : int
-            Requests that may run at once, and that run.
+            Requests that may run at once, and requests that run.
         available_at : float, optional
-            When an upstream wants a request again, monotonic seconds.
+            When an upstream accepts requests again, monotonic time in seconds.
         now : float
-            Monotonic seconds.
+            Monotonic time in seconds.
         """
         self.count_by_reason[reason] = self.count_by_reason.get(reason, 0) + 1
         wait = self.durations.estimated_wait_s(
--- a/packages/daemon/src/plankspindle_daemon/dispatch/service_registry.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/service_registry.py
@@ -1,4 +1,4 @@
-"""Services in force, with their dispatchers, upstreams and retry budgets."""
+"""Configured services, with their dispatchers, upstreams and retry budgets."""
 
 from __future__ import annotations
 
@@ -43,9 +43,9 @@
     from plankspindle_daemon.platform.live_list import ListedVm
 
 OVERLOADED_QUEUE_SHARE = 0.5
-"""Share of a queue's limit from which on look-ups do not name this VM."""
+"""Share of the queue limit above which lookups do not return this VM."""
 MIN_ASSUMED_ENTRY_VMS = 3
-"""Entry VMs that are assumed to share fleet-wide bounds before others are heard."""
+"""Entry VMs assumed to share fleet-wide limits before heartbeats of others arrive."""
 
 
 @define(kw_only=True)
@@ -55,30 +55,31 @@
     Parameters
     ----------
     vm, failure_domain : str
-        This VM and where it stands.
+        This VM and its failure domain.
     incarnation : int
-        Number of this process.
+        Incarnation number of this process.
     random : Random
         Seeded source of all random choices.
     membership : Membership
-        Entry VMs that share bounds.
+        Entry VMs that share fleet-wide limits.
     probe_period_s : float
-        Period of reading load reports, in seconds.
+        Period at which load reports are read, in seconds.
     ramping_from : float
-        Monotonic time from which an upstream that turns up is new, not only new here.
+        Monotonic time in seconds from which an added upstream counts as newly started,
+        and not as unknown so far because this VM just started.
 
     Attributes
     ----------
     listed : ListedUpstreams
         Upstreams of the platform's list.
     fleet_limiter_by_incarnation : dict of str to FleetLimiter
-        Limits that upstreams name over all entry VMs.
+        Rate limits over all entry VMs that upstreams stated.
     statements : StatementStore
-        What upstreams said of themselves.
+        What upstreams stated about themselves.
     drains : DrainClock
-        Drains of the version in force.
+        Drains of the current configuration.
     dispatchers_by_service, budgets_by_service : dict
-        What each service has.
+        Dispatcher and retry budget of each service.
     """
 
     vm: str
@@ -116,16 +117,16 @@
     def apply_configuration(
         self, configuration: Configuration, *, version: int, now: float, wall: float
     ) -> None:
-        """Take the services and upstreams of another version.
+        """Apply the services and upstreams of a new configuration version.
 
         Parameters
         ----------
         configuration : Configuration
-            The version in force.
+            The configuration.
         version : int
-            Its number.
+            Its version number.
         now : float
-            Monotonic seconds.
+            Monotonic time in seconds.
         wall : float
             Seconds since the Unix epoch.
         """
@@ -148,14 +149,14 @@
                 dispatcher.placement.rankings.rebuild()
 
     def apply_list(self, vms: Iterable[ListedVm], *, now: float, wall: float) -> None:
-        """Take what the platform's list says of upstreams.
+        """Apply the platform's list to the upstreams.
 
         Parameters
         ----------
         vms : iterable of ListedVm
-            The whole list.
+            The complete list.
         now : float
-            Monotonic seconds.
+            Monotonic time in seconds.
         wall : float
             Seconds since the Unix epoch.
         """
@@ -168,9 +169,9 @@
     def handle(
         self, service: str, event: DispatchEvent, now: float
     ) -> list[DispatchEffect]:
-        """Give an event to the dispatcher of a service; nothing if there is none."""
+        """Pass an event to the dispatcher of a service, if there is one."""
         if isinstance(event, StatementReceived):
-            # The upstream may belong to another service since it was asked.
+            # The upstream may have moved to another service after the request was sent.
             for each in self.dispatchers_by_service.values():
                 each.apply_statement(event, now)
             return []
@@ -178,21 +179,21 @@
         return [] if dispatcher is None else dispatcher.handle(event, now)
 
     def service_of(self, upstream: str) -> str:
-        """Name the service of a declared upstream; empty if it is not declared."""
+        """Return the service of a declared upstream; empty if it is not declared."""
         if self._configuration is None:
             return ""
         declared = self._configuration.upstreams_by_name.get(upstream)
         return declared.service if declared is not None else ""
 
     def is_overloaded(self) -> bool:
-        """Tell whether look-ups should name other entry VMs."""
+        """Return whether lookups should return other entry VMs."""
         return any(
             len(each.queue) > OVERLOADED_QUEUE_SHARE * each.queue.limit
             for each in self.dispatchers_by_service.values()
         )
 
     def upstreams_over_share(self, now: float) -> list[str]:
-        """Name the upstreams at which this VM runs more than its share."""
+        """Return the names of upstreams on which this VM runs more than its share."""
         return [
             upstream.name
             for dispatcher in self.dispatchers_by_service.values()
@@ -201,12 +202,12 @@
         ]
 
     def apply_drains(self, *, now: float, wall: float) -> None:
-        """Keep new work from drained upstreams, and take back those that no more are.
+        """Withhold new requests from drained upstreams, and resume after a drain ends.
 
         Parameters
         ----------
         now : float
-            Monotonic seconds.
+            Monotonic time in seconds.
         wall : float
             Seconds since the Unix epoch.
         """
@@ -220,15 +221,15 @@
                     name, upstream.upstream.failure_domain, now=now, wall=wall
                 )
                 if was_drained and upstream.drained_at is None:
-                    # It had nothing to do while it was drained.
+                    # It received no requests while it was drained.
                     self._cold_limits.mark_cold(upstream, self._service(service), now)
 
     def update_region_capacity(self, now: float) -> None:
-        """Count the room of the own region and the others."""
+        """Update the capacity of the local region and of the others."""
         self.region_capacity.update(self.dispatchers_by_service.values(), now)
 
     def upstream_count(self) -> int:
-        """Give the number of upstreams of all services."""
+        """Return the number of upstreams of all services."""
         dispatchers = self.dispatchers_by_service.values()
         return sum(len(each.upstreams_by_name) for each in dispatchers)
 
@@ -248,14 +249,14 @@
             name, RetryBudget(percent=service.retry_percent)
         )
         budget.percent = service.retry_percent
-        others = len(self.membership.members_by_name)
-        sharers = max(MIN_ASSUMED_ENTRY_VMS, others + 1)
+        others_count = len(self.membership.members_by_name)
+        sharers = max(MIN_ASSUMED_ENTRY_VMS, others_count + 1)
         budget.burst = max(1.0, service.retry_burst / sharers)
 
     def _declared_upstreams(
         self, configuration: Configuration, name: str, service: Service
     ) -> dict[str, Upstream]:
-        """Give the upstreams of a service that this VM may use, by name."""
+        """Return the upstreams of a service that this VM may use, by name."""
         any_domain = service.slot_sharing is SlotSharing.REPORTED
         declared = dict(configuration.upstreams_by_name)
         for key, listed in self.listed.by_name.items():
@@ -374,13 +375,13 @@
 
 
 def _update_rankings(dispatcher: Dispatcher, declared: dict[str, Upstream]) -> None:
-    """Let affinity keys be divided among the upstreams that stay."""
+    """Rank the upstreams that are to stay for affinity keys."""
     if dispatcher.placement is None:
         return
     by_name = dispatcher.upstreams_by_name
-    staying = {
+    domain_by_name = {
         name: upstream.failure_domain
         for name, upstream in declared.items()
         if not by_name[name].leaving and by_name[name].drained_at is None
     }
-    dispatcher.placement.rankings.set_upstreams(staying)
+    dispatcher.placement.rankings.set_upstreams(domain_by_name)
--- a/packages/daemon/src/plankspindle_daemon/dispatch/slot_lending.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/slot_lending.py
@@ -1,4 +1,4 @@
-"""Borrowing of idle slots from members, and lending of one's own."""
+"""Borrowing of idle slots from other entry VMs, and lending of this VM's own."""
 
 from __future__ import annotations
 
@@ -27,18 +27,18 @@
 
 @define(kw_only=True)
 class SlotLending:
-    """Both sides of the loans of one service.
+    """Both sides of the slot loans of one service.
 
     Parameters
     ----------
     vm : str
         Name of this VM.
     incarnation : int
-        Number of this process.
+        Incarnation number of this process.
     random : Random
         Source of choices and request ids.
     queue : ClassQueue
-        Requests that wait here; while some do, nothing is lent.
+        Waiting requests of this VM; nothing is lent while there are any.
     """
 
     vm: str
@@ -51,7 +51,7 @@
     def request(
         self, upstreams_by_name: Mapping[str, UpstreamState], now: float
     ) -> list[RequestSlots]:
-        """Ask a member for idle slots of an upstream whose own share is used up."""
+        """Request idle slots of an upstream on which this VM's own share is used up."""
         if now < self._next_request_at:
             return []
         waiting = next(iter(self.queue))
@@ -83,9 +83,9 @@
 
     def _expire_pending(self, now: float) -> None:
         self._pending_by_id = {
-            number: asked
-            for number, asked in self._pending_by_id.items()
-            if asked[2] > now
+            number: pending
+            for number, pending in self._pending_by_id.items()
+            if pending[2] > now
         }
 
     def lend(
@@ -125,14 +125,14 @@
         upstreams_by_name: Mapping[str, UpstreamState],
         now: float,
     ) -> None:
-        """Take slots that were lent, if they were asked for in this life."""
-        asked = self._pending_by_id.pop(grant.request_id, None)
-        if asked is None or grant.borrower_incarnation != self.incarnation:
+        """Add slots that were lent, if this incarnation requested them."""
+        pending = self._pending_by_id.pop(grant.request_id, None)
+        if pending is None or grant.borrower_incarnation != self.incarnation:
             return
-        name, asked_at, _ = asked
+        name, requested_at, _ = pending
         upstream = upstreams_by_name.get(name)
         if upstream is None or grant.upstream != name:
             return
-        until = asked_at + grant.duration_ms / 1000
+        until = requested_at + grant.duration_ms / 1000
         loan = Loan(request_id=grant.request_id, count=grant.count, until=until)
         upstream.ledger.borrow(loan, now)
--- a/packages/daemon/src/plankspindle_daemon/dispatch/unresponsive_hint_relay.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/unresponsive_hint_relay.py
@@ -1,4 +1,4 @@
-"""Hints between entry VMs on upstreams that answer nobody."""
+"""Hints between entry VMs about unresponsive upstreams."""
 
 from __future__ import annotations
 
@@ -13,26 +13,27 @@
     from plankspindle_daemon.upstreams.upstream_state import UpstreamState
 
 MAX_HINTS = 8
-"""Silent upstreams that a heartbeat names, in about 100 bytes."""
+"""Unresponsive upstreams named in a heartbeat, which takes about 100 bytes."""
 
 
 @frozen(kw_only=True)
 class UnresponsiveHintRelay:
-    """Give hints on silent upstreams, and take those of other entry VMs.
+    """Collect hints about unresponsive upstreams, and apply those of other entry VMs.
 
     Parameters
     ----------
     services : ServiceRegistry
-        The upstreams of all services.
+        Upstreams of all services.
     """
 
     services: ServiceRegistry
 
     def collect(self, now: float) -> tuple[UpstreamState, ...]:
-        """Give upstreams that answer none of this VM's requests, not too many.
+        """Return upstreams that answer none of this VM's requests, up to a limit.
 
-        None if heartbeats are rarer than hints last: looking through 900 upstreams for
-        each heartbeat took 1 percent of the loop, and nobody could use what was found.
+        Empty if the heartbeat period is longer than the lifetime of a hint: scanning
+        900 upstreams for each heartbeat took 1 percent of the event loop, and the hints
+        would expire before they could be used.
         """
         if self.services.membership.heartbeat_period_s() > HINT_DECAY_S:
             return ()
@@ -45,7 +46,7 @@
         return tuple(silent[:MAX_HINTS])
 
     def apply(self, heartbeat: Heartbeat, now: float) -> None:
-        """Take what an entry VM tells of silent upstreams, of their present life."""
+        """Apply an entry VM's hints on current incarnations of upstreams."""
         names, incarnations = heartbeat.silent_upstreams, heartbeat.silent_incarnations
         hints = zip(names, incarnations or (0,) * len(names), strict=False)
         for name, incarnation in hints:
--- a/packages/daemon/src/plankspindle_daemon/dispatch/upstream_availability.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/upstream_availability.py
@@ -1,4 +1,4 @@
-"""When upstreams that limit what they get, or rest, want another request."""
+"""When upstreams with rate limits or Retry-After periods accept requests again."""
 
 from __future__ import annotations
 
@@ -15,35 +15,36 @@
 def earliest_available_at(
     upstreams: Iterable[UpstreamState], now: float
 ) -> float | None:
-    """Give when the first of some upstreams wants a request; None if none ever will.
+    """Return when the first of the upstreams accepts a request; None if none ever will.
 
     Parameters
     ----------
     upstreams : iterable of UpstreamState
-        Upstreams that may run a request.
+        Upstreams that may run the request.
     now : float
-        Monotonic seconds.
+        Monotonic time in seconds.
 
     Returns
     -------
     float or None
-        Monotonic seconds; now unless all that stay are limited or rest.
+        Monotonic time in seconds; ``now`` unless limits or Retry-After periods
+        block all upstreams that accept new work.
     """
     first: float | None = None
     for upstream in upstreams:
         if upstream.rejects_new_work(now):
             continue
-        opens_at = upstream.available_at(now)
-        if opens_at <= now:
+        available_at = upstream.available_at(now)
+        if available_at <= now:
             return now
-        first = opens_at if first is None else min(first, opens_at)
+        first = available_at if first is None else min(first, available_at)
     return first
 
 
 def request_token(upstream: UpstreamState, now: float) -> RequestToken | None:
-    """Ask for a token of an upstream's limit, unless that is under way or in vain."""
-    gate = upstream.fleet_limiter()
-    if gate is None or not gate.may_request_token(now):
+    """Request a token of an upstream's rate limit, unless that is useless now."""
+    limiter = upstream.fleet_limiter()
+    if limiter is None or not limiter.may_request_token(now):
         return None
-    gate.record_token_request(now)
+    limiter.record_token_request(now)
     return RequestToken(upstream=upstream.name, incarnation=upstream.incarnation)
--- a/packages/daemon/tests/dispatch/test_dispatcher.py
+++ b/packages/daemon/tests/dispatch/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Tests of the dispatcher: classes, deadlines, limits, misleading reports, leaving."""
+"""Tests of the dispatcher: queueing, deadlines, slots, probes, loans and health."""
 
 from __future__ import annotations
 
@@ -35,25 +35,25 @@
     return [(e.ticket.id, e.reason) for e in effects if isinstance(e, d.Reject)]
 
 
-def end(
+def complete(
     dispatcher: Dispatcher,
     number: int,
     upstream: str,
     now: float,
-    verdict: d.AttemptOutcome = d.AttemptOutcome.ANSWERED,
-    took_s: float = 0.1,
+    outcome: d.AttemptOutcome = d.AttemptOutcome.ANSWERED,
+    duration_s: float = 0.1,
 ) -> list[d.DispatchEffect]:
-    ended = d.AttemptCompleted(
+    completed = d.AttemptCompleted(
         ticket=build_ticket(number),
         upstream=upstream,
-        outcome=verdict,
-        head_s=took_s,
-        total_s=took_s,
+        outcome=outcome,
+        head_s=duration_s,
+        total_s=duration_s,
     )
-    return dispatcher.handle(ended, now)
+    return dispatcher.handle(completed, now)
 
 
-def test_the_most_important_class_is_served_first_and_in_order() -> None:
+def test_higher_class_is_assigned_first_and_fifo_within_class() -> None:
     dispatcher = build_dispatcher(slots_by_upstream={"u": 1})
     arrive(dispatcher, 1)
     for number, rank in ((2, 2), (3, 0), (4, 1), (5, 0)):
@@ -61,13 +61,13 @@
     order = []
     running = 1
     for step in range(4):
-        effects = end(dispatcher, running, "u", 0.1 * (step + 1))
+        effects = complete(dispatcher, running, "u", 0.1 * (step + 1))
         running = assigned(effects)[0][0]
         order.append(running)
     assert order == [3, 5, 4, 2]
 
 
-def test_a_full_queue_evicts_the_lowest_class() -> None:
+def test_full_queue_evicts_lowest_class() -> None:
     dispatcher = build_dispatcher(slots_by_upstream={"u": 1}, queue_limit=2)
     for number, rank in ((1, 0), (2, 2), (3, 1)):
         arrive(dispatcher, number, rank=rank)
@@ -75,10 +75,10 @@
     assert rejected(arrive(dispatcher, 5, rank=1)) == [(5, d.RejectReason.QUEUE_FULL)]
 
 
-def test_what_cannot_end_in_time_is_rejected_at_once() -> None:
+def test_request_that_would_miss_its_deadline_is_rejected_on_arrival() -> None:
     dispatcher = build_dispatcher(slots_by_upstream={"u": 1})
     arrive(dispatcher, 1)
-    end(dispatcher, 1, "u", 1.0, took_s=1.0)
+    complete(dispatcher, 1, "u", 1.0, duration_s=1.0)
     arrive(dispatcher, 2, now=1.0, deadline=20.0)
     for number in range(3, 8):
         arrive(dispatcher, number, now=1.0, deadline=20.0)
@@ -89,7 +89,7 @@
     assert reject.retry_after_s > 1.0
 
 
-def test_a_waiting_request_is_given_up_as_soon_as_it_is_too_late() -> None:
+def test_waiting_request_is_rejected_once_too_little_time_is_left() -> None:
     dispatcher = build_dispatcher(slots_by_upstream={"u": 1})
     arrive(dispatcher, 1)
     arrive(dispatcher, 2, deadline=1.0)
@@ -98,38 +98,38 @@
     assert rejected(effects) == [(2, d.RejectReason.TOO_LATE)]
 
 
-def test_slots_are_never_passed() -> None:
+def test_slot_limits_are_never_exceeded() -> None:
     dispatcher = build_dispatcher(slots_by_upstream={"u": 2, "v": 3})
     started = [assigned(arrive(dispatcher, number)) for number in range(20)]
     assert sum(map(len, started)) == 5
 
 
-def test_an_upstream_that_claims_to_be_idle_gains_nothing() -> None:
-    dispatcher = build_dispatcher(slots_by_upstream={"honest": 20, "liar": 20})
-    for name, in_flight in (("honest", 10), ("liar", 0)):
+def test_false_idle_report_attracts_no_extra_requests() -> None:
+    dispatcher = build_dispatcher(slots_by_upstream={"correct": 20, "misreporting": 20})
+    for name, in_flight in (("correct", 10), ("misreporting", 0)):
         report = LoadReport(in_flight=in_flight, slots=20)
         dispatcher.handle(
             d.ProbeCompleted(upstream=name, report=report, wall=WALL), 0.0
         )
     chosen = [assigned(arrive(dispatcher, number))[0][1] for number in range(30)]
-    assert 15 <= chosen.count("liar") <= 20
-    assert dispatcher.upstreams_by_name["liar"].ledger.in_flight <= 20
+    assert 15 <= chosen.count("misreporting") <= 20
+    assert dispatcher.upstreams_by_name["misreporting"].ledger.in_flight <= 20
 
 
-def test_a_stale_report_is_ignored() -> None:
+def test_stale_load_report_is_ignored() -> None:
     dispatcher = build_dispatcher(slots_by_upstream={"u": 20, "v": 20})
     report = LoadReport(in_flight=20, slots=20)
     dispatcher.handle(d.ProbeCompleted(upstream="u", report=report, wall=WALL), 0.0)
     fresh = [assigned(arrive(dispatcher, n, now=1.0))[0][1] for n in range(4)]
     assert "u" not in fresh[:1]
-    late = [
+    later = [
         assigned(arrive(dispatcher, n, now=9.0, deadline=99.0))[0][1]
         for n in range(10, 20)
     ]
-    assert abs(late.count("u") - late.count("v")) <= 4
+    assert abs(later.count("u") - later.count("v")) <= 4
 
 
-def test_a_leaving_upstream_gets_nothing_new_and_its_work_ends() -> None:
+def test_leaving_upstream_gets_no_new_requests_but_finishes_running_ones() -> None:
     dispatcher = build_dispatcher(slots_by_upstream={"u": 2, "v": 1})
     for number in range(3):
         arrive(dispatcher, number)
@@ -138,31 +138,31 @@
     assert not assigned(arrive(dispatcher, 9))
     in_u = list(dispatcher.upstreams_by_name["u"].ledger.deadlines_by_ticket)
     assert len(in_u) == 2
-    assert not assigned(end(dispatcher, in_u[0], "u", 0.2))
+    assert not assigned(complete(dispatcher, in_u[0], "u", 0.2))
     in_v = list(dispatcher.upstreams_by_name["v"].ledger.deadlines_by_ticket)
-    assert assigned(end(dispatcher, in_v[0], "v", 0.3)) == [(9, "v")]
+    assert assigned(complete(dispatcher, in_v[0], "v", 0.3)) == [(9, "v")]
 
 
-def test_without_any_upstream_a_request_is_rejected_at_once() -> None:
+def test_request_is_rejected_on_arrival_without_any_upstream() -> None:
     dispatcher = build_dispatcher(slots_by_upstream={"u": 2})
     dispatcher.upstreams_by_name["u"].leaving = True
     effects = arrive(dispatcher, 1)
     assert rejected(effects) == [(1, d.RejectReason.NO_UPSTREAM)]
 
 
-def test_work_that_would_outlive_a_planned_leave_goes_elsewhere() -> None:
+def test_request_avoids_upstream_that_leaves_before_its_expected_end() -> None:
     dispatcher = build_dispatcher(slots_by_upstream={"leaves": 9, "stays": 1})
     report = LoadReport(leaves_at=WALL + 5.0)
     dispatcher.handle(
         d.ProbeCompleted(upstream="leaves", report=report, wall=WALL), 0.0
     )
-    long_one = arrive(dispatcher, 1, expected_s=60.0, deadline=120.0)
-    assert assigned(long_one) == [(1, "stays")]
+    long_request = arrive(dispatcher, 1, expected_s=60.0, deadline=120.0)
+    assert assigned(long_request) == [(1, "stays")]
     assert not assigned(arrive(dispatcher, 2, expected_s=60.0, deadline=120.0))
     assert assigned(arrive(dispatcher, 3, expected_s=0.1)) == [(3, "leaves")]
 
 
-def test_after_a_pause_nothing_is_sent_before_an_upstream_was_heard_again() -> None:
+def test_no_request_is_assigned_after_a_pause_until_a_probe_is_answered() -> None:
     dispatcher = build_dispatcher(slots_by_upstream={"u": 2})
     effects = dispatcher.handle(d.ProcessPaused(), 100.0)
     assert [e.upstream for e in effects if isinstance(e, d.SendProbe)] == ["u"]
@@ -171,36 +171,36 @@
     ledger.grow_share(2)
     assert not assigned(arrive(dispatcher, 1, now=100.0, deadline=110.0))
     report = LoadReport(leaving=True)
-    heard = d.ProbeCompleted(upstream="u", report=report, wall=WALL)
-    assert not assigned(dispatcher.handle(heard, 100.1))
-    heard = d.ProbeCompleted(upstream="u", report=LoadReport(), wall=WALL)
-    assert assigned(dispatcher.handle(heard, 101.0)) == [(1, "u")]
+    probed = d.ProbeCompleted(upstream="u", report=report, wall=WALL)
+    assert not assigned(dispatcher.handle(probed, 100.1))
+    probed = d.ProbeCompleted(upstream="u", report=LoadReport(), wall=WALL)
+    assert assigned(dispatcher.handle(probed, 101.0)) == [(1, "u")]
 
 
-@pytest.mark.parametrize("verdict", [d.AttemptOutcome.SHED, d.AttemptOutcome.FAILED])
-def test_a_failing_upstream_returns_by_probe_and_slowly(
-    verdict: d.AttemptOutcome,
+@pytest.mark.parametrize("outcome", [d.AttemptOutcome.SHED, d.AttemptOutcome.FAILED])
+def test_failing_upstream_returns_after_probe_and_ramps_up(
+    outcome: d.AttemptOutcome,
 ) -> None:
     dispatcher = build_dispatcher(slots_by_upstream={"u": 9})
     arrive(dispatcher, 1)
-    end(dispatcher, 1, "u", 0.0, verdict)
+    complete(dispatcher, 1, "u", 0.0, outcome)
     upstream = dispatcher.upstreams_by_name["u"]
     assert isinstance(upstream.health.state, BackedOff)
     assert not assigned(arrive(dispatcher, 2, now=0.01))
     effects = dispatcher.handle(d.TimePassed(), 0.5)
     assert any(isinstance(effect, d.SendProbe) for effect in effects)
-    heard = d.ProbeCompleted(upstream="u", report=LoadReport(), wall=WALL)
-    assert len(assigned(dispatcher.handle(heard, 0.5))) == 1
+    probed = d.ProbeCompleted(upstream="u", report=LoadReport(), wall=WALL)
+    assert len(assigned(dispatcher.handle(probed, 0.5))) == 1
     assert isinstance(upstream.health.state, Ramping)
     assert not assigned(arrive(dispatcher, 3, now=0.5))
     assert upstream.usable_slots(1.5) == 5
     assert upstream.usable_slots(2.5) == 9
 
 
-def test_single_timeouts_do_not_back_off_but_a_hanging_upstream_does() -> None:
+def test_only_consecutive_timeouts_back_off_an_upstream() -> None:
     dispatcher = build_dispatcher(slots_by_upstream={"u": 9})
     health = dispatcher.upstreams_by_name["u"].health
-    for number, verdict in enumerate(
+    for number, outcome in enumerate(
         [
             d.AttemptOutcome.TIMED_OUT,
             d.AttemptOutcome.TIMED_OUT,
@@ -209,25 +209,25 @@
         * 3
     ):
         arrive(dispatcher, number)
-        end(dispatcher, number, "u", 0.1, verdict)
+        complete(dispatcher, number, "u", 0.1, outcome)
         assert not isinstance(health.state, BackedOff)
     for number in range(10, 13):
         arrive(dispatcher, number)
-        end(dispatcher, number, "u", 1.0, d.AttemptOutcome.TIMED_OUT)
+        complete(dispatcher, number, "u", 1.0, d.AttemptOutcome.TIMED_OUT)
     assert not isinstance(health.state, BackedOff)
     arrive(dispatcher, 13, now=1.1)
-    end(dispatcher, 13, "u", 1.1, d.AttemptOutcome.TIMED_OUT)
+    complete(dispatcher, 13, "u", 1.1, d.AttemptOutcome.TIMED_OUT)
     assert isinstance(health.state, BackedOff)
 
 
-def test_back_off_grows_while_probes_find_nobody() -> None:
+def test_back_off_grows_while_probes_cannot_connect() -> None:
     dispatcher = build_dispatcher(slots_by_upstream={"u": 9})
     health = dispatcher.upstreams_by_name["u"].health
     waits = []
     now = 0.0
-    unreached = d.ProbeCompleted(upstream="u", report=None, wall=WALL, reached=False)
+    unreachable = d.ProbeCompleted(upstream="u", report=None, wall=WALL, reached=False)
     for _ in range(8):
-        dispatcher.handle(unreached, now)
+        dispatcher.handle(unreachable, now)
         assert isinstance(health.state, BackedOff)
         waits.append(health.state.until - now)
         now = health.state.until
@@ -235,7 +235,7 @@
     assert 5.0 <= waits[-1] <= 10.0
 
 
-def test_idle_slots_are_lent_once_and_come_back() -> None:
+def test_idle_slots_are_lent_once_and_return_when_the_loan_expires() -> None:
     lender = build_dispatcher(slots_by_upstream={"u": 4}, vm="lender")
     request = SlotRequest(
         sender="borrower",
@@ -245,31 +245,31 @@
         duration_ms=1000,
         incarnation=9,
     )
-    asked = d.SlotsRequested(request=request, reply_to=Endpoint("127.0.0.1", 1))
-    granted = lender.handle(asked, 0.0)
+    requested = d.SlotsRequested(request=request, reply_to=Endpoint("127.0.0.1", 1))
+    granted = lender.handle(requested, 0.0)
     assert [e.grant.count for e in granted if isinstance(e, d.GrantSlots)] == [2]
-    assert lender.handle(asked, 0.0) == []
+    assert lender.handle(requested, 0.0) == []
     assert lender.free_slots(0.5) == 2
     assert lender.free_slots(1.1) == 4
 
 
-def test_borrowed_slots_carry_only_what_ends_before_the_loan() -> None:
+def test_borrowed_slots_run_only_requests_that_end_before_the_loan() -> None:
     borrower = build_dispatcher(slots_by_upstream={"u": 4})
     borrower.upstreams_by_name["u"].ledger.share = 1
     arrive(borrower, 1)
     effects = arrive(borrower, 2, deadline=0.8)
-    asks = [e.request for e in effects if isinstance(e, d.RequestSlots)]
-    assert len(asks) == 1
+    requests = [e.request for e in effects if isinstance(e, d.RequestSlots)]
+    assert len(requests) == 1
     lender = build_dispatcher(slots_by_upstream={"u": 4}, vm="lender")
-    asked = d.SlotsRequested(request=asks[0], reply_to=Endpoint("127.0.0.1", 1))
-    grants = [e for e in lender.handle(asked, 0.0) if isinstance(e, d.GrantSlots)]
-    taken = borrower.handle(d.SlotsGranted(grants[0].grant), 0.1)
-    assert assigned(taken) == [(2, "u")]
+    requested = d.SlotsRequested(request=requests[0], reply_to=Endpoint("127.0.0.1", 1))
+    grants = [e for e in lender.handle(requested, 0.0) if isinstance(e, d.GrantSlots)]
+    effects = borrower.handle(d.SlotsGranted(grants[0].grant), 0.1)
+    assert assigned(effects) == [(2, "u")]
     assert borrower.handle(d.SlotsGranted(grants[0].grant), 0.1) == []
     assert not assigned(arrive(borrower, 3, now=0.2, deadline=5.0))
 
 
-def test_choices_are_the_same_for_the_same_seed() -> None:
+def test_same_seed_gives_same_choices() -> None:
     def choices() -> list[tuple[int, str]]:
         dispatcher = build_dispatcher(slots_by_upstream={"u": 5, "v": 5, "w": 5})
         dispatcher.random = Random(3)
@@ -278,7 +278,7 @@
     assert choices() == choices()
 
 
-def test_a_request_that_waited_its_time_is_told_when_to_come_back() -> None:
+def test_request_is_rejected_with_retry_after_when_its_hold_time_ends() -> None:
     dispatcher = build_reporting_dispatcher("u")
     for number in range(2):
         assert assigned(arrive(dispatcher, number))
@@ -290,58 +290,58 @@
     assert effects[0].retry_after_s >= 0.3
 
 
-def test_a_request_stays_in_its_home_regions() -> None:
+def test_request_runs_only_in_its_permitted_regions() -> None:
     dispatcher = build_reporting_dispatcher("u")
     assert assigned(arrive(dispatcher, 1, regions=frozenset({"bratislava"})))
-    refused = arrive(dispatcher, 2, regions=frozenset({"kosice"}))
-    assert rejected(refused) == [(2, d.RejectReason.NO_UPSTREAM)]
+    effects = arrive(dispatcher, 2, regions=frozenset({"kosice"}))
+    assert rejected(effects) == [(2, d.RejectReason.NO_UPSTREAM)]
 
 
-def test_an_upstream_that_sheds_is_left_for_a_moment_only() -> None:
+def test_shedding_upstream_is_avoided_briefly() -> None:
     dispatcher = build_reporting_dispatcher("u")
     arrive(dispatcher, 1)
-    end(dispatcher, 1, "u", 0.1, d.AttemptOutcome.SHED)
+    complete(dispatcher, 1, "u", 0.1, d.AttemptOutcome.SHED)
     assert not assigned(arrive(dispatcher, 2, now=0.2))
     assert assigned(dispatcher.handle(d.TimePassed(), 0.6)) == [(2, "u")]
 
 
-def test_an_upstream_that_sheds_and_tells_of_room_is_not_left() -> None:
+def test_shedding_upstream_that_reports_free_slots_is_not_avoided() -> None:
     dispatcher = build_reporting_dispatcher("u")
     arrive(dispatcher, 1)
-    ended = d.AttemptCompleted(
+    completed = d.AttemptCompleted(
         ticket=build_ticket(1),
         upstream="u",
         outcome=d.AttemptOutcome.SHED,
         reported_load=0,
     )
-    dispatcher.handle(ended, 0.1)
+    dispatcher.handle(completed, 0.1)
     assert assigned(arrive(dispatcher, 2, now=0.2)) == [(2, "u")]
 
 
-def test_lost_answers_in_a_row_end_trust_and_one_request_tries_again() -> None:
+def test_consecutive_connection_losses_back_off_until_one_request_retries() -> None:
     dispatcher = build_reporting_dispatcher("u")
     for number in range(3):
         assert assigned(arrive(dispatcher, number, now=0.0))
-        end(dispatcher, number, "u", 0.0, d.AttemptOutcome.FAILED)
+        complete(dispatcher, number, "u", 0.0, d.AttemptOutcome.FAILED)
     assert not assigned(arrive(dispatcher, 4, now=0.0))
     assert assigned(dispatcher.handle(d.TimePassed(), 0.3)) == [(4, "u")]
     assert not assigned(arrive(dispatcher, 5, now=0.3))
 
 
-def test_one_lost_answer_among_many_changes_nothing() -> None:
+def test_occasional_connection_losses_do_not_back_off() -> None:
     dispatcher = build_reporting_dispatcher("u")
     for number in range(12):
         assert assigned(arrive(dispatcher, number, now=0.0))
-        lost = number % 3 == 0
-        verdict = d.AttemptOutcome.FAILED if lost else d.AttemptOutcome.ANSWERED
-        end(dispatcher, number, "u", 0.0, verdict)
+        is_lost = number % 3 == 0
+        outcome = d.AttemptOutcome.FAILED if is_lost else d.AttemptOutcome.ANSWERED
+        complete(dispatcher, number, "u", 0.0, outcome)
 
 
-def test_a_connect_measures_the_way_to_a_domain() -> None:
+def test_connect_time_sets_round_trip_time_of_the_domain() -> None:
     dispatcher = build_reporting_dispatcher("u")
     ticket = build_ticket(1)
     dispatcher.handle(d.RequestArrived(ticket), 0.0)
-    ended = d.AttemptCompleted(
+    completed = d.AttemptCompleted(
         ticket=ticket,
         upstream="u",
         outcome=d.AttemptOutcome.ANSWERED,
@@ -350,40 +350,42 @@
         connect_s=0.004,
         reported_load=3,
     )
-    dispatcher.handle(ended, 0.1)
+    dispatcher.handle(completed, 0.1)
     assert dispatcher.placement is not None
     assert dispatcher.placement.distances.rtt_s("ba-1") == 0.004
     assert dispatcher.upstreams_by_name["u"].load(0.1) == 3
 
 
-def test_a_retry_waits_for_an_upstream_instead_of_ending_as_unknown() -> None:
+def test_retry_waits_beyond_its_hold_time_instead_of_being_rejected() -> None:
     dispatcher = build_reporting_dispatcher("u", "v")
     for number in range(4):
         assert assigned(arrive(dispatcher, number))
     retry = build_ticket(9, hold_until=0.2).excluding(frozenset({"v"}))
     assert not dispatcher.handle(d.RequestArrived(retry), 0.3)
     assert not rejected(dispatcher.handle(d.TimePassed(), 0.4))
-    assert assigned(end(dispatcher, 0, "u", 0.5) + end(dispatcher, 1, "u", 0.5))
+    assert assigned(
+        complete(dispatcher, 0, "u", 0.5) + complete(dispatcher, 1, "u", 0.5)
+    )
 
 
-def test_a_request_leaves_its_upstream_only_for_one_that_can_take_it() -> None:
-    alone = build_dispatcher(slots_by_upstream={"u": 4})
-    assert not alone.could_place_elsewhere(build_ticket(1), "u", 0.0)
+def test_request_can_move_only_to_an_upstream_with_free_slots() -> None:
+    single = build_dispatcher(slots_by_upstream={"u": 4})
+    assert not single.could_place_elsewhere(build_ticket(1), "u", 0.0)
     full = build_dispatcher(slots_by_upstream={"u": 4, "v": 1})
     assert full.could_place_elsewhere(build_ticket(1), "u", 0.0)
     full.upstreams_by_name["v"].start(ticket=2, now=0.0, deadline=10.0)
     assert not full.could_place_elsewhere(build_ticket(1), "u", 0.0)
 
 
-def test_an_upstream_whose_address_is_another_ones_gets_nothing_more() -> None:
+def test_upstream_that_answered_misdirected_gets_no_more_requests() -> None:
     dispatcher = build_reporting_dispatcher("u", "v")
     ((_, first),) = assigned(arrive(dispatcher, 1))
-    end(dispatcher, 1, first, 0.1, d.AttemptOutcome.MISDIRECTED)
+    complete(dispatcher, 1, first, 0.1, d.AttemptOutcome.MISDIRECTED)
     for number in range(2, 10):
         now = 10.0 * number
         ((_, chosen),) = assigned(arrive(dispatcher, number, now, deadline=now + 9.0))
         assert chosen != first
-        end(dispatcher, number, chosen, now + 0.1)
-    gone = dispatcher.upstreams_by_name[first]
-    gone.apply_listing(leaving=False, leaves_at=None, now=99.0, wall_time=99.0)
-    assert gone.status(99.0).value == "misplaced"
+        complete(dispatcher, number, chosen, now + 0.1)
+    misdirected = dispatcher.upstreams_by_name[first]
+    misdirected.apply_listing(leaving=False, leaves_at=None, now=99.0, wall_time=99.0)
+    assert misdirected.status(99.0).value == "misplaced"
--- a/packages/daemon/tests/dispatch/test_dispatcher_machine.py
+++ b/packages/daemon/tests/dispatch/test_dispatcher_machine.py
@@ -1,4 +1,4 @@
-"""State-machine test of the dispatcher: slots, priority, leaving, one decision each."""
+"""State-machine test of the dispatcher: slots, priority, one decision each."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 
 
 class DispatcherMachine(RuleBasedStateMachine):
-    """One dispatcher, and a peer that borrows and lends."""
+    """One dispatcher, and a peer that lends slots to it and borrows from it."""
 
     def __init__(self) -> None:
         super().__init__()
         self.dispatcher = build_dispatcher(slots_by_upstream=SLOTS, queue_limit=4)
         self.now = 0.0
-        self.number = 0
+        self.last_id = 0
         self.waiting: dict[int, int] = {}
         self.running: dict[int, tuple[str, float]] = {}
         self.lent: list[tuple[str, int, float]] = []
-        self.asked: list[SlotRequest] = []
+        self.requested: list[SlotRequest] = []
         self.leaving: set[str] = set()
 
-    def _take(self, effects: list[d.DispatchEffect]) -> None:
+    def _apply(self, effects: list[d.DispatchEffect]) -> None:
         for effect in effects:
             match effect:
                 case d.Assign(ticket=ticket, upstream=name):
@@ -46,7 +46,7 @@
                 case d.Reject(ticket=ticket):
                     del self.waiting[ticket.id]
                 case d.RequestSlots(request=request):
-                    self.asked.append(request)
+                    self.requested.append(request)
                 case d.GrantSlots(grant=grant):
                     until = self.now + grant.duration_ms / 1000
                     self.lent.append((grant.upstream, grant.count, until))
@@ -54,29 +54,29 @@
                     pass
 
     def _handle(self, event: d.DispatchEvent) -> None:
-        self._take(self.dispatcher.handle(event, self.now))
+        self._apply(self.dispatcher.handle(event, self.now))
 
     @rule(rank=st.integers(0, 2))
     def arrive(self, rank: int) -> None:
-        self.number += 1
-        self.waiting[self.number] = rank
-        ticket = build_ticket(self.number, rank=rank, deadline=self.now + 4.0)
+        self.last_id += 1
+        self.waiting[self.last_id] = rank
+        ticket = build_ticket(self.last_id, rank=rank, deadline=self.now + 4.0)
         self._handle(d.RequestArrived(ticket))
 
     @precondition(lambda self: self.running)
-    @rule(data=st.data(), verdict=st.sampled_from(list(d.AttemptOutcome)))
-    def end(self, data: st.DataObject, verdict: d.AttemptOutcome) -> None:
+    @rule(data=st.data(), outcome=st.sampled_from(list(d.AttemptOutcome)))
+    def complete(self, data: st.DataObject, outcome: d.AttemptOutcome) -> None:
         number = data.draw(st.sampled_from(sorted(self.running)))
         name, _ = self.running.pop(number)
-        answered = verdict is d.AttemptOutcome.ANSWERED
-        ended = d.AttemptCompleted(
+        answered = outcome is d.AttemptOutcome.ANSWERED
+        completed = d.AttemptCompleted(
             ticket=build_ticket(number),
             upstream=name,
-            outcome=verdict,
+            outcome=outcome,
             head_s=0.1 if answered else None,
             total_s=0.1 if answered else None,
         )
-        self._handle(ended)
+        self._handle(completed)
 
     @precondition(lambda self: self.waiting)
     @rule(data=st.data())
@@ -95,13 +95,13 @@
         self._handle(d.ProbeCompleted(upstream=name, report=report, wall=0.0))
 
     @rule(name=NAMES, reached=st.booleans())
-    def probe_brings_nothing(self, name: str, reached: bool) -> None:
+    def probe_without_report(self, name: str, reached: bool) -> None:
         self._handle(
             d.ProbeCompleted(upstream=name, report=None, wall=0.0, reached=reached)
         )
 
     @rule(seconds=st.floats(0.01, 2.0))
-    def time_passes(self, seconds: float) -> None:
+    def advance_time(self, seconds: float) -> None:
         self.now += seconds
         self._handle(d.TimePassed())
 
@@ -111,18 +111,18 @@
         self._handle(d.ProcessPaused())
 
     @rule(name=NAMES, share=st.integers(0, 3))
-    def share_changes(self, name: str, share: int) -> None:
+    def change_share(self, name: str, share: int) -> None:
         ledger = self.dispatcher.upstreams_by_name[name].ledger
         ledger.shrink_share(min(share, SLOTS[name]))
         ledger.grow_share(min(share, SLOTS[name]))
         self._handle(d.TimePassed())
 
     @rule(name=NAMES, count=st.integers(1, 3))
-    def peer_asks(self, name: str, count: int) -> None:
-        self.number += 1
+    def peer_requests_slots(self, name: str, count: int) -> None:
+        self.last_id += 1
         request = SlotRequest(
             sender="peer",
-            request_id=self.number,
+            request_id=self.last_id,
             upstream=name,
             count=count,
             duration_ms=1500,
@@ -130,10 +130,10 @@
         )
         self._handle(d.SlotsRequested(request=request, reply_to=PEER))
 
-    @precondition(lambda self: self.asked)
+    @precondition(lambda self: self.requested)
     @rule(again=st.booleans(), ours=st.booleans())
-    def peer_grants(self, again: bool, ours: bool) -> None:
-        request = self.asked[-1] if again else self.asked.pop()
+    def peer_grants_slots(self, again: bool, ours: bool) -> None:
+        request = self.requested[-1] if again else self.requested.pop()
         grant = SlotGrant(
             sender="peer",
             request_id=request.request_id,
@@ -145,14 +145,14 @@
         self._handle(d.SlotsGranted(grant))
 
     @invariant()
-    def counts_agree(self) -> None:
+    def in_flight_and_queue_match_the_model(self) -> None:
         for name, upstream in self.dispatcher.upstreams_by_name.items():
             mine = [each for each in self.running.values() if each[0] == name]
             assert upstream.ledger.in_flight == len(mine)
         assert {ticket.id for ticket in self.dispatcher.queue} == set(self.waiting)
 
     @invariant()
-    def nothing_long_runs_on_lent_slots(self) -> None:
+    def loans_never_exceed_the_slots(self) -> None:
         for name, slots in SLOTS.items():
             lent = sum(
                 count
--- a/packages/daemon/tests/dispatch/test_placement.py
+++ b/packages/daemon/tests/dispatch/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of the choice among upstreams that any entry VM may use."""
+"""Tests of the choice among upstreams that every entry VM may use."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     from plankspindle_daemon.dispatch.placement_choice import PlacementChoice
     from plankspindle_daemon.upstreams.upstream_state import UpstreamState
 
-USUAL_S = 0.1
+EXPECTED_S = 0.1
 FULL = 8
 """Requests that fill the four slots and the queue of an upstream."""
 
@@ -57,7 +57,7 @@
         build_ticket(1, affinity=key, bulky=bulky),
         upstreams,
         fits=lambda each: each.usable_slots(now) > each.load(now),
-        hit_s=USUAL_S,
+        hit_s=EXPECTED_S,
         miss_s=None,
         now=now,
     )
@@ -80,7 +80,7 @@
         assert len(chosen) == 1
 
 
-def test_keys_of_an_upstream_that_leaves_are_the_only_ones_to_move() -> None:
+def test_only_keys_of_a_leaving_upstream_move() -> None:
     upstreams = build_upstreams(a="ba_1", b="ba_1", c="ba_1")
     placement = build_placement(upstreams)
     keys = [f"k{number}" for number in range(60)]
@@ -91,7 +91,7 @@
     assert moved == {key for key in keys if before[key] == "b"}
 
 
-def test_a_busy_fleet_keeps_keys_at_the_upstream_that_knows_them() -> None:
+def test_key_waits_for_its_upstream_in_a_busy_fleet() -> None:
     upstreams = build_upstreams(a="ba_1", b="ba_1", c="ba_1")
     placement = build_placement(upstreams)
     preferred = choose(placement, upstreams, "k").upstream
@@ -102,7 +102,7 @@
     assert choose(placement, upstreams, "k") is None
 
 
-def test_an_idle_fleet_serves_a_key_elsewhere_rather_than_let_it_wait() -> None:
+def test_key_is_served_by_another_upstream_in_an_idle_fleet() -> None:
     upstreams = build_upstreams(a="ba_1", b="ba_1", c="ba_1")
     placement = build_placement(upstreams)
     preferred = choose(placement, upstreams, "k").upstream
@@ -112,31 +112,31 @@
     assert not chosen.is_hit
 
 
-def planned_out(placement: Placement) -> Placement:
-    """Let all keys leave the region, for lack of upstreams there."""
+def make_all_keys_remote(placement: Placement) -> Placement:
+    """Plan all keys for remote regions, as if the local one had no upstreams."""
     placement.plan.update(local_slots=0.0, remote_slots=9.0, vm_share=0.5)
     return placement
 
 
-def test_a_full_region_sends_a_key_where_the_plan_would_and_expects_a_miss() -> None:
+def test_full_region_spills_a_key_to_its_planned_remote_upstream_as_a_miss() -> None:
     upstreams = build_upstreams(a="ba_1", x="ke_1", y="ke_1", z="zi_1")
     placement = build_placement(upstreams)
     load(upstreams["a"], FULL)
     chosen = choose(placement, upstreams, "k")
     assert not chosen.is_hit
-    planned = choose(planned_out(placement), upstreams, "k")
+    planned = choose(make_all_keys_remote(placement), upstreams, "k")
     assert planned.upstream is chosen.upstream
     assert planned.is_hit
 
 
-def test_a_key_is_not_sent_to_another_region_because_its_own_upstream_is_busy() -> None:
+def test_key_stays_in_its_region_while_its_upstream_is_only_busy() -> None:
     upstreams = build_upstreams(a="ba_1", x="ke_1")
     placement = build_placement(upstreams)
     load(upstreams["a"], 3)
     assert choose(placement, upstreams, "k").upstream is upstreams["a"]
 
 
-def test_a_hot_key_goes_on_to_the_upstream_by_which_it_overflowed_before() -> None:
+def test_hot_key_overflows_to_the_upstream_that_has_seen_it() -> None:
     upstreams = build_upstreams(a="ba_1", b="ba_1")
     placement = build_placement(upstreams)
     first = choose(placement, upstreams, "k").upstream
@@ -151,59 +151,61 @@
     assert chosen.is_hit
 
 
-def test_what_keys_are_known_to_be_seen_at_is_bounded() -> None:
+def test_recorded_seen_keys_are_bounded() -> None:
     placement = build_placement(build_upstreams(a="ba_1"))
     for number in range(MAX_SEEN_KEYS + 100):
         placement.record_seen(f"k{number}", "a", 0.001 * number)
-    assert len(placement._seen_at_by_key_and_upstream) <= MAX_SEEN_KEYS
+    assert len(placement._seen_at) <= MAX_SEEN_KEYS
     placement.record_seen("late", "a", 1_000.0)
-    assert list(placement._seen_at_by_key_and_upstream) == [("late", "a")]
+    assert list(placement._seen_at) == [("late", "a")]
 
 
-def test_keys_that_the_plan_sends_out_have_one_upstream_at_all_entry_vms() -> None:
+def test_entry_vms_agree_on_the_upstream_of_a_remote_key() -> None:
     upstreams = build_upstreams(a="ba_1", b="ba_2", x="ke_1", y="ke_1", z="zi_1")
     for number in range(20):
         chosen = [
             choose(
-                planned_out(build_placement(upstreams, seed)), upstreams, f"k{number}"
+                make_all_keys_remote(build_placement(upstreams, seed)),
+                upstreams,
+                f"k{number}",
             )
             for seed in range(5)
         ]
-        assert len({place.upstream.name for place in chosen}) == 1
-        assert all(place.is_hit for place in chosen)
+        assert len({choice.upstream.name for choice in chosen}) == 1
+        assert all(choice.is_hit for choice in chosen)
         assert chosen[0].upstream.name in "xyz"
 
 
-def test_the_plan_divides_keys_as_it_says() -> None:
+def test_planned_share_of_keys_goes_to_the_remote_region() -> None:
     upstreams = build_upstreams(a="ba_1", x="ke_1")
     placement = build_placement(upstreams)
     placement.plan.update(local_slots=9.0, remote_slots=27.0, vm_share=0.5)
-    left = sum(
+    remote = sum(
         choose(placement, upstreams, f"k{number}").upstream is upstreams["x"]
         for number in range(400)
     )
-    assert 160 < left < 240
+    assert 160 < remote < 240
 
 
-def test_large_answers_stay_though_the_plan_sends_their_key_out() -> None:
+def test_large_responses_stay_local_though_their_key_is_remote() -> None:
     upstreams = build_upstreams(a="ba_1", x="ke_1")
-    placement = planned_out(build_placement(upstreams))
+    placement = make_all_keys_remote(build_placement(upstreams))
     assert choose(placement, upstreams, "k", bulky=True).upstream is upstreams["a"]
     assert choose(placement, upstreams, "k").upstream is upstreams["x"]
 
 
-def test_a_key_bound_to_regions_prefers_an_upstream_there() -> None:
+def test_key_restricted_to_regions_prefers_an_upstream_there() -> None:
     upstreams = build_upstreams(a="ba_1", x="ke_1", z="zi_1")
-    placement = planned_out(build_placement(upstreams))
+    placement = make_all_keys_remote(build_placement(upstreams))
     for regions, name in ((("kosice",), "x"), (("bratislava", "kosice"), "a")):
-        bound = evolve(build_ticket(1, affinity="k"), regions=frozenset(regions))
+        restricted = evolve(build_ticket(1, affinity="k"), regions=frozenset(regions))
         chosen = placement.choose(
-            bound,
+            restricted,
             upstreams,
             fits=lambda each, regions=regions: (
                 placement.distances.region_of(each.upstream.failure_domain) in regions
             ),
-            hit_s=USUAL_S,
+            hit_s=EXPECTED_S,
             miss_s=None,
             now=0.0,
         )
@@ -211,7 +213,7 @@
         assert chosen.is_hit
 
 
-def test_an_upstream_that_is_backed_off_hands_its_keys_to_the_next() -> None:
+def test_keys_of_a_backed_off_upstream_go_to_the_next_in_rank() -> None:
     upstreams = build_upstreams(a="ba_1", b="ba_1")
     placement = build_placement(upstreams)
     preferred = choose(placement, upstreams, "k").upstream
@@ -222,7 +224,7 @@
     assert choose(placement, upstreams, "k", now=9.0).upstream is preferred
 
 
-def test_large_answers_stay_in_their_failure_domain() -> None:
+def test_large_responses_stay_in_their_failure_domain() -> None:
     upstreams = build_upstreams(a="ba_1", b="ba_2")
     load(upstreams["a"], 4)
     placement = build_placement(upstreams)
@@ -230,7 +232,7 @@
     assert choose(placement, upstreams, bulky=True).upstream.name == "a"
 
 
-def test_a_measured_delay_goes_before_the_declared_one() -> None:
+def test_measured_round_trip_time_overrides_the_declared_one() -> None:
     distances = DomainDistances(home_domain="ba-1")
     distances.set_configuration(build_configuration())
     assert distances.rtt_s("ke-1") == 0.07
@@ -239,7 +241,7 @@
     assert distances.rtt_s("ke-1") == 0.02
 
 
-def test_silence_of_an_upstream_counts_against_it() -> None:
+def test_unresponsive_upstream_costs_more() -> None:
     upstreams = build_upstreams(a="ba_1", b="ba_1")
     placement = build_placement(upstreams)
     upstreams["a"].ledger.start(ticket=1, now=0.0, deadline=9.0)
@@ -248,8 +250,8 @@
     assert choose(placement, upstreams, now=2.0).upstream.name == "b"
 
 
-def test_a_retry_may_leave_the_region_planned_for_its_key() -> None:
-    """The upstream planned for a key falls silent, and its region has no other room."""
+def test_retry_may_spill_to_a_region_not_planned_for_its_key() -> None:
+    """The planned upstream stops answering, and its region has no free slots."""
     upstreams = build_upstreams(near="ba_1", far="ke_1", farther="ke_1")
     placement = build_placement(upstreams)
     placement.plan.update(local_slots=0.0, remote_slots=8.0, vm_share=1.0)
@@ -269,26 +271,26 @@
 
     assert placement.has_candidate(ticket, upstreams, fits=fits, now=2.0)
     retry = placement.choose(
-        ticket, upstreams, fits=fits, hit_s=USUAL_S, miss_s=None, now=2.0
+        ticket, upstreams, fits=fits, hit_s=EXPECTED_S, miss_s=None, now=2.0
     )
     assert retry is not None
     assert retry.upstream.name == "near"
     assert retry.spills
 
 
-def test_a_request_is_not_left_for_upstreams_that_its_key_does_not_know() -> None:
+def test_retry_has_no_candidate_outside_its_key_ranking() -> None:
     names = {f"u{number}": "ba_1" for number in range(8)}
     upstreams = build_upstreams(**names)
     placement = build_placement(upstreams)
     ranked = placement.rankings.get("k").local
     ticket = build_ticket(1, affinity="k").excluding(frozenset(ranked[:1]))
-    known = set(ranked[1:3])
+    ranked_next = set(ranked[1:3])
     assert not placement.has_candidate(
         ticket,
         upstreams,
-        fits=lambda each: each.name not in {*known, *ticket.excluded},
+        fits=lambda each: each.name not in {*ranked_next, *ticket.excluded},
         now=0.0,
     )
     assert placement.has_candidate(
-        ticket, upstreams, fits=lambda each: each.name in known, now=0.0
+        ticket, upstreams, fits=lambda each: each.name in ranked_next, now=0.0
     )
--- a/packages/daemon/tests/dispatch/test_limited_upstreams.py
+++ b/packages/daemon/tests/dispatch/test_rate_limited_upstreams.py
@@ -1,4 +1,4 @@
-"""Dispatchers beside upstreams that name a limit."""
+"""Tests of the dispatcher with upstreams that state a rate limit."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 
 def limit(dispatcher: Dispatcher, *names: str) -> list[FleetLimiter]:
-    gates = [FleetLimiter(limit_per_s=2.0, announced_at=NOW) for _ in names]
-    for name, gate in zip(names, gates, strict=True):
+    limiters = [FleetLimiter(limit_per_s=2.0, announced_at=NOW) for _ in names]
+    for name, limiter in zip(names, limiters, strict=True):
         state = dispatcher.upstreams_by_name[name]
         state.limiter_by_incarnation = {
-            incarnation_id_of(name, state.incarnation): gate
+            incarnation_id_of(name, state.incarnation): limiter
         }
-    return gates
+    return limiters
 
 
 def arrive(dispatcher: Dispatcher, number: int, now: float = NOW) -> list[object]:
@@ -39,19 +39,19 @@
     return [*dispatcher.handle(RequestArrived(ticket), now)]
 
 
-def test_a_request_waits_for_a_token_where_no_other_upstream_is() -> None:
+def test_request_waits_for_token_without_another_upstream() -> None:
     dispatcher = build_reporting_dispatcher("u")
-    (gate,) = limit(dispatcher, "u")
+    (limiter,) = limit(dispatcher, "u")
     assert arrive(dispatcher, 1) == [RequestToken(upstream="u", incarnation=0)]
-    assert gate.has_pending_request(NOW)
+    assert limiter.has_pending_request(NOW)
     assert dispatcher.handle(TimePassed(), NOW + 0.01) == []
-    gate.add_token(NOW + 0.01)
+    limiter.add_token(NOW + 0.01)
     (assigned,) = dispatcher.handle(TimePassed(), NOW + 0.01)
     assert isinstance(assigned, Assign)
-    assert not gate.has_token(NOW + 0.01)
+    assert not limiter.has_token(NOW + 0.01)
 
 
-def test_a_request_goes_elsewhere_at_once_where_another_upstream_has_room() -> None:
+def test_request_goes_to_unlimited_upstream_without_waiting() -> None:
     dispatcher = build_reporting_dispatcher("u", "v")
     limit(dispatcher, "u")
     (assigned,) = arrive(dispatcher, 1)
@@ -59,7 +59,7 @@
     assert assigned.upstream == "v"
 
 
-def test_a_request_that_no_limit_leaves_room_for_is_rejected_at_once() -> None:
+def test_request_is_rejected_on_arrival_if_all_limits_are_exhausted() -> None:
     dispatcher = build_reporting_dispatcher("u", "v")
     first, second = limit(dispatcher, "u", "v")
     first.block(NOW + 3.0)
@@ -70,22 +70,22 @@
     assert 2.0 <= rejected.retry_after_s <= 3.0
 
 
-def test_an_unused_token_ends() -> None:
-    gate = FleetLimiter(limit_per_s=2.0, announced_at=NOW)
-    gate.add_token(NOW)
-    assert gate.has_token(NOW + TOKEN_LIFETIME_S - 0.01)
-    assert not gate.has_token(NOW + TOKEN_LIFETIME_S)
+def test_unused_token_expires() -> None:
+    limiter = FleetLimiter(limit_per_s=2.0, announced_at=NOW)
+    limiter.add_token(NOW)
+    assert limiter.has_token(NOW + TOKEN_LIFETIME_S - 0.01)
+    assert not limiter.has_token(NOW + TOKEN_LIFETIME_S)
 
 
-def test_a_lost_answer_holds_no_request_up_for_long() -> None:
-    gate = FleetLimiter(limit_per_s=2.0, announced_at=NOW)
-    gate.record_token_request(NOW)
-    assert gate.has_pending_request(NOW + TOKEN_WAIT_S / 2)
-    assert not gate.may_request_token(NOW + TOKEN_WAIT_S / 2)
-    assert gate.may_request_token(NOW + TOKEN_WAIT_S)
+def test_token_can_be_requested_again_after_a_lost_answer() -> None:
+    limiter = FleetLimiter(limit_per_s=2.0, announced_at=NOW)
+    limiter.record_token_request(NOW)
+    assert limiter.has_pending_request(NOW + TOKEN_WAIT_S / 2)
+    assert not limiter.may_request_token(NOW + TOKEN_WAIT_S / 2)
+    assert limiter.may_request_token(NOW + TOKEN_WAIT_S)
 
 
-def test_no_token_is_asked_for_where_a_request_may_not_run() -> None:
+def test_no_token_is_requested_for_a_forbidden_region() -> None:
     dispatcher = build_reporting_dispatcher("u")
     limit(dispatcher, "u")
     ticket = build_ticket(
@@ -96,7 +96,7 @@
     assert rejected.reason is RejectReason.NO_UPSTREAM
 
 
-def test_a_retry_waits_for_no_token() -> None:
+def test_retry_does_not_wait_for_a_token() -> None:
     dispatcher = build_reporting_dispatcher("u", "v")
     limit(dispatcher, "u")
     ticket = build_ticket(
--- a/packages/daemon/tests/dispatch/test_region_limiter.py
+++ b/packages/daemon/tests/dispatch/test_region_limiter.py
@@ -1,4 +1,4 @@
-"""Tests of the bound on requests that leave their region."""
+"""Tests of the limit on spill-over to other regions."""
 
 from __future__ import annotations
 
@@ -13,61 +13,59 @@
 WINDOW_S = 2.0
 
 
-def build_limiter(*, room: float = 100.0) -> SpilloverLimiter:
+def build_limiter(*, slots: float = 100.0) -> SpilloverLimiter:
     limiter = SpilloverLimiter()
-    limiter.set_capacity(room, 0.0)
+    limiter.set_capacity(slots, 0.0)
     return limiter
 
 
-def parts_by_window(
+def spill_shares_by_window(
     limiter: SpilloverLimiter, *, per_s: int, wanted: list[bool]
 ) -> list[float]:
-    """Send requests that want to leave or not by window, and count those that do."""
-    parts = []
+    """Return the share of requests that spilled over in each window."""
+    shares = []
     now = 100.0
-    for wants in wanted:
-        left = 0
+    for wants_spill in wanted:
+        spilled = 0
         for _ in range(int(per_s * WINDOW_S)):
             now += 1 / per_s
-            leaves = limiter.should_spill(now, wants_spill=wants)
-            limiter.record_sent(spills=leaves)
-            left += leaves
-        parts.append(left / (per_s * WINDOW_S))
-    return parts
+            spills = limiter.should_spill(now, wants_spill=wants_spill)
+            limiter.record_sent(spills=spills)
+            spilled += spills
+        shares.append(spilled / (per_s * WINDOW_S))
+    return shares
 
 
 @given(
     per_s=st.integers(15, 100),
     wanted=st.lists(st.booleans(), min_size=2, max_size=8),
 )
-def test_no_window_differs_much_from_the_one_before(
-    per_s: int, wanted: list[bool]
-) -> None:
-    # The first window finds the part in its first half, so it is left out.
-    parts = parts_by_window(build_limiter(), per_s=per_s, wanted=wanted)[1:]
-    few = (FORCED_SPILL_CREDIT + 1) / (per_s * WINDOW_S)
-    for before, after in zip(parts, parts[1:], strict=False):
-        assert abs(after - before) <= MAX_SHARE_CHANGE_PER_S * WINDOW_S + few
+def test_spill_share_changes_at_a_limited_rate(per_s: int, wanted: list[bool]) -> None:
+    # The first window includes the start-up time, so it is left out.
+    shares = spill_shares_by_window(build_limiter(), per_s=per_s, wanted=wanted)[1:]
+    tolerance = (FORCED_SPILL_CREDIT + 1) / (per_s * WINDOW_S)
+    for before, after in zip(shares, shares[1:], strict=False):
+        assert abs(after - before) <= MAX_SHARE_CHANGE_PER_S * WINDOW_S + tolerance
 
 
-def test_a_flood_gets_through_in_time_and_ebbs_in_time() -> None:
+def test_spill_share_follows_rising_and_falling_demand() -> None:
     wanted = [False] * 2 + [True] * 12 + [False] * 12
-    parts = parts_by_window(build_limiter(), per_s=50, wanted=wanted)
-    assert parts[1] == 0.0
-    assert parts[13] > 0.9
-    assert parts[-1] < 0.05
+    shares = spill_shares_by_window(build_limiter(), per_s=50, wanted=wanted)
+    assert shares[1] == 0.0
+    assert shares[13] > 0.9
+    assert shares[-1] < 0.05
 
 
-def test_what_wants_to_leave_at_the_start_may_and_ebbs_slowly() -> None:
+def test_startup_demand_spills_freely_and_then_decreases_slowly() -> None:
     wanted = [True] + [False] * 3
-    parts = parts_by_window(build_limiter(), per_s=50, wanted=wanted)
-    assert parts[0] == 1.0
-    assert 0.8 < parts[1] < 1.0
+    shares = spill_shares_by_window(build_limiter(), per_s=50, wanted=wanted)
+    assert shares[0] == 1.0
+    assert 0.8 < shares[1] < 1.0
 
 
-def test_there_is_no_bound_for_a_while_when_room_is_lost() -> None:
+def test_limit_is_suspended_after_loss_of_capacity() -> None:
     limiter = build_limiter()
-    parts_by_window(limiter, per_s=50, wanted=[False])
+    spill_shares_by_window(limiter, per_s=50, wanted=[False])
     limiter.set_capacity(80.0, 103.0)
     assert limiter.should_spill(103.0, wants_spill=True)
     assert limiter.should_spill(102.9 + UNLIMITED_AFTER_LOSS_S, wants_spill=True)
@@ -76,7 +74,7 @@
     assert not limiter.should_spill(104.0 + UNLIMITED_AFTER_LOSS_S, wants_spill=False)
 
 
-def test_a_region_without_room_lets_everything_leave() -> None:
-    limiter = build_limiter(room=0.0)
-    parts = parts_by_window(limiter, per_s=50, wanted=[False, True])
-    assert parts == [0.0, 1.0]
+def test_region_without_capacity_spills_everything() -> None:
+    limiter = build_limiter(slots=0.0)
+    shares = spill_shares_by_window(limiter, per_s=50, wanted=[False, True])
+    assert shares == [0.0, 1.0]
