--- a/packages/daemon/src/plankspindle_daemon/upstreams/average_use.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/average_use.py
@@ -1,4 +1,4 @@
-"""How busy the upstreams of a service are, as far as answers tell lately."""
+"""Average use of a service's upstreams, from the load that recent answers reported."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 REPORT_WEIGHT = 1 / 16
 """Weight of one report in the average."""
 AVERAGE_DECAY_S = 1.5
-"""Time without a report in which the average loses its weight, in seconds.
+"""Time constant of the decay of the average without reports, in seconds.
 
-A VM that sends nothing, since all seemed full, soon tries again.
+The decay lets a VM try again soon after it stopped sending because all upstreams seemed
+full.
 """
 
 
@@ -21,30 +22,31 @@
 
     Notes
     -----
-    An entry VM hears of each upstream every second or two. Where an old report fades
-    to nothing, all VMs take upstreams for idle that are full, and on a full day 1.7
-    times the slots ran and waited there: an answer that takes 0.2 s came after 0.4 s.
-    An old report fades to this average instead.
+    An entry VM gets a report from each upstream every second or two. If an old report
+    decayed to zero, all VMs would take full upstreams for idle: on a fully loaded day,
+    1.7 times the slots then ran and waited there, and an answer that takes 0.2 s took
+    0.4 s. An old report decays to this average instead.
     """
 
     _use: float = 0.0
     _noted_at: float = 0.0
 
     def record(self, use: float, now: float) -> None:
-        """Take a report.
+        """Record a report.
 
         Parameters
         ----------
         use : float
-            Requests of other VMs that run and wait at an upstream, over its slots.
+            Requests of other VMs that run and wait at an upstream, divided by its
+            slots.
         now : float
             Monotonic seconds.
         """
-        present = self.average(now)
-        self._use = present + REPORT_WEIGHT * (use - present)
+        current = self.average(now)
+        self._use = current + REPORT_WEIGHT * (use - current)
         self._noted_at = now
 
     def average(self, now: float) -> float:
-        """Give the average at a time, in monotonic seconds."""
+        """Return the average at a time, in monotonic seconds."""
         age_s = max(0.0, now - self._noted_at)
         return self._use * math.exp(-age_s / AVERAGE_DECAY_S)
--- a/packages/daemon/src/plankspindle_daemon/upstreams/cold_limiter.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/cold_limiter.py
@@ -1,4 +1,4 @@
-"""Bound on the requests a second that a cold upstream gets from this entry VM."""
+"""Limit of the request rate that a cold upstream gets from this entry VM."""
 
 from __future__ import annotations
 
@@ -15,25 +15,24 @@
 MAX_COLD_SENDERS = 8
 """Entry VMs that may send to one cold upstream."""
 MAX_CACHED_RATES = 2_000
-"""Parts that are remembered, some 300 KB; upstreams come and go under new names."""
+"""Rates that are cached, some 300 KB; upstreams come and go under new names."""
 
 
 @define(kw_only=True)
 class ColdLimiter:
-    """Token bucket of one request, filled at this VM's part of the bound.
+    """Token bucket of one request that refills at this VM's share of the rate.
 
     Parameters
     ----------
     rate_per_s : float
-        Requests a second that this VM may send; zero sends none.
+        Requests per second that this VM may send; zero sends none.
     until : float
-        End of the cold time, monotonic seconds.
+        End of the cold phase, monotonic seconds.
 
     Notes
     -----
-    In any second a VM sends at most ``1 + per_s`` requests, so that
-    ``MAX_COLD_SENDERS`` of them stay within the upstream's bound plus
-    ``MAX_COLD_SENDERS``.
+    In any second a VM sends at most ``1 + rate_per_s`` requests, so that
+    ``MAX_COLD_SENDERS`` VMs stay within the upstream's rate plus ``MAX_COLD_SENDERS``.
     """
 
     rate_per_s: float
@@ -41,89 +40,91 @@
     _next_at: float = 0.0
 
     def allows(self, now: float) -> bool:
-        """Tell whether a request may be sent now."""
+        """Return whether a request may be sent now."""
         if now >= self.until:
             return True
         return self.rate_per_s > 0 and now >= self._next_at
 
     def record_sent(self, now: float) -> None:
-        """Count a request that is sent."""
+        """Record that a request is sent."""
         if now < self.until and self.rate_per_s > 0:
             self._next_at = now + 1.0 / self.rate_per_s
 
 
 @define(kw_only=True)
 class ColdRateCache:
-    """What one entry VM may send to cold upstreams, while its members stay the same.
+    """This VM's rates for cold upstreams, cached while the members stay the same.
 
     Parameters
     ----------
     vm : str
-        The VM.
+        Name of this VM.
 
     Notes
     -----
-    Each reading of the list asks for each cold upstream, and the answer hashes the
-    names of all members: at 80 of them a twelfth of the processor time of an idle VM.
+    Each time the upstream list is read, the rate of every cold upstream is needed, and
+    computing one hashes the names of all members. Without the cache, that took a
+    twelfth of the processor time of an idle VM with 80 members.
     """
 
     vm: str
     _members: tuple[str, ...] = ()
-    _part_by_place: dict[tuple[str, float], float] = Factory(dict)
+    _rate_by_key: dict[tuple[str, float], float] = Factory(dict)
 
     def rate_per_s(
         self, upstream: str, *, members: tuple[str, ...], total_rate_per_s: float
     ) -> float:
-        """Give the requests a second that this VM may send to a cold upstream.
+        """Return the requests per second that this VM may send to a cold upstream.
 
         Parameters
         ----------
         upstream : str
-            Its name.
+            Name of the upstream.
         members : tuple of str
-            Entry VMs that are known; the same object while they are the same.
+            Known entry VMs. The cache is cleared when another object is passed, so pass
+            the same tuple while the members stay the same.
         total_rate_per_s : float
-            Requests a second that the upstream bears from all of them.
+            Requests per second that the upstream can take from all entry VMs.
         """
-        if members is not self._members or len(self._part_by_place) >= MAX_CACHED_RATES:
+        if members is not self._members or len(self._rate_by_key) >= MAX_CACHED_RATES:
             self._members = members
-            self._part_by_place.clear()
-        place = (upstream, total_rate_per_s)
-        part = self._part_by_place.get(place)
-        if part is None:
-            part = cold_rate_share(
+            self._rate_by_key.clear()
+        key = (upstream, total_rate_per_s)
+        rate = self._rate_by_key.get(key)
+        if rate is None:
+            rate = cold_rate_share(
                 vm=self.vm,
                 others=members,
                 upstream=upstream,
                 total_rate_per_s=total_rate_per_s,
             )
-            self._part_by_place[place] = part
-        return part
+            self._rate_by_key[key] = rate
+        return rate
 
 
 def cold_rate_share(
     *, vm: str, others: Iterable[str], upstream: str, total_rate_per_s: float
 ) -> float:
-    """Give the requests a second that one entry VM may send to a cold upstream.
+    """Return the requests per second that one entry VM may send to a cold upstream.
 
     Parameters
     ----------
     vm : str
-        The VM that asks.
+        Name of the VM.
     others : iterable of str
         The other entry VMs that it knows.
     upstream : str
         Name of the upstream.
     total_rate_per_s : float
-        Requests a second that the upstream bears from all of them.
+        Requests per second that the upstream can take from all entry VMs.
 
     Returns
     -------
     float
-        Zero if enough others come before this VM for this upstream.
+        Zero if ``MAX_COLD_SENDERS`` other VMs rank before this one for this upstream.
     """
-    own = stable_hash(f"{vm} {upstream}")
-    before = sum(
-        stable_hash(f"{other} {upstream}") < own for other in others if other != vm
+    own_hash = stable_hash(f"{vm} {upstream}")
+    rank = sum(
+        stable_hash(f"{other} {upstream}") < own_hash for other in others if other != vm
     )
-    return total_rate_per_s / MAX_COLD_SENDERS if before < MAX_COLD_SENDERS else 0.0
+    return total_rate_per_s / MAX_COLD_SENDERS if rank < MAX_COLD_SENDERS else 0.0
--- a/packages/daemon/src/plankspindle_daemon/upstreams/connection_pool.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/connection_pool.py
@@ -1,4 +1,4 @@
-"""Kept-alive connections to upstreams."""
+"""Keep-alive connections to upstreams."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from plankspindle_core.steady_clock import monotonic
 
 MAX_IDLE_PER_ENDPOINT = 32
-"""Idle connections kept to one endpoint; more are not used at once by one entry VM.
+"""Idle connections kept per endpoint; one entry VM does not use more at once.
 
-Requests that must not repeat open new ones, which are kept after them: without this
-bound each endpoint came to hold ``max_per_endpoint``.
+Requests that must not be repeated open new connections, which are kept afterwards.
+Without this limit each endpoint ended up with ``max_per_endpoint`` connections.
 """
 
 
 @define(kw_only=True)
 class ConnectionPool:
-    """Idle and used connections by endpoint.
+    """Idle and active connections by endpoint.
 
     Parameters
     ----------
     max_per_endpoint : int
-        Open connections to one endpoint, idle and used.
+        Maximum of open connections to one endpoint, idle and active.
     connect_timeout_s : float
-        Longest wait for a new connection, in seconds.
+        Maximum time to establish a connection, in seconds.
     """
 
     max_per_endpoint: int
@@ -43,26 +43,26 @@
 
     @property
     def open_connections(self) -> int:
-        """Connections open at the moment."""
+        """Number of open connections."""
         return sum(self._open_by_endpoint.values())
 
     async def acquire(
         self, endpoint: Endpoint, *, max_idle_s: float
     ) -> Result[ClientConnection, ConnectFailed]:
-        """Get a connection on which nothing of the present request was sent.
+        """Return a connection on which nothing of the current request was sent.
 
         Parameters
         ----------
         endpoint : Endpoint
-            Where to.
+            Where to connect.
         max_idle_s : float
-            Longest rest of a connection that is taken again, in seconds; zero takes
-            only new ones.
+            Maximum idle time of a connection that is reused, in seconds; zero always
+            opens a new one.
 
         Returns
         -------
         Result
-            The connection, or why there is none.
+            The connection, or the reason why there is none.
         """
         idle = self._idle_by_endpoint.get(endpoint, [])
         while idle and monotonic() - idle[-1].released_at < max_idle_s:
@@ -79,23 +79,23 @@
     ) -> Result[ClientConnection, ConnectFailed]:
         if self._open_by_endpoint.get(endpoint, 0) >= self.max_per_endpoint:
             if not idle:
-                return Err(ConnectFailed("the limit of connections is reached"))
+                return Err(ConnectFailed("connection limit of the endpoint is reached"))
             await self.discard(idle.pop(0))
         connection = ClientConnection(endpoint=endpoint)
-        self._count(endpoint, 1)
+        self._change_open_count(endpoint, 1)
         try:
             started = await connection.start(timeout_s=self.connect_timeout_s)
         except BaseException:
             await self.discard(connection)
             raise
         if started.is_err():
-            self._count(endpoint, -1)
+            self._change_open_count(endpoint, -1)
             return Err(started.unwrap_err())
         self.opened += 1
         return Ok(connection)
 
     async def release(self, connection: ClientConnection) -> None:
-        """Keep a connection for another request if it is clean, or close it."""
+        """Keep a connection for reuse if it is clean; otherwise close it."""
         if not connection.prepare_reuse():
             await self.discard(connection)
             return
@@ -106,21 +106,21 @@
             await self.discard(idle.pop(0))
 
     async def discard(self, connection: ClientConnection) -> None:
-        """Close a connection, which cancels what runs on it."""
-        self._count(connection.endpoint, -1)
+        """Close a connection, which cancels the exchange on it."""
+        self._change_open_count(connection.endpoint, -1)
         await connection.close()
 
     def has_live_idle(self, endpoint: Endpoint) -> bool:
-        """Tell whether an idle connection to an endpoint is still open."""
+        """Return whether an idle connection to an endpoint is still open."""
         idle = self._idle_by_endpoint.get(endpoint, [])
         return any(connection.is_quiet() for connection in idle)
 
     async def discard_stale(self) -> None:
-        """Close idle connections that the other side has closed or written to."""
+        """Close idle connections that the peer has closed or written to."""
         for endpoint, idle in list(self._idle_by_endpoint.items()):
-            quiet, stale = _split_by_quiet(idle)
-            # Taken out before the first await: another task may acquire meanwhile.
-            idle[:] = quiet
+            live, stale = _split_by_state(idle)
+            # Updated before the first await: another task may acquire meanwhile.
+            idle[:] = live
             if not idle:
                 self._idle_by_endpoint.pop(endpoint, None)
             for connection in stale:
@@ -132,19 +132,19 @@
             while idle:
                 await self.discard(idle.pop())
 
-    def _count(self, endpoint: Endpoint, change: int) -> None:
-        present = self._open_by_endpoint.get(endpoint, 0) + change
-        if present > 0:
-            self._open_by_endpoint[endpoint] = present
+    def _change_open_count(self, endpoint: Endpoint, change: int) -> None:
+        open_count = self._open_by_endpoint.get(endpoint, 0) + change
+        if open_count > 0:
+            self._open_by_endpoint[endpoint] = open_count
         else:
             self._open_by_endpoint.pop(endpoint, None)
 
 
-def _split_by_quiet(
+def _split_by_state(
     idle: list[ClientConnection],
 ) -> tuple[list[ClientConnection], list[ClientConnection]]:
-    quiet: list[ClientConnection] = []
+    live: list[ClientConnection] = []
     stale: list[ClientConnection] = []
     for connection in idle:
-        (quiet if connection.is_quiet() else stale).append(connection)
-    return quiet, stale
+        (live if connection.is_quiet() else stale).append(connection)
+    return live, stale
--- a/packages/daemon/src/plankspindle_daemon/upstreams/health.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/health.py
@@ -1,4 +1,4 @@
-"""Health of an upstream: which part of its share may be used."""
+"""Health of an upstream, which limits how much of its share may be used."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 TIMEOUTS_TO_BACK_OFF = 3
 UNRESPONSIVE_S = 1.0
 LOST_CONNECTIONS_TO_BACK_OFF = 3
-"""Connections lost in a row, without an answer between, that end trust."""
+"""Connections lost in a row, without an answer in between, that cause a back-off."""
 _MAX_DOUBLINGS = 10
 
 
@@ -25,12 +25,12 @@
 
 @frozen
 class Ramping:
-    """The usable part of the share grows from one slot on (slow start).
+    """Slow start: the usable part of the share grows from one slot.
 
     Parameters
     ----------
     since : float
-        Monotonic seconds.
+        Start of the ramp, monotonic seconds.
     """
 
     since: float
@@ -38,14 +38,14 @@
 
 @frozen
 class BackedOff:
-    """Nothing may be sent until a probe after some time succeeds.
+    """No request may be sent until a later probe succeeds.
 
     Parameters
     ----------
     until : float
-        Earliest probe, monotonic seconds.
+        Earliest time of the probe, monotonic seconds.
     failures : int
-        Failures in a row.
+        Consecutive failures.
     """
 
     until: float
@@ -62,11 +62,12 @@
     Parameters
     ----------
     random : Random
-        Source of the jitter that keeps entry VMs from returning together.
+        Source of the jitter that keeps entry VMs from returning at the same time.
     state : HealthState
-        Present state.
+        Current state.
     needs_probe : bool
-        Whether only a probe ends a back-off; otherwise a single request tries it.
+        Whether only a probe ends a back-off; otherwise a single request is let through
+        as a probe attempt.
     """
 
     random: Random
@@ -80,7 +81,7 @@
     _retry_at: float = float("-inf")
 
     def usable_share(self, share: int, now: float) -> int:
-        """Give the usable part of a share.
+        """Return the usable part of a share.
 
         Parameters
         ----------
@@ -125,21 +126,22 @@
         self._answered_at = now
 
     def record_timeout(self, now: float) -> None:
-        """Record that a request had no answer by its deadline.
+        """Record that a request was not answered before its deadline.
 
         Notes
         -----
-        One late answer says little, since deadlines are the callers' choice. Several
-        in a row, and no answer for a while, mean that the upstream hangs. One that is
-        on trial after a back-off has no such credit: at twelve silent upstreams of 36,
-        nine entry VMs lost a request each a second by trying them.
+        A single timeout is weak evidence, since callers choose the deadlines. Several
+        in a row, without any answer for ``UNRESPONSIVE_S``, mean that the upstream
+        hangs. During a probe attempt after a back-off, one timeout is enough: with
+        twelve unresponsive upstreams of 36, nine entry VMs lost one request each per
+        second to probe attempts.
         """
         if self._is_probing:
             self.record_failure(now)
             return
         self._timeouts += 1
-        is_silent = now - self._answered_at >= UNRESPONSIVE_S
-        if is_silent and self._timeouts >= TIMEOUTS_TO_BACK_OFF:
+        is_unresponsive = now - self._answered_at >= UNRESPONSIVE_S
+        if is_unresponsive and self._timeouts >= TIMEOUTS_TO_BACK_OFF:
             self._timeouts = 0
             self.record_failure(now)
 
@@ -148,7 +150,8 @@
 
         Notes
         -----
-        One lost answer among many says little of an upstream that goes on answering.
+        One lost answer is weak evidence against an upstream that keeps answering
+        others.
         """
         if self._is_probing:
             self.record_failure(now)
@@ -159,39 +162,40 @@
             self.record_failure(now)
 
     def record_failure(self, now: float) -> None:
-        """Record that the upstream failed, or shed a request."""
+        """Record that the upstream failed or shed a request."""
         if isinstance(self.state, BackedOff):
             return
         self._back_off(now)
 
     def retry_at(self, now: float) -> float:
-        """Give when the rest ends that it asked for, monotonic seconds; now if none."""
+        """Return the end of its retry-after period, monotonic seconds; now if none."""
         return max(now, self._retry_at)
 
     def record_retry_after(self, until: float) -> None:
-        """Record that it wants no request until a time, monotonic seconds.
+        """Record that the upstream accepts no request until a time, monotonic seconds.
 
         Notes
         -----
-        What comes then is one request, on trial: who wanted rest may want more of it.
+        Afterwards one request is let through as a probe attempt, since the upstream may
+        extend the period.
         """
         self._retry_at = max(self._retry_at, until)
         self._is_probing = False
         self.state = BackedOff(self._retry_at, self._failures)
 
     def record_probe_success(self, now: float) -> None:
-        """Record that a probe brought a report, which ends a back-off but no rest."""
+        """Record a probe report, which ends a back-off but not a retry-after period."""
         if isinstance(self.state, BackedOff) and now >= self._retry_at:
             self.state = Ramping(now)
 
     def record_probe_failure(self, *, reached: bool, now: float) -> None:
-        """Record that a probe brought nothing.
+        """Record that a probe returned no report.
 
         Parameters
         ----------
         reached : bool
-            Whether a connection was made. While it was, an upstream that is not backed
-            off goes on: reports may stop arriving while requests are served.
+            Whether a connection was established. If so, an upstream that is not backed
+            off stays in use: reports may stop arriving while requests are still served.
         now : float
             Monotonic seconds.
         """
@@ -199,14 +203,14 @@
             self._back_off(now)
 
     def is_probe_due(self, now: float) -> bool:
-        """Tell whether a backed-off upstream is to be probed."""
+        """Return whether a backed-off upstream is due for a probe."""
         is_due = isinstance(self.state, BackedOff) and now >= self.state.until
         return is_due and now >= self._retry_at
 
     def _back_off(self, now: float) -> None:
         doublings = min(self._failures, _MAX_DOUBLINGS)
         self._failures += 1
-        longest = min(MAX_BACK_OFF_S, BACK_OFF_S * 2.0**doublings)
-        jittered = longest * self.random.uniform(0.5, 1.0)
+        max_delay_s = min(MAX_BACK_OFF_S, BACK_OFF_S * 2.0**doublings)
+        delay_s = max_delay_s * self.random.uniform(0.5, 1.0)
         self._is_probing = False
-        self.state = BackedOff(now + jittered, self._failures)
+        self.state = BackedOff(now + delay_s, self._failures)
--- a/packages/daemon/src/plankspindle_daemon/upstreams/load_report.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/load_report.py
@@ -1,4 +1,4 @@
-"""What an upstream says of itself."""
+"""Load reports of upstreams."""
 
 from __future__ import annotations
 
@@ -14,19 +14,21 @@
 
 MAX_REPORT_AGE_S = 3.0
 MAX_COUNT = 1_000_000
-"""Most that a count is taken for; an upstream that says more says nothing."""
+"""Upper bound on reported counts; larger values are cut to it."""
 
 
 @frozen(kw_only=True)
 class LoadReport:
-    """A load report; it lags and can mislead, so it never raises a limit.
+    """Load that an upstream reports.
+
+    Reports lag and may be wrong, so they never raise a limit.
 
     Parameters
     ----------
     in_flight : int
-        Requests the upstream says it runs.
+        Requests that the upstream reports as running.
     slots : int
-        Slots it says it has.
+        Slots that it reports.
     leaving : bool
         Whether it is leaving.
     leaves_at : float, optional
@@ -45,7 +47,7 @@
 
 
 def parse_load_report(body: bytes) -> Result[LoadReport, Unreadable]:
-    """Read the JSON body of an upstream's load endpoint.
+    """Parse the JSON body of an upstream's load endpoint.
 
     Parameters
     ----------
@@ -55,13 +57,15 @@
     Returns
     -------
     Result
-        The report, or what is wrong with it.
+        The report, or the reason why it is invalid.
     """
     try:
         document = read_json(body)
         leaves_at = document.get("leaves_at")
         if leaves_at is not None and not math.isfinite(leaves_at):
-            return Err(Unreadable(f"leaves_at {leaves_at!r} is not a time"))
+            return Err(
+                Unreadable(f"leaves_at must be a finite number, got {leaves_at!r}")
+            )
         return Ok(
             LoadReport(
                 in_flight=_count(document.get("in_flight", 0)),
--- a/packages/daemon/src/plankspindle_daemon/upstreams/reported_slots.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/reported_slots.py
@@ -1,4 +1,4 @@
-"""Slots of an upstream that any entry VM may use, counted by own and reported load."""
+"""Slots of an upstream for all entry VMs, limited by own and reported load."""
 
 from __future__ import annotations
 
@@ -17,44 +17,45 @@
 QUEUE_SHARE = 1.0
 """Requests that may wait at an upstream, as a share of its slots.
 
-Behind as many as its slots a request waits one usual duration at most. At any other
-upstream it misses, takes three, and makes that one forget a key. Beside a third of the
-slots this keeps 0.03 more of the worth of days with trouble, played on three seeds, and
-0.02 of that of the modelled loads; twice the slots waste 0.06 where load stays high.
+Behind as many as its slots a request waits for one average duration at most. Elsewhere
+it is a cache miss, takes three times as long, and evicts a key of that upstream.
+Compared with a third of the slots this adds 0.03 to the worth of days with trouble (on
+three seeds) and 0.02 to that of modelled loads; twice the slots loses 0.06 where load
+stays high.
 """
 REPORT_DECAY_S = 1.5
-"""Time in which what an answer told of the load of others loses its weight, seconds.
+"""Time constant of the decay of load of other VMs that an answer reported, in seconds.
 
-0.75 s is as good: mean worth of six days with and without trouble 0.623 and 0.627.
+0.75 s does as well: mean worth of six days with and without trouble 0.623 and 0.627.
 """
 FULL_AFTER_SHED_S = 0.4
-"""Time for which an upstream that shed a request counts as full."""
+"""Time for which an upstream that shed a request counts as full, in seconds."""
 
 
 @define(kw_only=True)
 class ReportedSlots:
-    """Count of own running requests, and an estimate of those of others.
+    """Count of own running requests, and an estimate of those of other entry VMs.
 
     Parameters
     ----------
     slots : int
         Slots of the upstream, for all entry VMs together.
     average_use : AverageUse
-        Average use of the service's upstreams by others.
+        Average use of the service's upstreams by other entry VMs.
 
     Attributes
     ----------
     started_by_ticket : dict of int to float
         Start of each running request, monotonic seconds.
     reported_at : float or None
-        When an answer last told the load, monotonic seconds.
+        When an answer last reported the load, monotonic seconds.
 
     Notes
     -----
-    Own counts are exact. The load that answers report lags and may be false, so it
-    fades to what is usual, and it never lets an entry VM pass the slots by its own
+    Own counts are exact. The load that answers report lags and may be wrong, so it
+    decays to the average, and it never lets an entry VM exceed the slots by its own
     requests alone. An upstream that never answered counts as full at most, so that it
-    gets a request that finds out.
+    still gets a request, whose answer reports its load.
     """
 
     slots: int
@@ -71,16 +72,16 @@
 
     @property
     def share(self) -> int:
-        """Slots this VM may use: all, as far as others leave them."""
+        """Slots this VM may use: all that other VMs leave free."""
         return self.slots
 
     def load_of_others(self, now: float) -> float:
         """Estimate the requests of other entry VMs that run or wait there."""
-        usual = self.average_use.average(now) * self.slots
+        average = self.average_use.average(now) * self.slots
         if self.reported_at is None:
-            return min(usual, float(self.slots))
+            return min(average, float(self.slots))
         age_s = max(0.0, now - self.reported_at)
-        return usual + (self._reported_load_of_others - usual) * math.exp(
+        return average + (self._reported_load_of_others - average) * math.exp(
             -age_s / REPORT_DECAY_S
         )
 
@@ -90,7 +91,7 @@
         return max(load, self.slots + 1.0) if now < self._full_until else load
 
     def record_reported_load(self, total_load: int, now: float) -> None:
-        """Take the load that an answer told, the answered request not counted.
+        """Record the load that an answer reported, without the answered request.
 
         Parameters
         ----------
@@ -104,28 +105,28 @@
         self.reported_at = now
 
     def record_shed(self, now: float) -> None:
-        """Record that it shed a request."""
+        """Record that the upstream shed a request."""
         self._full_until = now + FULL_AFTER_SHED_S
 
     def own_allowance(self, now: float) -> int:
-        """Own requests that may run or wait there at this moment."""
+        """Return how many own requests may run or wait there now."""
         if now < self._full_until:
             return self.in_flight
-        most = self.slots + max(1, math.ceil(self.slots * QUEUE_SHARE))
-        return max(0, math.ceil(most - self.load_of_others(now)))
+        max_requests = self.slots + max(1, math.ceil(self.slots * QUEUE_SHARE))
+        return max(0, math.ceil(max_requests - self.load_of_others(now)))
 
     def allowance(self, now: float, deadline: float) -> int:
-        """Own requests that may run there, whatever their deadline."""
+        """Return how many own requests may run there, whatever their deadline."""
         del deadline
         return self.own_allowance(now)
 
     def is_over_share(self, now: float) -> bool:
-        """Tell that nothing of this upstream is shared by members."""
+        """Return False: members do not share out the slots of this upstream."""
         del now
         return False
 
     def start(self, *, ticket: int, now: float, deadline: float) -> None:
-        """Count a request that starts."""
+        """Record the start of a request."""
         del deadline
         check_invariant(
             "slots-within-allowance", self.in_flight < self.own_allowance(now)
@@ -133,11 +134,11 @@
         self.started_by_ticket[ticket] = now
 
     def finish(self, *, ticket: int) -> None:
-        """Stop counting a request."""
+        """Remove a request from the running ones."""
         self.started_by_ticket.pop(ticket, None)
 
     def oldest_start(self) -> float | None:
-        """Give the start of the request that has run longest, monotonic seconds."""
+        """Return the start of the longest-running request, monotonic seconds."""
         return next(iter(self.started_by_ticket.values()), None)
 
     def shrink_share(self, share: int) -> None:
@@ -152,5 +153,5 @@
         """Borrow nothing: there are no shares."""
 
     def release_all(self) -> None:
-        """Forget what others were told to run, as after a pause."""
+        """Reset the reported load of other VMs, as after a pause of the process."""
         self._reported_load_of_others = 0.0
--- a/packages/daemon/src/plankspindle_daemon/upstreams/share_manager.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/share_manager.py
@@ -1,4 +1,4 @@
-"""Shares of upstreams that follow the members of the failure domain."""
+"""Shares of upstreams, adjusted to the members of the failure domain."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @define(kw_only=True)
 class ShareManager:
-    """Shrink shares at once, and grow them when no other member uses their slots.
+    """Shrink shares at once; grow them once no other member uses their slots.
 
     Parameters
     ----------
@@ -29,11 +29,11 @@
     membership : Membership
         The members.
     started_at : float
-        Monotonic seconds.
+        When the process started, monotonic seconds.
     settle_s : float
-        Time for which a process that is new, or stood still, listens for peers before
-        it takes slots, in seconds. A list that was read does not shorten it: it may
-        lack VMs that still run.
+        Time for which a process that has started, or was paused, waits for heartbeats
+        of peers before it takes slots, in seconds. Reading the VM list does not shorten
+        it: the list may lack VMs that still run.
     """
 
     vm: str
@@ -48,7 +48,7 @@
         self._settling_since = self.started_at
 
     def restart_settling(self, now: float) -> None:
-        """Listen for peers anew, as after a pause."""
+        """Wait for heartbeats of peers again, as after a pause of the process."""
         self._settling_since = now
 
     def update_all(
@@ -58,12 +58,12 @@
         max_request_s: float,
         now: float,
     ) -> bool:
-        """Bring the shares of a service's upstreams closer to their targets.
+        """Adjust the shares of a service's upstreams towards their targets.
 
         Parameters
         ----------
         upstreams : iterable of UpstreamState
-            Upstreams; those whose slots members do not share are passed over.
+            Upstreams; those whose slots are not shared out among members are skipped.
         max_request_s : float
             Longest timeout of their requests, in seconds.
         now : float
@@ -84,12 +84,12 @@
     def update(
         self, upstream: str, ledger: SlotLedger, *, max_request_s: float, now: float
     ) -> bool:
-        """Bring the share of one upstream closer to its target.
+        """Adjust the share of one upstream towards its target.
 
         Parameters
         ----------
         upstream : str
-            Its name.
+            Name of the upstream.
         ledger : SlotLedger
             Its slots.
         max_request_s : float
--- a/packages/daemon/src/plankspindle_daemon/upstreams/slot_ledger.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/slot_ledger.py
@@ -1,4 +1,4 @@
-"""Slots of one upstream as this entry VM may use them."""
+"""Slots of one upstream that this entry VM may use."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 @frozen(kw_only=True)
 class Loan:
-    """Slots that change hands until a time.
+    """Slots lent by one VM to another until a time.
 
     Parameters
     ----------
     request_id : int
-        Request that the loan answers.
+        Loan request that was granted.
     count : int
         Number of slots.
     until : float
-        End in monotonic seconds of this process.
+        End of the loan, monotonic seconds of this process.
     """
 
     request_id: int
@@ -40,9 +40,9 @@
     Attributes
     ----------
     share : int
-        Slots this VM may use on its own account.
+        Slots of this VM's own share.
     deadlines_by_ticket : dict of int to float
-        End of each running request, monotonic seconds.
+        Deadline of each running request, monotonic seconds.
     """
 
     slots: int
@@ -57,12 +57,12 @@
         return len(self.deadlines_by_ticket)
 
     def own_allowance(self, now: float) -> int:
-        """Slots of the own share that are not lent out."""
+        """Return the slots of the own share that are not lent."""
         self._expire(now)
         return max(0, self.share - sum(loan.count for loan in self._lent))
 
     def allowance(self, now: float, deadline: float) -> int:
-        """Slots usable by a request that ends by a deadline.
+        """Return the slots usable by a request with a deadline.
 
         Parameters
         ----------
@@ -81,38 +81,38 @@
         )
 
     def is_over_share(self, now: float) -> bool:
-        """Tell whether more runs, here or on slots lent out, than is allowed now."""
+        """Return whether more slots are in use, here or lent, than are allowed now."""
         self._expire(now)
         lent = sum(loan.count for loan in self._lent)
         borrowed = sum(loan.count for loan in self._borrowed)
         return self.in_flight + lent > self.share + borrowed
 
     def start(self, *, ticket: int, now: float, deadline: float) -> None:
-        """Count a request that starts."""
+        """Record the start of a request."""
         allowed = self.allowance(now, deadline)
         check_invariant(
             "slots-within-allowance",
             self.in_flight < allowed,
-            f"{self.in_flight} run, {allowed} are allowed",
+            f"{self.in_flight} requests running, {allowed} allowed",
         )
         check_invariant("share-within-slots", self.share <= self.slots)
         self.deadlines_by_ticket[ticket] = deadline
 
     def finish(self, *, ticket: int) -> None:
-        """Stop counting a request."""
+        """Remove a request from the running ones."""
         self.deadlines_by_ticket.pop(ticket, None)
 
     def shrink_share(self, share: int) -> None:
-        """Take a smaller share at once; a larger one is left for :meth:`grow_share`."""
+        """Apply a smaller share at once; a larger one needs :meth:`grow_share`."""
         self.share = min(self.share, share)
 
     def grow_share(self, share: int) -> None:
-        """Take a larger share, once no other member can still use its slots.
+        """Apply a larger share, once no other member can still use its slots.
 
         Notes
         -----
-        Loans end with it: the lender may have left, and its slots are part of the
-        larger share.
+        This ends all loans to this VM: the lender may have left, and its slots are then
+        part of the larger share.
         """
         if share > self.share:
             self.share = share
@@ -124,17 +124,17 @@
         Parameters
         ----------
         request_id : int
-            Request of the borrower; a repeated one is lent nothing more.
+            Loan request of the borrower; a repeated one is granted no further slots.
         count : int
-            Slots asked for.
+            Slots requested.
         now, until : float
             Monotonic seconds.
 
         Returns
         -------
         int
-            Slots lent, maybe zero. They are idle until the loan ends even if the
-            grant is lost.
+            Slots lent, possibly zero. They stay reserved until the loan ends, even if
+            the grant message is lost.
         """
         if any(loan.request_id == request_id for loan in self._lent):
             return 0
@@ -145,14 +145,16 @@
         return lent
 
     def borrow(self, loan: Loan, now: float) -> None:
-        """Take a loan that was granted; each request is granted once."""
+        """Add a granted loan; a repeated grant of the same request is ignored."""
         self._expire(now)
-        known = any(each.request_id == loan.request_id for each in self._borrowed)
-        if loan.until > now and not known:
+        is_repeated = any(each.request_id == loan.request_id for each in self._borrowed)
+        if loan.until > now and not is_repeated:
             self._borrowed.append(loan)
 
     def release_all(self) -> None:
-        """Give up share and loans, since others may have taken them in a pause.
+        """Release the own share and borrowed slots, as after a pause of the process.
+
+        Other VMs may have taken them meanwhile.
 
         Running requests stay counted, and slots that were lent stay lent.
         """
--- a/packages/daemon/src/plankspindle_daemon/upstreams/slot_share.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/slot_share.py
@@ -10,12 +10,12 @@
 
 
 def share_of(*, vm: str, members: Sequence[str], upstream: str, slots: int) -> int:
-    """Give the slots of one upstream that one member may use.
+    """Return the slots of one upstream that one member may use.
 
     Parameters
     ----------
     vm : str
-        Member that asks.
+        Name of the member.
     members : sequence of str
         All members, sorted; every member must use the same ones.
     upstream : str
@@ -30,15 +30,15 @@
 
     Notes
     -----
-    The remainder of the division goes to members that start at a place given by a hash
-    of the upstream's name, so that no member is favoured on all upstreams and, with
-    more members than slots, each has a share in some of them.
+    The remainder of the division goes to consecutive members, starting at an index
+    given by a hash of the upstream's name. So no member is favoured on all upstreams
+    and, with more members than slots, each has a share in some of them.
     """
     count = len(members)
     base, remainder = divmod(slots, count)
     first = _stable_hash(upstream) % count
-    place = (members.index(vm) - first) % count
-    return base + (1 if place < remainder else 0)
+    offset = (members.index(vm) - first) % count
+    return base + (1 if offset < remainder else 0)
 
 
 def _stable_hash(text: str) -> int:
--- a/packages/daemon/src/plankspindle_daemon/upstreams/statement_store.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/statement_store.py
@@ -1,4 +1,4 @@
-"""What upstreams said of themselves to this VM, by their lives."""
+"""Statements of upstreams to this VM, by incarnation."""
 
 from __future__ import annotations
 
@@ -10,40 +10,40 @@
 from plankspindle_core.classes import define
 
 MAX_INCARNATIONS = 4_096
-"""Lives that are remembered; the one heard of first goes."""
+"""Maximum of incarnations that are stored; the oldest entry is evicted."""
 
 
 @define(kw_only=True)
 class StatementStore:
-    """Statements that hold on for a life of an upstream, whatever lists say of it.
+    """Statements that stay valid for an incarnation, whatever the upstream list says.
 
     Notes
     -----
-    An entry of the platform's list may lapse and come back, and a configuration may
-    move an upstream to another service: its state is then made anew, but it is the same
-    process that has said what it said.
+    An entry of the platform's list may expire and return, and a configuration may move
+    an upstream to another service. The state of the upstream is then created anew, but
+    its process is the same, so that its statements still apply.
     """
 
     _leaving: OrderedDict[str, None] = Factory(OrderedDict)
     _retry_at: OrderedDict[str, float] = Factory(OrderedDict)
 
     def record_leaving(self, incarnation_id: str) -> None:
-        """Record that an upstream says that it leaves."""
+        """Record that an upstream has announced that it is leaving."""
         self._leaving[incarnation_id] = None
         if len(self._leaving) > MAX_INCARNATIONS:
             self._leaving.popitem(last=False)
 
     def is_leaving(self, incarnation_id: str) -> bool:
-        """Tell whether an upstream said that it leaves."""
+        """Return whether an upstream has announced that it is leaving."""
         return incarnation_id in self._leaving
 
     def record_retry_after(self, incarnation_id: str, until: float) -> float:
-        """Record that an upstream wants no request until a time, monotonic seconds.
+        """Record that an upstream accepts no request until a time, monotonic seconds.
 
         Returns
         -------
         float
-            When all the rest ends that it asked for so far.
+            Latest end of all retry-after periods that it announced, monotonic seconds.
         """
         until = max(until, self.retry_at(incarnation_id))
         self._retry_at[incarnation_id] = until
@@ -52,5 +52,5 @@
         return until
 
     def retry_at(self, incarnation_id: str) -> float:
-        """Give when the rest ends that an upstream asked for, monotonic seconds."""
+        """Return the end of an upstream's retry-after period, monotonic seconds."""
         return self._retry_at.get(incarnation_id, -inf)
--- a/packages/daemon/src/plankspindle_daemon/upstreams/unresponsive_hints.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/unresponsive_hints.py
@@ -1,4 +1,4 @@
-"""What silence of an upstream means, as seen here and as told by other entry VMs."""
+"""Hints of other entry VMs that an upstream is unresponsive."""
 
 from __future__ import annotations
 
@@ -9,52 +9,54 @@
 from plankspindle_core.classes import define
 
 SEND_HINT_AFTER_S = 1.0
-"""Silence from which on other entry VMs are told, in seconds."""
+"""Time without an answer after which other entry VMs get a hint, in seconds."""
 HINTED_UNRESPONSIVE_S = 2.0
-"""Silence that a hint stands for, in seconds."""
+"""Time without an answer that a fresh hint counts as, in seconds."""
 HINT_DECAY_S = 1.0
-"""Time in which a hint loses most of its weight, twice the period of heartbeats."""
+"""Time constant of the decay of a hint, in seconds; twice the period of heartbeats."""
 MIN_AGREEING_DOMAINS = 2
 OWN_ANSWER_VALID_S = 1.0
-"""Age up to which an own answer goes before a hint, in seconds."""
+"""Maximum age of an own answer that overrides hints, in seconds."""
 
 
 @define(kw_only=True)
 class UnresponsiveHints:
-    """Hints of other entry VMs on one upstream.
+    """Hints of other entry VMs about one upstream.
 
     Notes
     -----
-    An entry VM sends each upstream a request every second or two. Where it learns of
-    silence by its own requests alone, each VM loses some before it looks elsewhere:
-    nine VMs left 27 requests at an upstream of three slots that answered none for
-    seconds. A hint costs its name in a heartbeat, twice a second while it lasts.
+    An entry VM sends each upstream a request every second or two. If each VM detects an
+    unresponsive upstream by its own requests alone, each loses some before it places
+    them elsewhere: nine VMs left 27 requests at an upstream of three slots that
+    answered nothing for seconds. A hint costs the upstream's name in a heartbeat, twice
+    a second while it lasts.
 
-    One failure domain may be cut off from an upstream that serves all others, so hints
-    count once two domains agree, and not against an own answer of the last second.
+    One failure domain may be cut off from an upstream that serves all others. So hints
+    count only once two domains agree, and an own answer of the last second overrides
+    them.
     """
 
     _hinted_at_by_domain: dict[str, float] = Factory(dict)
 
     def record_hint(self, domain: str, now: float) -> None:
-        """Take a hint of an entry VM.
+        """Record a hint of an entry VM.
 
         Parameters
         ----------
         domain : str
-            Its failure domain.
+            Failure domain of that VM.
         now : float
             Monotonic seconds.
         """
         self._hinted_at_by_domain[domain] = now
 
     def hinted_unresponsive_s(self, answered_at: float, now: float) -> float:
-        """Give the silence that hints stand for by now.
+        """Return the time without an answer that hints count as now, in seconds.
 
         Parameters
         ----------
         answered_at : float
-            When the upstream last answered this VM.
+            When the upstream last answered this VM, monotonic seconds.
         now : float
             Monotonic seconds.
         """
--- a/packages/daemon/src/plankspindle_daemon/upstreams/upstream_state.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/upstream_state.py
@@ -1,4 +1,4 @@
-"""Everything an entry VM knows of one upstream."""
+"""State of one upstream at an entry VM."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     Parameters
     ----------
     name : str
-        Its name.
+        Name of the upstream.
     upstream : Upstream
         Its declaration.
     health : UpstreamHealth
@@ -47,7 +47,7 @@
     ledger : SlotLedger or ReportedSlots
         Its slots.
     incarnation : int
-        Number of its present life; zero where the platform does not tell it.
+        Number of its current incarnation; zero if the platform does not report it.
     relative_latency : float
         Moving average of its latency over that of all upstreams; 1 is average.
     leaving : bool
@@ -55,27 +55,27 @@
     leaves_at : float, optional
         Planned time of leaving, monotonic seconds.
     is_unconfirmed : bool
-        Whether this process stood still since it last heard that the upstream stays;
-        until the next probe or list it gets no new work.
+        Whether this process was paused since it was last confirmed that the upstream
+        stays; the upstream gets no new work until the next probe or list.
     cold_limiter : ColdLimiter, optional
-        Bound on requests while it is cold.
+        Limit of the request rate while it is cold.
     limiter_by_incarnation : dict of str to FleetLimiter
-        Limits that upstreams name over all entry VMs, of any service.
+        Limits over all entry VMs that upstreams of any service announce.
     statements : StatementStore
-        What upstreams said of themselves, of any service.
+        Statements of upstreams of any service.
     drained_at : float, optional
-        Time from which a confirmed drain keeps new work away, monotonic seconds.
+        Time from which a confirmed drain blocks new work, monotonic seconds.
     is_misdirected : bool
-        Whether another one answered at its address. This life of it is gone for good
-        then; another one under its name has a state of its own.
+        Whether another upstream answered at its address. This incarnation is then gone
+        for good; another upstream of the same name has its own state.
     answered_at : float
         When it last answered, monotonic seconds.
     last_statement : UpstreamStatement
-        What it said of itself in its last answer.
+        Statements of its last answer.
     evidence : str, optional
-        What was last seen of it other than an answer.
+        Last observation of it other than an answer.
     evidence_at : float
-        When that was, monotonic seconds.
+        Time of that observation, monotonic seconds.
     """
 
     name: str
@@ -103,39 +103,39 @@
     _listed_leaving: bool = False
 
     def is_same_incarnation(self, declared: Upstream, incarnation: int) -> bool:
-        """Tell whether a declaration is of the life that this is the state of.
+        """Return whether a declaration is of the incarnation of this state.
 
         Notes
         -----
-        An upstream that has started again has empty caches, and none of the latency,
-        failures and requests of before are its own. A number is learned late where the
-        platform did not tell it at first; that starts no other life.
+        A restarted upstream has empty caches, and latency, failures and requests of its
+        previous incarnation do not apply. If the platform reports the number only
+        later, the incarnation stays the same.
         """
         if self.upstream.endpoint != declared.endpoint:
             return False
         return 0 in (self.incarnation, incarnation) or self.incarnation == incarnation
 
     def rejects_new_work(self, now: float) -> bool:
-        """Tell whether it is leaving, drained or gone."""
+        """Return whether it is leaving, drained or misdirected."""
         drained = self.drained_at is not None and now >= self.drained_at
         return self.leaving or drained or self.is_misdirected
 
     def can_start(self, *, now: float, deadline: float, expected_end: float) -> bool:
-        """Tell whether a request may start here.
+        """Return whether a request may start here.
 
         Parameters
         ----------
         now, deadline : float
             Monotonic seconds.
         expected_end : float
-            When the request is expected to end; a planned leave must be later.
+            Expected end, monotonic seconds; a leave or drain must not be earlier.
         """
         if (
             self.is_unconfirmed
             or self.rejects_new_work(now)
             or (self.leaves_at is not None and expected_end > self.leaves_at)
             or (self.drained_at is not None and expected_end > self.drained_at)
-            or not self._is_warm_enough(now)
+            or not self._cold_limiter_allows(now)
             or self.lacks_token(now)
         ):
             return False
@@ -144,86 +144,84 @@
 
     @property
     def incarnation_id(self) -> str:
-        """Name of its present life."""
+        """Name of its current incarnation."""
         return incarnation_id_of(self.name, self.incarnation)
 
     def apply_statement(self, statement: UpstreamStatement, now: float) -> None:
-        """Take what it said of itself in an answer."""
+        """Apply its statements in an answer."""
         self.last_statement = statement
         if statement.is_leaving:
             self.statements.record_leaving(self.incarnation_id)
             if not self.leaving:
-                self.record_evidence("it says that it leaves", now)
+                self.record_evidence("announced that it is leaving", now)
             self.leaving = True
         if statement.retry_after_s is not None:
             until = self.statements.record_retry_after(
                 self.incarnation_id, now + statement.retry_after_s
             )
             self.health.record_retry_after(until)
-            self.record_evidence(
-                f"it wants {statement.retry_after_s:.3g} s of rest", now
-            )
+            self.record_evidence(f"retry-after of {statement.retry_after_s:.3g} s", now)
 
     def apply_earlier_statements(self, now: float) -> None:
-        """Take what its life said before this state of it was made."""
+        """Apply what its incarnation stated before this state was created."""
         self.leaving = self.leaving or self.statements.is_leaving(self.incarnation_id)
-        rests_until = self.statements.retry_at(self.incarnation_id)
-        if rests_until > now:
-            self.health.record_retry_after(rests_until)
+        retry_at = self.statements.retry_at(self.incarnation_id)
+        if retry_at > now:
+            self.health.record_retry_after(retry_at)
 
     def fleet_limiter(self) -> FleetLimiter | None:
-        """Give the gate of the limit that it names; None if it names none."""
+        """Return the limiter of its announced limit; None if there is none."""
         if not self.limiter_by_incarnation:
             return None
         return self.limiter_by_incarnation.get(self.incarnation_id)
 
     def lacks_token(self, now: float) -> bool:
-        """Tell whether it names a limit of which this VM has no token."""
-        gate = self.fleet_limiter()
-        return gate is not None and not gate.has_token(now)
+        """Return whether it announces a limit and this VM has no token for it."""
+        limiter = self.fleet_limiter()
+        return limiter is not None and not limiter.has_token(now)
 
     def available_at(self, now: float) -> float:
-        """Give when it wants another request, as far as it said so, monotonic s."""
-        gate = self.fleet_limiter()
-        rests_until = self.health.retry_at(now)
+        """Return when it accepts the next request, if known, monotonic seconds."""
+        limiter = self.fleet_limiter()
+        retry_at = self.health.retry_at(now)
         return (
-            rests_until if gate is None else max(rests_until, gate.next_token_at(now))
+            retry_at if limiter is None else max(retry_at, limiter.next_token_at(now))
         )
 
-    def _is_warm_enough(self, now: float) -> bool:
+    def _cold_limiter_allows(self, now: float) -> bool:
         return self.cold_limiter is None or self.cold_limiter.allows(now)
 
     def start(self, *, ticket: int, now: float, deadline: float) -> None:
-        """Count a request that starts."""
+        """Record the start of a request."""
         self.ledger.start(ticket=ticket, now=now, deadline=deadline)
         if self.cold_limiter is not None:
             self.cold_limiter.record_sent(now)
-        gate = self.fleet_limiter()
-        if gate is not None:
-            gate.use_token(now)
+        limiter = self.fleet_limiter()
+        if limiter is not None:
+            limiter.use_token(now)
 
     def accepts_keys(self, now: float) -> bool:
-        """Tell whether keys may be given to it: it is neither going nor cold."""
+        """Return whether keys may be assigned to it: it is staying, and not cold."""
         is_warm = self.cold_limiter is None or now >= self.cold_limiter.until
         return is_warm and not self.rejects_new_work(now)
 
     def is_usable(self, now: float) -> bool:
-        """Tell whether it takes new work at all, however busy it is."""
+        """Return whether it accepts new work at all, however busy it is."""
         if self.is_unconfirmed or not self.accepts_keys(now):
             return False
         return self.health.usable_share(1, now) > 0
 
-    def record_evidence(self, seen: str, now: float) -> None:
-        """Keep what was seen of it, for the log."""
-        self.evidence = seen
+    def record_evidence(self, observation: str, now: float) -> None:
+        """Record an observation, for the log."""
+        self.evidence = observation
         self.evidence_at = now
 
     def status(self, now: float) -> UpstreamStatus:
-        """Say what is believed of it, the gravest first."""
+        """Return the most severe status that applies to it."""
         return status_of(self, now)
 
     def report_age_ms(self, now: float) -> int | None:
-        """Give the age of the load that its answers told; None if there is none."""
+        """Return the age of the load that its answers reported, in ms; None if none."""
         match self.ledger:
             case ReportedSlots(reported_at=at) if at is not None:
                 return round(1000 * (now - at))
@@ -231,7 +229,7 @@
                 return None
 
     def load(self, now: float) -> float:
-        """Requests that run or wait there, as far as known."""
+        """Return the requests that run or wait there, as far as known."""
         match self.ledger:
             case ReportedSlots() as reported:
                 return reported.load(now)
@@ -239,26 +237,26 @@
                 return float(own.in_flight)
 
     def record_reported_load(self, total_load: int, now: float) -> None:
-        """Take the load that an answer told, where it counts."""
+        """Record the load that an answer reported; a ``SlotLedger`` ignores it."""
         if isinstance(self.ledger, ReportedSlots):
             self.ledger.record_reported_load(total_load, now)
 
     def record_shed(self, reported_load: int | None, now: float) -> None:
-        """Record that it shed a request: it is full, or asks for a pause.
+        """Record that it shed a request: it is full, or needs a pause.
 
         Parameters
         ----------
         reported_load : int, optional
-            Requests that ran and waited there, as its answer told.
+            Requests that ran and waited there, as its answer reported.
         now : float
             Monotonic seconds.
 
         Notes
         -----
-        One that tells of room sheds a part of its requests for another reason. It still
-        serves the rest, and its keys miss anywhere else: where all upstreams shed a
-        half, taking them for full costs 0.02 of the worth of a day, and 0.09 of the
-        worth of a modelled load.
+        An upstream that sheds although it reports free slots does so for another
+        reason. It still serves the remaining requests, whose keys are cache misses
+        elsewhere: where all upstreams shed half of their requests, counting them as
+        full costs 0.02 of the worth of a day, and 0.09 of that of a modelled load.
         """
         match self.ledger:
             case ReportedSlots() as reported:
@@ -280,22 +278,22 @@
                 self.health.record_failure(now)
 
     def record_hint(self, domain: str, now: float) -> None:
-        """Take the word of a VM of a failure domain that it answers nobody there."""
+        """Record a hint of a VM in a failure domain that it is unresponsive there."""
         self.unresponsive_hints.record_hint(domain, now)
 
     def should_send_hint(self, now: float) -> bool:
-        """Tell whether other entry VMs should know that it answers nobody here."""
+        """Return whether to send other entry VMs a hint that it is unresponsive."""
         is_backed_off = isinstance(self.health.state, BackedOff)
         unanswered_s = now - self.answered_at if is_backed_off else 0.0
-        return max(unanswered_s, self._own_silence_s(now)) > SEND_HINT_AFTER_S
+        return max(unanswered_s, self._own_unresponsive_s(now)) > SEND_HINT_AFTER_S
 
     def unresponsive_s(self, now: float) -> float:
-        """Time for which it seems to answer nobody, in seconds."""
+        """Return the time for which it seems to answer no VM, in seconds."""
         hinted_s = self.unresponsive_hints.hinted_unresponsive_s(self.answered_at, now)
-        return max(self._own_silence_s(now), hinted_s)
+        return max(self._own_unresponsive_s(now), hinted_s)
 
-    def _own_silence_s(self, now: float) -> float:
-        """Time for which own requests run there without any answer, in seconds."""
+    def _own_unresponsive_s(self, now: float) -> float:
+        """Return the time for which own requests run without an answer, in seconds."""
         match self.ledger:
             case ReportedSlots() as reported:
                 oldest = reported.oldest_start()
@@ -306,33 +304,33 @@
                 return 0.0
 
     def usable_slots(self, now: float) -> int:
-        """Requests that may run here at this moment."""
+        """Return how many requests may run here now."""
         if self.rejects_new_work(now) or self.is_unconfirmed:
             return 0
         return self.health.usable_share(self.ledger.own_allowance(now), now)
 
     def score(self, now: float) -> float:
-        """Expected cost of one more request; the lowest is chosen.
+        """Return the expected cost of one more request; the lowest is chosen.
 
         Notes
         -----
-        Own counts and measured latency decide. A fresh report can only make the
-        upstream less attractive, so one that claims to be idle gains nothing.
+        Own counts and measured latency decide. A fresh report can only raise the cost,
+        so an upstream that falsely reports to be idle gains nothing.
         """
         limit = max(1, self.usable_slots(now))
         load = (self.ledger.in_flight + 1) / limit
         return self.current_latency(now) * load * self._report_penalty(now)
 
     def current_latency(self, now: float) -> float:
-        """Give its latency relative to the average.
+        """Return its latency relative to the average.
 
         Notes
         -----
-        An old latency fades, so that an unlucky answer is not held for ever.
+        An old latency decays, so that one slow answer does not count forever.
         """
         age_s = max(0.0, now - self._latency_at)
-        fading = math.exp(-age_s / LATENCY_DECAY_S)
-        return 1.0 + (self.relative_latency - 1.0) * fading
+        decay = math.exp(-age_s / LATENCY_DECAY_S)
+        return 1.0 + (self.relative_latency - 1.0) * decay
 
     def _report_penalty(self, now: float) -> float:
         if self._report is None or now - self._reported_at > MAX_REPORT_AGE_S:
@@ -341,26 +339,26 @@
         excess = max(0.0, self._report.utilisation - own)
         return 1.0 + REPORT_WEIGHT * excess
 
-    def record_latency(self, relative: float, now: float) -> None:
-        """Take the latency of one answer, relative to the operation's average."""
-        bounded = min(MAX_RELATIVE_LATENCY, max(MIN_RELATIVE_LATENCY, relative))
-        present = self.current_latency(now)
-        self.relative_latency = present + LATENCY_WEIGHT * (bounded - present)
+    def record_latency(self, latency: float, now: float) -> None:
+        """Record the latency of one answer, relative to the operation's average."""
+        bounded = min(MAX_RELATIVE_LATENCY, max(MIN_RELATIVE_LATENCY, latency))
+        current = self.current_latency(now)
+        self.relative_latency = current + LATENCY_WEIGHT * (bounded - current)
         self._latency_at = now
 
     def record_probe_report(
         self, report: LoadReport, *, now: float, wall_time: float
     ) -> None:
-        """Take a load report.
+        """Record the load report of a probe.
 
         Parameters
         ----------
         report : LoadReport
-            What the upstream says.
+            The report.
         now : float
             Monotonic seconds.
         wall_time : float
-            Seconds since the Unix epoch, to place a planned leave.
+            Seconds since the Unix epoch, to convert a planned time of leaving.
         """
         self.is_unconfirmed = False
         self._report = report
@@ -369,31 +367,31 @@
         self.health.record_probe_success(now)
 
     def record_probe_failure(self, *, reached: bool, now: float) -> None:
-        """Record that a probe brought no report that can be read.
+        """Record that a probe returned no readable report.
 
         Parameters
         ----------
         reached : bool
-            Whether a connection was made.
+            Whether a connection was established.
         now : float
             Monotonic seconds.
         """
         self.is_unconfirmed = False
-        self.record_evidence("a probe brought no report", now)
+        self.record_evidence("probe returned no load report", now)
         self.health.record_probe_failure(reached=reached, now=now)
 
     def apply_listing(
         self, *, leaving: bool, leaves_at: float | None, now: float, wall_time: float
     ) -> None:
-        """Take what the platform's list says of leaving."""
+        """Apply what the platform's list reports about leaving."""
         self._listed_leaving = leaving
         self.is_unconfirmed = False
         self._set_leaving(now=now, wall=wall_time, leaves_at=leaves_at)
 
     def _set_leaving(self, *, now: float, wall: float, leaves_at: float | None) -> None:
         reported = self._report is not None and self._report.leaving
-        said = self.statements.is_leaving(self.incarnation_id)
-        self.leaving = reported or said or self._listed_leaving
+        announced = self.statements.is_leaving(self.incarnation_id)
+        self.leaving = reported or announced or self._listed_leaving
         if leaves_at is not None:
             self.leaves_at = now + (leaves_at - wall)
         elif self._report is None or self._report.leaves_at is None:
--- a/packages/daemon/src/plankspindle_daemon/upstreams/upstream_statement.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/upstream_statement.py
@@ -1,4 +1,4 @@
-"""What an upstream says of itself in the head of an answer."""
+"""Statements of an upstream about itself in the headers of an answer."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 @frozen(kw_only=True)
 class UpstreamStatement:
-    """Statements of one answer, as the adapter of its protocol has read them.
+    """Statements of one answer, as parsed by the adapter of its protocol.
 
     Parameters
     ----------
     limit_per_s : float, optional
-        Requests a second that the upstream takes from all entry VMs together; None if
-        it names no limit.
+        Requests per second that the upstream accepts from all entry VMs together; None
+        if it announces no limit.
     is_leaving : bool
-        Whether it says that it leaves.
+        Whether it announces that it is leaving.
     retry_after_s : float, optional
-        Time for which it wants no request from this VM, in seconds, as it turned one
-        away; None if it does not say.
+        Time for which it accepts no request from this VM, in seconds, announced when it
+        rejected one; None if not given.
     unreadable : tuple of str
-        Statements that could not be read, and why; they count as not made.
+        Statements that could not be parsed, each with the reason; they are ignored.
     """
 
     limit_per_s: float | None = None
@@ -30,7 +30,7 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether the upstream says nothing of itself."""
+        """Whether the answer contains no statement."""
         return self == NO_STATEMENT
 
 
--- a/packages/daemon/src/plankspindle_daemon/upstreams/upstream_status.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/upstream_status.py
@@ -1,4 +1,4 @@
-"""What an entry VM believes of an upstream, in one word."""
+"""Observed status of an upstream at one entry VM."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class UpstreamStatus(Enum):
-    """What this VM believes of an upstream."""
+    """Observed status of an upstream at this VM."""
 
     HEALTHY = "well"
     RAMPING = "warming-up"
@@ -27,7 +27,7 @@
 
 
 def status_of(upstream: UpstreamState, now: float) -> UpstreamStatus:
-    """Say what is believed of an upstream, the gravest first.
+    """Return the most severe status that applies to an upstream.
 
     Parameters
     ----------
--- a/packages/daemon/tests/upstreams/test_connection_pool.py
+++ b/packages/daemon/tests/upstreams/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Tests of kept-alive connections, over loopback in one kernel."""
+"""Tests of keep-alive connections, over loopback on one machine."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
         pass
 
 
-def test_a_clean_connection_is_used_again_unless_a_fresh_one_is_wanted() -> None:
+def test_clean_connection_is_reused_unless_max_idle_is_zero() -> None:
     async def use(pool: ConnectionPool, server: HttpServer) -> tuple[int, int]:
         for max_idle_s in (math.inf, math.inf, 0.0):
             acquired = await pool.acquire(server.endpoint, max_idle_s=max_idle_s)
@@ -68,7 +68,7 @@
     assert run(use) == (2, 1)
 
 
-def test_an_unfinished_connection_is_not_kept() -> None:
+def test_connection_without_complete_exchange_is_closed_on_release() -> None:
     async def use(pool: ConnectionPool, server: HttpServer) -> int:
         acquired = await pool.acquire(server.endpoint, max_idle_s=math.inf)
         await pool.release(acquired.unwrap())
@@ -77,20 +77,20 @@
     assert run(use) == 0
 
 
-def test_connections_are_bounded_and_an_idle_one_makes_room() -> None:
+def test_connections_are_limited_and_released_one_can_be_replaced() -> None:
     async def use(pool: ConnectionPool, server: HttpServer) -> tuple[bool, bool]:
         first = (await pool.acquire(server.endpoint, max_idle_s=0.0)).unwrap()
         await pool.acquire(server.endpoint, max_idle_s=0.0)
         full = (await pool.acquire(server.endpoint, max_idle_s=0.0)).is_err()
         await exchange(first)
         await pool.release(first)
-        room = (await pool.acquire(server.endpoint, max_idle_s=0.0)).is_ok()
-        return full, room
+        can_replace = (await pool.acquire(server.endpoint, max_idle_s=0.0)).is_ok()
+        return full, can_replace
 
     assert run(use) == (True, True)
 
 
-def test_connections_that_the_other_side_closed_are_dropped() -> None:
+def test_connections_closed_by_peer_are_discarded() -> None:
     async def use(pool: ConnectionPool, server: HttpServer) -> tuple[int, int]:
         acquired = (await pool.acquire(server.endpoint, max_idle_s=math.inf)).unwrap()
         await exchange(acquired)
@@ -104,7 +104,7 @@
     assert run(use) == (1, 0)
 
 
-def test_idle_connections_are_bounded_where_each_request_wants_a_new_one() -> None:
+def test_idle_connections_are_limited_when_each_request_opens_a_new_one() -> None:
     async def use(pool: ConnectionPool, server: HttpServer) -> int:
         pool.max_per_endpoint = 1_000
         for _ in range(3 * MAX_IDLE_PER_ENDPOINT):
--- a/packages/daemon/tests/upstreams/test_dirty_connection.py
+++ b/packages/daemon/tests/upstreams/test_dirty_connection.py
@@ -1,4 +1,8 @@
-"""Bytes that belong to no request reach no caller, and a proof that this can fail."""
+"""Tests that bytes which belong to no request reach no caller.
+
+An upstream sends a second answer on an idle connection. If the connection is reused,
+the next request gets that answer; one test shows this with the check switched off.
+"""
 
 from __future__ import annotations
 
@@ -22,24 +26,24 @@
 STRAY = b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nstray"
 
 
-async def _serve(listener: socket.socket, may_stray: curio.Event) -> None:
-    """Answer each request, and send one answer more once the connection rests."""
+async def _serve(listener: socket.socket, send_stray: curio.Event) -> None:
+    """Answer each request, and send one stray answer once the connection is idle."""
     async with curio.TaskGroup() as group:
         for _ in range(2):
             client, _ = await listener.accept()
-            await group.spawn(_serve_one, client, may_stray)
+            await group.spawn(_serve_one, client, send_stray)
 
 
-async def _serve_one(client: socket.socket, may_stray: curio.Event) -> None:
+async def _serve_one(client: socket.socket, send_stray: curio.Event) -> None:
     async with client:
         while await client.recv(65_536):
             await client.sendall(OWN)
-            if not may_stray.is_set():
-                await may_stray.wait()
+            if not send_stray.is_set():
+                await send_stray.wait()
                 await client.sendall(STRAY)
 
 
-async def _ask(pool: ConnectionPool, endpoint: Endpoint) -> bytes:
+async def _request(pool: ConnectionPool, endpoint: Endpoint) -> bytes:
     connection = (await pool.acquire(endpoint, max_idle_s=60.0)).unwrap()
     answer = await exchange_on(connection, method="GET", target="/", headers=[])
     await pool.release(connection)
@@ -52,16 +56,16 @@
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     listener.bind((endpoint.host, endpoint.port))
     listener.listen()
-    may_stray = curio.Event()
-    server = await curio.spawn(_serve, listener, may_stray)
+    send_stray = curio.Event()
+    server = await curio.spawn(_serve, listener, send_stray)
     pool = ConnectionPool(max_per_endpoint=4, connect_timeout_s=5.0)
-    first = await _ask(pool, endpoint)
+    first = await _request(pool, endpoint)
     assert first == b"own"
-    await may_stray.set()
-    (resting,) = pool._idle_by_endpoint[endpoint]
-    while not _has_bytes(resting):
+    await send_stray.set()
+    (idle,) = pool._idle_by_endpoint[endpoint]
+    while not _has_bytes(idle):
         await curio.sleep(0.001)
-    second = await _ask(pool, endpoint)
+    second = await _request(pool, endpoint)
     await pool.close()
     await server.cancel()
     await listener.close()
@@ -75,11 +79,11 @@
         return False
 
 
-def test_a_connection_with_stray_bytes_is_not_used_again() -> None:
+def test_connection_with_stray_bytes_is_not_reused() -> None:
     assert curio.run(_second_answer) == (b"own", 1)
 
 
-def test_reuse_of_a_dirty_connection_is_caught(
+def test_reuse_of_dirty_connection_would_return_stray_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(ClientConnection, "is_quiet", lambda self: True)
--- a/packages/daemon/tests/upstreams/test_health.py
+++ b/packages/daemon/tests/upstreams/test_health.py
@@ -30,13 +30,13 @@
 
 
 def back_off(health: UpstreamHealth, now: float) -> float:
-    """Back it off, and give when a request may try it."""
+    """Back off the upstream, and return when a probe attempt is allowed."""
     health.record_failure(now)
     assert isinstance(health.state, BackedOff)
     return health.state.until
 
 
-def test_one_request_tries_an_upstream_until_it_answers() -> None:
+def test_backed_off_upstream_gets_one_probe_attempt_until_it_answers() -> None:
     health = build_health()
     until = back_off(health, 0.0)
     assert health.usable_share(SHARE, until - 0.01) == 0
@@ -47,15 +47,15 @@
     assert health.usable_share(SHARE, until + 11 * RAMP_S) == SHARE
 
 
-@pytest.mark.parametrize("sign", ["timeout", "break"])
-def test_the_first_bad_sign_of_a_trial_backs_off_again_for_longer(sign: str) -> None:
+@pytest.mark.parametrize("failure", ["timeout", "connection-loss"])
+def test_first_failure_of_probe_attempt_extends_back_off(failure: str) -> None:
     health = build_health()
     now, waits = 0.0, []
     until = back_off(health, now)
     for _ in range(12):
         assert health.usable_share(SHARE, until) == 1
         now = until + 2.0
-        if sign == "timeout":
+        if failure == "timeout":
             health.record_timeout(now)
         else:
             health.record_connection_loss(now)
@@ -66,7 +66,7 @@
     assert max(waits) <= MAX_BACK_OFF_S
 
 
-def test_a_single_timeout_of_a_trusted_upstream_says_little() -> None:
+def test_single_timeout_does_not_back_off_warm_upstream() -> None:
     health = build_health()
     health.record_success(0.0)
     health.record_timeout(5.0)
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize(("waited_s", "counts"), [(0.15, False), (3.0, True)])
-def test_a_caller_that_waited_in_vain_is_evidence_and_a_hasty_one_is_not(
+def test_cancellation_counts_as_failure_only_after_long_wait(
     waited_s: float, counts: bool
 ) -> None:
     dispatcher = build_dispatcher(slots_by_upstream={"u": 4})
@@ -98,7 +98,7 @@
     assert isinstance(state, BackedOff) is counts
 
 
-def test_a_caller_that_leaves_a_busy_upstream_is_no_evidence() -> None:
+def test_cancellations_do_not_back_off_upstream_that_answers_others() -> None:
     dispatcher = build_dispatcher(slots_by_upstream={"u": 4})
     for number in range(4):
         dispatcher.handle(RequestArrived(build_ticket(number, deadline=100.0)), 10.0)
--- a/packages/daemon/tests/upstreams/test_silence.py
+++ b/packages/daemon/tests/upstreams/test_unresponsive_hints.py
@@ -1,4 +1,4 @@
-"""Tests of upstreams that answer nobody, and of what entry VMs tell of them."""
+"""Tests of unresponsive upstreams, and of the hints that entry VMs send about them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         upstream.record_hint(domain, now)
 
 
-def test_a_hint_of_other_vms_counts_as_silence_and_fades() -> None:
+def test_hints_of_other_vms_count_as_unresponsive_time_and_decay() -> None:
     upstream = build_reported_upstream("u")
     assert upstream.unresponsive_s(10.0) == 0.0
     hint_from_two_domains(upstream, 10.0)
@@ -28,28 +28,28 @@
     assert upstream.unresponsive_s(10.0 + 20 * HINT_DECAY_S) < 0.01
 
 
-def test_an_own_answer_after_the_hint_goes_before_it() -> None:
+def test_own_answer_after_hint_overrides_it() -> None:
     upstream = build_reported_upstream("u")
     hint_from_two_domains(upstream, 10.0)
     upstream.answered_at = 10.5
     assert upstream.unresponsive_s(10.6) == 0.0
 
 
-def test_an_own_answer_shortly_before_the_hint_goes_before_it() -> None:
+def test_recent_own_answer_before_hint_overrides_it() -> None:
     upstream = build_reported_upstream("u")
     upstream.answered_at = 9.5
     hint_from_two_domains(upstream, 10.0)
     assert upstream.unresponsive_s(10.1) == 0.0
 
 
-def test_a_domain_that_is_cut_off_from_an_upstream_keeps_nobody_from_it() -> None:
+def test_hints_of_single_failure_domain_are_ignored() -> None:
     upstream = build_reported_upstream("u")
     for step in range(20):
         upstream.record_hint("ba-1", 10.0 + 0.1 * step)
     assert upstream.unresponsive_s(12.0) == 0.0
 
 
-def test_an_upstream_that_was_backed_off_is_told_of_between_trials() -> None:
+def test_hint_is_sent_for_backed_off_upstream_between_probe_attempts() -> None:
     upstream = build_reported_upstream("u")
     upstream.answered_at = 10.0
     upstream.health.record_failure(10.0)
@@ -58,21 +58,21 @@
     assert upstream.should_send_hint(15.0)
 
 
-def test_an_upstream_is_told_of_once_it_was_silent_for_long() -> None:
+def test_hint_is_sent_once_upstream_is_unresponsive_long_enough() -> None:
     upstream = build_reported_upstream("u")
     upstream.start(ticket=1, now=10.0, deadline=20.0)
     assert not upstream.should_send_hint(10.5)
     assert upstream.should_send_hint(12.0)
 
 
-def test_an_upstream_that_answers_others_is_not_told_of() -> None:
+def test_no_hint_is_sent_for_upstream_that_answered_recently() -> None:
     upstream = build_reported_upstream("u")
     upstream.start(ticket=1, now=10.0, deadline=20.0)
     upstream.answered_at = 11.9
     assert not upstream.should_send_hint(12.0)
 
 
-def test_a_hint_is_not_passed_on() -> None:
+def test_received_hint_is_not_relayed() -> None:
     upstream = build_reported_upstream("u")
     hint_from_two_domains(upstream, 10.0)
     assert not upstream.should_send_hint(10.1)
