--- a/packages/daemon/src/plankspindle_daemon/quotas/__init__.py
+++ b/packages/daemon/src/plankspindle_daemon/quotas/__init__.py
@@ -1,1 +1,1 @@
-"""Quotas of workspaces, kept over all entry VMs together."""
+"""Quotas of workspaces and limits of upstreams, enforced over all entry VMs."""
--- a/packages/daemon/src/plankspindle_daemon/quotas/holder_map.py
+++ b/packages/daemon/src/plankspindle_daemon/quotas/holder_map.py
@@ -1,4 +1,4 @@
-"""Which entry VMs hand out tokens."""
+"""Assignment of shards to the entry VMs that grant tokens."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
     Parameters
     ----------
     name : str
-        Its name.
+        Name of the VM.
     region : str
-        Region that it stands in.
+        Region that it is located in.
     endpoint : Endpoint
-        Where messages go.
+        Where it receives messages.
     """
 
     name: str
@@ -41,58 +41,59 @@
 
     Notes
     -----
-    Each region has a holder of its own, so that most tokens are a short way off and a
-    region that is cut off still has what its VMs own. Views may differ: a share is with
-    one holder whatever VMs believe, and who asks a wrong one gets nothing there.
+    Each region has its own holder, so that most tokens come from nearby, and a region
+    that is cut off can still use what its VMs own. VMs may disagree about the holder: a
+    share is leased to only one holder at a time, and another one grants nothing from
+    it.
     """
 
     _holders_by_region: dict[str, list[QuotaVm]] = Factory(dict)
-    _known: frozenset[QuotaVm] = frozenset()
+    _vms: frozenset[QuotaVm] = frozenset()
     _vm_by_name: dict[str, QuotaVm] = Factory(dict)
     _ranks_by_name: dict[str, list[int]] = Factory(dict)
 
     def update(self, vms: Iterable[QuotaVm]) -> None:
-        """Take the VMs that take part now."""
+        """Update the VMs that take part."""
         known = frozenset(vms)
-        if known == self._known:
+        if known == self._vms:
             return
-        self._known = known
+        self._vms = known
         self._vm_by_name = {vm.name: vm for vm in known}
         by_region: dict[str, list[QuotaVm]] = {}
         for vm in known:
             by_region.setdefault(vm.region, []).append(vm)
         self._holders_by_region = {
             region: [
-                max(there, key=lambda vm: (self._rank(vm.name, shard), vm.name))  # noqa: B023
+                max(members, key=lambda vm: (self._rank(vm.name, shard), vm.name))  # noqa: B023
                 for shard in range(SHARDS)
             ]
-            for region, there in by_region.items()
+            for region, members in by_region.items()
         }
 
     def holder(self, shard: int, region: str) -> QuotaVm | None:
-        """Give the holder of a shard in a region."""
+        """Return the holder of a shard in a region."""
         holders = self._holders_by_region.get(region)
         return None if holders is None else holders[shard]
 
     def shards_of(self, vm: str, region: str) -> tuple[int, ...]:
-        """Give the shards that a VM is to hold in its region."""
+        """Return the shards that a VM should hold in its region."""
         holders = self._holders_by_region.get(region, [])
         return tuple(shard for shard, holder in enumerate(holders) if holder.name == vm)
 
     def regions(self) -> list[str]:
-        """Name the regions with holders, sorted."""
+        """Return the regions with holders, sorted."""
         return sorted(self._holders_by_region)
 
     def find_vm(self, name: str | None) -> QuotaVm | None:
-        """Give a VM that takes part; None if it does not."""
+        """Return a VM that takes part; None if it does not."""
         return self._vm_by_name.get(name or "")
 
     def vms_in(self, region: str) -> list[QuotaVm]:
-        """Give the VMs of a region."""
-        return [vm for vm in self._known if vm.region == region]
+        """Return the VMs of a region."""
+        return [vm for vm in self._vms if vm.region == region]
 
     def _rank(self, name: str, shard: int) -> int:
-        """Give a VM's place in the rendezvous order of a shard."""
+        """Return a VM's rank in the rendezvous hash order of a shard."""
         ranks = self._ranks_by_name.get(name)
         if ranks is None:
             ranks = [stable_hash(f"{name}#{number}") for number in range(SHARDS)]
--- a/packages/daemon/src/plankspindle_daemon/quotas/messages.py
+++ b/packages/daemon/src/plankspindle_daemon/quotas/messages.py
@@ -1,4 +1,4 @@
-"""What becomes of requests that need a token."""
+"""Outcomes for requests that need a token."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
     ticket : int
         The request.
     retry_after_s : float
-        When to come back, in seconds from now.
+        Time after which to retry, in seconds.
     is_over_quota : bool
-        Whether the workspace has used its quota; otherwise no holder was reached.
+        Whether the workspace has used up its quota; otherwise no holder was reached.
     """
 
     ticket: int
--- a/packages/daemon/src/plankspindle_daemon/quotas/quota_holder.py
+++ b/packages/daemon/src/plankspindle_daemon/quotas/quota_holder.py
@@ -1,4 +1,4 @@
-"""Handing out of tokens by the VM to which others have leased their shares."""
+"""Granting of tokens by the VM to which others have leased their shares."""
 
 from __future__ import annotations
 
@@ -26,24 +26,24 @@
     from plankspindle_core.configuration.workspace import Workspace
 
 NO_SHARE_RETRY_S = 0.25
-"""Time after which a VM that holds no share may have one."""
+"""Time after which to retry at a VM that holds no share, in seconds."""
 
 
 def shard_of(workspace: str) -> int:
-    """Give the shard of a workspace, the same at every VM."""
+    """Return the shard of a workspace, the same at every VM."""
     return stable_hash(workspace) % SHARDS
 
 
 @frozen(kw_only=True)
 class TokensTaken:
-    """Tokens that a holder gave.
+    """Tokens that a holder granted.
 
     Parameters
     ----------
     count : int
-        Their number, as many as were wanted or fewer.
+        Number of tokens, at most as many as requested.
     retry_after_s : float
-        Time until there is one for who got none, in seconds.
+        Time until a token is available for a request that got none, in seconds.
     has_share : bool
         Whether any share of the quota is leased to the holder.
     """
@@ -55,14 +55,14 @@
     def as_grant(
         self, request: TokenRequest, *, sender: str, is_of_limit: bool = False
     ) -> TokenGrant:
-        """Give the answer to another VM that asked for them."""
-        all_given = self.count == request.count
+        """Return the grant message for the VM that requested the tokens."""
+        all_granted = self.count == request.count
         return TokenGrant(
             sender=sender,
             request_id=request.request_id,
             workspace=request.workspace,
             count=self.count,
-            retry_after_ms=0 if all_given else 1 + int(1000 * self.retry_after_s),
+            retry_after_ms=0 if all_granted else 1 + int(1000 * self.retry_after_s),
             has_share=self.has_share,
             is_of_limit=is_of_limit,
         )
@@ -70,21 +70,21 @@
 
 @define(kw_only=True)
 class QuotaHolder:
-    """Collect leases of shares, and give tokens from what they amount to.
+    """Collect leases of shares, and grant the tokens that accrue from them.
 
     Parameters
     ----------
     vm : str
         Name of this VM.
     incarnation : int
-        Number of this process.
+        Incarnation of this process.
     options : QuotaOptions
-        Bounds of the quotas.
+        Options of the quotas.
 
     Attributes
     ----------
     granted_by_workspace, denied_by_workspace : dict of str to int
-        Tokens given and not given here.
+        Tokens granted and denied here.
     """
 
     vm: str
@@ -98,22 +98,22 @@
     _pools_by_workspace: dict[str, TokenPool] = Factory(dict)
 
     def update_quotas(self, workspaces_by_name: Mapping[str, Workspace]) -> None:
-        """Take the quotas of another version; pools keep what they have given."""
+        """Apply the quotas of another version; existing pools keep their state."""
         pools = self._pools_by_workspace
         self._pools_by_workspace = {}
-        for name, terms in workspaces_by_name.items():
-            if not terms.is_limited:
+        for name, quota in workspaces_by_name.items():
+            if not quota.is_limited:
                 continue
             known = pools.get(name)
             self._pools_by_workspace[name] = (
                 TokenPool(
                     subject=name,
                     holder=self.vm,
-                    rate_limit=terms,
+                    rate_limit=quota,
                     slack_requests=self.options.slack_requests,
                 )
                 if known is None
-                else evolve(known, rate_limit=terms)
+                else evolve(known, rate_limit=quota)
             )
         for counted in (self.granted_by_workspace, self.denied_by_workspace):
             for name in set(counted) - set(self._pools_by_workspace):
@@ -122,7 +122,7 @@
     def claim(
         self, shards: tuple[int, ...], *, fleet_size: int, now: float
     ) -> ShareClaim:
-        """Make a claim to the shares of other VMs."""
+        """Return a claim to the shares of other VMs."""
         return ShareClaim(
             sender=self.vm,
             incarnation=self.incarnation,
@@ -148,39 +148,39 @@
                 )
 
     def share_of(self, shard: int, now: float) -> float:
-        """Give the part of each quota of a shard that is leased here."""
+        """Return the share of a shard's quotas that is leased here, from 0 to 1."""
         shares = self._shares_by_shard[shard]
         shares.advance(now)
         return shares.share
 
     def shares_of(self, subject: str, now: float) -> LeasedShares:
-        """Give the shares leased here for a workspace or an upstream's life."""
+        """Return the shares leased here for a workspace or an incarnation."""
         shares = self._shares_by_shard[shard_of(subject)]
         shares.advance(now)
         return shares
 
     def has_all_leases(self, shards: tuple[int, ...], *, vms: int, now: float) -> bool:
-        """Tell whether so many VMs have leased their share of each shard."""
+        """Return whether at least ``vms`` VMs have leased their share of each shard."""
         for shard in shards:
             self._shares_by_shard[shard].advance(now)
         return all(self._shares_by_shard[each].lessor_count >= vms for each in shards)
 
     def answer(self, request: TokenRequest, now: float) -> TokenGrant:
-        """Give tokens, as far as there are any."""
+        """Grant tokens to another VM, as far as available."""
         taken = self.take_tokens(request.workspace, request.count, now)
         return taken.as_grant(request, sender=self.vm)
 
-    def take_tokens(self, workspace: str, wanted: int, now: float) -> TokensTaken:
+    def take_tokens(self, workspace: str, requested: int, now: float) -> TokensTaken:
         """Take tokens for requests of this VM or another."""
         pool = self._pools_by_workspace.get(workspace)
         shares = self.shares_of(workspace, now)
         if pool is None or shares.share <= 0.0:
             return TokensTaken(count=0, retry_after_s=NO_SHARE_RETRY_S, has_share=False)
-        given = pool.take_tokens(wanted, shares)
-        _count(self.granted_by_workspace, workspace, given)
-        _count(self.denied_by_workspace, workspace, wanted - given)
+        granted = pool.take_tokens(requested, shares)
+        _count(self.granted_by_workspace, workspace, granted)
+        _count(self.denied_by_workspace, workspace, requested - granted)
         return TokensTaken(
-            count=given, retry_after_s=pool.retry_after_s(), has_share=True
+            count=granted, retry_after_s=pool.retry_after_s(), has_share=True
         )
 
 
--- a/packages/daemon/src/plankspindle_daemon/quotas/quotas.py
+++ b/packages/daemon/src/plankspindle_daemon/quotas/quotas.py
@@ -1,4 +1,4 @@
-"""Quotas and limits over all entry VMs, as one of them takes part in keeping them."""
+"""Enforcement of quotas and limits over all entry VMs, as seen by one of them."""
 
 from __future__ import annotations
 
@@ -40,8 +40,8 @@
     from plankspindle_daemon.quotas.token_requester import TokenRequesterEffect
 
 REFRESH_S = 1.0
-"""Longest time after which it is looked which VMs may hold shares."""
-_MAY_HOLD = (Readiness.READY, Readiness.OVERLOADED)
+"""Maximum time between updates of the VMs that may hold shares, in seconds."""
+_HOLDER_READINESS = (Readiness.READY, Readiness.OVERLOADED)
 
 QuotaMessage = ShareClaim | ShareLease | TokenRequest | TokenGrant | LimitNews
 QuotaEffect = TokenTaken | TokenRefused | LimitEffect
@@ -49,31 +49,31 @@
 
 @define(kw_only=True)
 class Quotas:
-    """Decide which requests of limited workspaces, and to limited upstreams, go on.
+    """Admit requests of limited workspaces, and to limited upstreams, by tokens.
 
     Parameters
     ----------
     vm, failure_domain : str
-        This VM and where it stands.
+        This VM and its failure domain.
     endpoint : Endpoint
         Where other VMs reach it.
     incarnation : int
-        Number of this process.
+        Incarnation of this process.
     started_at : float
-        When the node was made, monotonic seconds.
+        When the node was created, monotonic seconds.
     random : Random
         Seeded source of all random choices.
     membership : Membership
         Other entry VMs.
     options : QuotaOptions
-        Bounds of the quotas.
+        Options of the quotas.
 
     Notes
     -----
-    Every VM owns one part of each quota and leases it, shard by shard, to one holder of
-    its region. A holder gives tokens from the shares that are leased to it; a request
-    needs one before it is sent to an upstream. The sum over all holders never exceeds
-    the quota, since each share is with one holder at a time.
+    Every VM owns an equal share of each quota and leases it, shard by shard, to one
+    holder of its region. A holder grants tokens from the shares that are leased to it,
+    and a request needs a token before it is sent to an upstream. The sum over all
+    holders never exceeds the quota, since each share is leased to one holder at a time.
     """
 
     vm: str
@@ -92,10 +92,10 @@
     limits: UpstreamLimits = field(init=False)
     _configuration: Configuration | None = None
     _has_quotas: bool = False
-    _takes_part: bool = False
-    _knows_list: bool = False
-    _known: tuple[int, bool] = (0, False)
-    _claimed: tuple[int, ...] = ()
+    _may_hold: bool = False
+    _has_list: bool = False
+    _refreshed_for: tuple[int, bool] = (0, False)
+    _claimed_shards: tuple[int, ...] = ()
     _next_claim: float = 0.0
     _next_refresh: float = 0.0
 
@@ -115,7 +115,7 @@
         self.limits = self._make_limits()
 
     def update_configuration(self, configuration: Configuration) -> None:
-        """Take the quotas of another version of the configuration."""
+        """Apply the quotas of another version of the configuration."""
         workspaces = configuration.workspaces_by_name
         self._configuration = configuration
         self._has_quotas = any(each.is_limited for each in workspaces.values())
@@ -130,18 +130,18 @@
     def request_token(
         self, ticket: int, workspace: str, now: float
     ) -> list[TokenRequesterEffect]:
-        """Get a token for a request of a workspace."""
-        terms = None
+        """Request a token for a request of a workspace."""
+        quota = None
         if self._configuration is not None:
-            terms = self._configuration.workspaces_by_name.get(workspace)
-        if terms is None or not terms.is_limited:
+            quota = self._configuration.workspaces_by_name.get(workspace)
+        if quota is None or not quota.is_limited:
             return [TokenTaken(ticket=ticket)]
         return self.token_requester.request_token(ticket, workspace, now)
 
     def request_upstream_token(
         self, incarnation_id: str, service: str, now: float
     ) -> list[LimitEffect]:
-        """Get a token for a request to an upstream that names a limit."""
+        """Request a token for a request to an upstream that announces a limit."""
         if now >= self._next_refresh:
             self._refresh(now)
         return self.limits.request_token(incarnation_id, service, now)
@@ -149,7 +149,7 @@
     def receive(
         self, message: QuotaMessage, reply_to: Endpoint, now: float
     ) -> list[QuotaEffect]:
-        """Take a message of another entry VM."""
+        """Handle a message of another entry VM."""
         match message:
             case ShareClaim():
                 lease = self._lease(message, now)
@@ -173,24 +173,25 @@
     def tick(
         self, *, readiness: Readiness, knows_list: bool, now: float
     ) -> list[QuotaEffect]:
-        """Let time pass.
+        """Handle timeouts, renew claims and resend updates.
 
         Parameters
         ----------
         readiness : Readiness
-            Of this VM, which holds shares only while it serves and is not leaving.
+            Readiness of this VM, which holds shares only while it serves and is not
+            leaving.
         knows_list : bool
-            Whether the list of VMs was read, without which none knows its share.
+            Whether the list of VMs was read; without it the share of a VM is unknown.
         now : float
             Monotonic seconds.
         """
-        self._takes_part = readiness in _MAY_HOLD
-        self._knows_list = knows_list
+        self._may_hold = readiness in _HOLDER_READINESS
+        self._has_list = knows_list
         if not (self._has_quotas or self.limits.is_needed):
             return []
         effects = [*self.token_requester.tick(now), *self.limits.tick(now)]
-        known = (self.membership.change_count, self._takes_part)
-        if now >= self._next_refresh or known != self._known:
+        current = (self.membership.change_count, self._may_hold)
+        if now >= self._next_refresh or current != self._refreshed_for:
             self._refresh(now)
         return [*effects, *self._claim(now)]
 
@@ -213,14 +214,14 @@
         return limits
 
     def _refresh(self, now: float) -> None:
-        """Look which VMs there are, and which of them may hold shares."""
+        """Update the number of VMs, and which of them may hold shares."""
         if self._configuration is None:
             return
         self._next_refresh = now + REFRESH_S
-        self._known = (self.membership.change_count, self._takes_part)
-        if self._knows_list:
-            self.fleet.record(self._count(), now)
-        self._use_vms(takes_part=self._takes_part, now=now)
+        self._refreshed_for = (self.membership.change_count, self._may_hold)
+        if self._has_list:
+            self.fleet.record(self._count_vms(), now)
+        self._update_holders(may_hold=self._may_hold, now=now)
 
     def _lease(self, claim: ShareClaim, now: float) -> ShareLease | None:
         self.fleet.record(claim.fleet_size, now)
@@ -230,13 +231,15 @@
         """Claim the shares of the region for the shards that are held here."""
         region = self.token_requester.region
         shards = self.holders.shards_of(self.vm, region)
-        is_due = shards != self._claimed or now >= self._next_claim
-        self._claimed = shards
+        is_due = shards != self._claimed_shards or now >= self._next_claim
+        self._claimed_shards = shards
         if not shards or not is_due:
             return []
         vms = self.holders.vms_in(region)
-        is_whole = self.holder.has_all_leases(shards, vms=len(vms), now=now)
-        self._next_claim = now + (CLAIM_PERIOD_S if is_whole else FIRST_CLAIM_PERIOD_S)
+        is_complete = self.holder.has_all_leases(shards, vms=len(vms), now=now)
+        self._next_claim = now + (
+            CLAIM_PERIOD_S if is_complete else FIRST_CLAIM_PERIOD_S
+        )
         claim = self.holder.claim(shards, fleet_size=self.fleet.at(now), now=now)
         own = self._lease(claim, now)
         if own is not None:
@@ -247,7 +250,7 @@
             if vm.name != self.vm
         ]
 
-    def _count(self) -> int:
+    def _count_vms(self) -> int:
         listed = {
             each.name
             for each in self.membership.listed_by_name.values()
@@ -255,9 +258,9 @@
         }
         return len(listed | {self.vm, *self.membership.members_by_name})
 
-    def _use_vms(self, *, takes_part: bool, now: float) -> None:
+    def _update_holders(self, *, may_hold: bool, now: float) -> None:
         vms = {}
-        if takes_part:
+        if may_hold:
             vms[self.vm] = self._quota_vm(self.vm, self.failure_domain, self.endpoint)
         members = self.membership.members_by_name
         for listed in self.membership.listed_by_name.values():
@@ -268,7 +271,7 @@
                     listed.name, listed.failure_domain, endpoint
                 )
         for member in members.values():
-            if member.readiness in _MAY_HOLD and not self.membership.is_silent(
+            if member.readiness in _HOLDER_READINESS and not self.membership.is_silent(
                 member, now
             ):
                 vms[member.name] = self._quota_vm(
--- a/packages/daemon/src/plankspindle_daemon/quotas/share_lessor.py
+++ b/packages/daemon/src/plankspindle_daemon/quotas/share_lessor.py
@@ -1,4 +1,4 @@
-"""The share of the quotas that this VM owns, and to whom it is leased."""
+"""Leases of the share of the quotas that this VM owns."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from plankspindle_daemon.quotas.quota_options import SHARDS
 
 MAX_IDLE_MS = 60_000
-"""Longest idle time that is told; no burst takes as long to gather."""
+"""Upper bound of the idle time in a lease, in ms; every burst fills up in less."""
 
 
 @frozen(kw_only=True)
@@ -30,14 +30,14 @@
     vm : str
         Name of this VM.
     owns_from : float
-        Monotonic time in seconds from which this process has a share: leases of the
-        process before it have ended by then.
+        Monotonic time in seconds from which this process has a share: leases of its
+        previous incarnation have ended by then.
 
     Notes
     -----
     The holder counts a lease from when it sent its claim, this VM from when the claim
-    arrived, which is later. So no share is ever with two holders, however late
-    messages are and whatever VMs believe of each other.
+    arrived, which is later. So no share is ever leased to two holders, however late
+    messages are and whichever VMs consider each other alive.
     """
 
     vm: str
@@ -47,7 +47,7 @@
     def answer(
         self, claim: ShareClaim, *, fleet_size: int, now: float
     ) -> ShareLease | None:
-        """Lease what is claimed, as far as it is not with another holder."""
+        """Lease the claimed shards that are not leased to another holder."""
         if now < self.owns_from or fleet_size <= 0:
             return None
         leased = tuple(
@@ -69,12 +69,12 @@
         )
 
     def holder_of(self, shard: int, now: float) -> str | None:
-        """Name the holder that has the share of a shard now."""
+        """Return the holder to which the share of a shard is leased now."""
         lease = self._lease_by_shard.get(shard)
         return lease.holder if lease is not None and now < lease.ends_at else None
 
     def _idle_ms(self, shard: int, now: float) -> int:
-        """Give the time for which nobody has had the share of a shard."""
+        """Return the time for which nobody has held the share of a shard, in ms."""
         lease = self._lease_by_shard.get(shard)
         idle_since = self.owns_from if lease is None else lease.ends_at
         return max(0, min(MAX_IDLE_MS, int(1000 * (now - idle_since))))
--- a/packages/daemon/src/plankspindle_daemon/quotas/upstream_limits.py
+++ b/packages/daemon/src/plankspindle_daemon/quotas/upstream_limits.py
@@ -1,4 +1,4 @@
-"""Limits over all entry VMs that upstreams name in their answers."""
+"""Limits over all entry VMs that upstreams announce in their answers."""
 
 from __future__ import annotations
 
@@ -28,24 +28,24 @@
     from plankspindle_daemon.upstreams.upstream_statement import UpstreamStatement
 
 MAX_LIMITS = 4_096
-"""Lives of upstreams whose limits are remembered; the one heard of first goes."""
+"""Maximum of incarnations with a stored limit; the oldest entry is evicted."""
 LIFTED_LIMIT_MEMORY_S = 30.0
-"""Time for which older news of a limit that was lifted is passed over, in seconds."""
+"""Time for which older updates on a lifted limit are ignored, in seconds."""
 CLEANUP_PERIOD_S = 5.0
-"""Period of forgetting what is old, in seconds."""
+"""Period of removing expired entries, in seconds."""
 BROADCAST_STEP_SHARE = 0.2
-"""Change of a limit, as a part of it, that other VMs are told of."""
+"""Change of a limit, as a share of it, above which it is broadcast to other VMs."""
 MIN_BROADCAST_GAP_S = 1.0
-"""Least time between two such changes that are told, in seconds."""
+"""Minimum time between two broadcasts of changes of a limit, in seconds."""
 MAX_SEEN_UPDATES = 1_024
-"""Numbers of news that are remembered, since each comes more than once."""
+"""Numbers of updates that are stored, since each update is sent repeatedly."""
 MAX_BROADCAST_RECIPIENTS = 512
-"""Entry VMs that are told of a limit; in a larger fleet, those of the own domain."""
+"""Maximum of recipients; a larger fleet broadcasts within the failure domain only."""
 
 
 @frozen(kw_only=True)
 class FleetLimiterChanged:
-    """A token for an upstream came, or none is to be had for a while."""
+    """A token for an upstream was granted, or none is available for a while."""
 
     service: str
 
@@ -54,44 +54,45 @@
 
 
 @frozen(kw_only=True)
-class _Ask:
-    life: str
+class _PendingRequest:
+    incarnation_id: str
     service: str
 
 
 @frozen(kw_only=True)
-class _Told:
+class _LastBroadcast:
     limit_per_s: float
     at: float
 
 
 @define(kw_only=True)
 class UpstreamLimits:
-    """Keep requests to an upstream within the limit that it names.
+    """Keep requests to an upstream within the limit that it announces.
 
     Parameters
     ----------
     vm, failure_domain : str
-        This VM and where it stands.
+        This VM and its failure domain.
     membership : Membership
         Other entry VMs.
     holder : LimitHolder
-        What gives tokens here.
+        Grants tokens on this VM.
     token_requester : TokenRequester
-        What gets tokens from other VMs.
+        Requests tokens from other VMs.
 
     Attributes
     ----------
     limiter_by_incarnation : dict of str to FleetLimiter
-        Upstreams that name a limit.
+        Upstreams that announce a limit.
 
     Notes
     -----
-    A limit is a sum over all entry VMs that none of them sees, as a quota is, and it is
-    kept in the same way: each request takes a token, from the shares of the limit that
-    the VMs of a region have leased to one of them. A limit is in force from the first
-    answer that names it until the answers to some later requests, of any VM, have not
-    named it in a row; it has no other end, since what is not asked says nothing.
+    A limit applies to the sum over all entry VMs, which none of them can observe. As
+    with a quota, each request takes a token from the shares of the limit that the VMs
+    of a region have leased to one of them. A limit applies from the first answer that
+    announces it until several consecutive answers to later requests, of any VM, do not
+    announce it. It has no other end, since an upstream that gets no requests announces
+    nothing.
     """
 
     vm: str
@@ -100,29 +101,31 @@
     holder: LimitHolder
     token_requester: TokenRequester
     limiter_by_incarnation: dict[str, FleetLimiter] = Factory(dict)
-    _lifted_by_life: dict[str, float] = Factory(dict)
-    _told_by_life: dict[str, _Told] = Factory(dict)
-    _asks_by_ticket: dict[int, _Ask] = Factory(dict)
+    _lifted_at_by_incarnation: dict[str, float] = Factory(dict)
+    _last_broadcast_by_incarnation: dict[str, _LastBroadcast] = Factory(dict)
+    _pending_by_ticket: dict[int, _PendingRequest] = Factory(dict)
     _tickets: count[int] = field(factory=count)
     _outbox: ResendQueue = Factory(ResendQueue)
-    _heard_news: OrderedDict[int, None] = Factory(OrderedDict)
-    _next_forget: float = 0.0
+    _seen_updates: OrderedDict[int, None] = Factory(OrderedDict)
+    _next_cleanup: float = 0.0
 
     @property
     def is_needed(self) -> bool:
-        """Whether there are tokens to give or get, or news to send again.
+        """Whether there are tokens to grant or request, or updates to send again.
 
-        A limit that nobody wants tokens of costs no messages.
+        A limit whose tokens are not requested costs no messages.
         """
-        has_tokens = len(self.holder) > 0 or bool(self._asks_by_ticket)
+        has_tokens = len(self.holder) > 0 or bool(self._pending_by_ticket)
         return has_tokens or len(self._outbox) > 0
 
     def limit_of(self, incarnation_id: str) -> FleetLimit | None:
-        """Give the limit of an upstream, as far as this VM knows."""
-        gate = self.limiter_by_incarnation.get(incarnation_id)
-        if gate is None:
+        """Return the limit of an upstream, as far as this VM knows."""
+        limiter = self.limiter_by_incarnation.get(incarnation_id)
+        if limiter is None:
             return None
-        return FleetLimit(rate_per_s=gate.limit_per_s, announced_at=gate.announced_at)
+        return FleetLimit(
+            rate_per_s=limiter.limit_per_s, announced_at=limiter.announced_at
+        )
 
     def apply_statement(
         self,
@@ -132,30 +135,30 @@
         sent_at: float,
         now: float,
     ) -> list[SendToPeer]:
-        """Take what an upstream said of itself in an answer to this VM.
+        """Apply the statement of an upstream in an answer to this VM.
 
         Parameters
         ----------
         incarnation_id : str
-            Life of the upstream.
+            Incarnation of the upstream.
         statement : UpstreamStatement
-            What it said.
+            Its statement.
         sent_at, now : float
             When the request was sent, and now, monotonic seconds.
 
         Returns
         -------
         list of SendToPeer
-            What other VMs are told of it.
+            Updates for other VMs.
         """
         if statement.limit_per_s is not None:
-            return self._take_named(incarnation_id, statement.limit_per_s, now)
-        gate = self.limiter_by_incarnation.get(incarnation_id)
-        if statement.unreadable or gate is None or sent_at <= gate.announced_at:
+            return self._apply_limit(incarnation_id, statement.limit_per_s, now)
+        limiter = self.limiter_by_incarnation.get(incarnation_id)
+        if statement.unreadable or limiter is None or sent_at <= limiter.announced_at:
             return []
         number = self.token_requester.random.getrandbits(63)
-        self._note_silent(incarnation_id, gate, number, sent_at)
-        news = LimitNews(
+        self._record_answer_without_limit(incarnation_id, limiter, number, sent_at)
+        update = LimitNews(
             sender=self.vm,
             life=incarnation_id,
             limit_per_s=0.0,
@@ -163,151 +166,163 @@
             number=number,
             ago_ms=int(1000 * (now - sent_at)),
         )
-        return self._tell(news, now)
+        return self._broadcast(update, now)
 
     def handle_update(self, update: LimitNews, now: float) -> None:
-        """Take what another VM has heard; news that comes again says nothing new."""
-        if update.number in self._heard_news:
+        """Handle an update of another VM; a repeated one is ignored."""
+        if update.number in self._seen_updates:
             return
-        self._heard_news[update.number] = None
-        if len(self._heard_news) > MAX_SEEN_UPDATES:
-            self._heard_news.popitem(last=False)
+        self._seen_updates[update.number] = None
+        if len(self._seen_updates) > MAX_SEEN_UPDATES:
+            self._seen_updates.popitem(last=False)
         at = now - update.ago_ms / 1000
-        gate = self.limiter_by_incarnation.get(update.life)
+        limiter = self.limiter_by_incarnation.get(update.life)
         if not update.is_silent:
-            self._name(update.life, update.limit_per_s, heard_at=at)
-            self._told_by_life[update.life] = _Told(
+            self._record_limit(update.life, update.limit_per_s, announced_at=at)
+            self._last_broadcast_by_incarnation[update.life] = _LastBroadcast(
                 limit_per_s=update.limit_per_s, at=now
             )
-        elif gate is not None:
-            self._note_silent(update.life, gate, update.number, at)
+        elif limiter is not None:
+            self._record_answer_without_limit(update.life, limiter, update.number, at)
 
     def request_token(
         self, incarnation_id: str, service: str, now: float
     ) -> list[LimitEffect]:
-        """Get a token for a request of a service."""
+        """Request a token for a request of a service."""
         limit = self.limit_of(incarnation_id)
         if limit is None:
             return []
         self.holder.record_limit(incarnation_id, limit, now)
         ticket = next(self._tickets)
-        self._asks_by_ticket[ticket] = _Ask(life=incarnation_id, service=service)
-        return self._take(
+        self._pending_by_ticket[ticket] = _PendingRequest(
+            incarnation_id=incarnation_id, service=service
+        )
+        return self._apply_effects(
             self.token_requester.request_token(ticket, incarnation_id, now), now
         )
 
     def handle_grant(self, grant: TokenGrant, now: float) -> list[LimitEffect]:
-        """Take what a holder answered."""
-        return self._take(self.token_requester.handle_grant(grant, now), now)
+        """Handle the answer of a holder."""
+        return self._apply_effects(self.token_requester.handle_grant(grant, now), now)
 
     def tick(self, now: float) -> list[LimitEffect]:
-        """Let time pass."""
+        """Handle timeouts, resend updates and remove expired entries."""
         effects: list[LimitEffect] = [*self._outbox.pop_due(now)]
-        if now >= self._next_forget:
-            self._next_forget = now + CLEANUP_PERIOD_S
-            self._forget(now)
-        return [*effects, *self._take(self.token_requester.tick(now), now)]
+        if now >= self._next_cleanup:
+            self._next_cleanup = now + CLEANUP_PERIOD_S
+            self._clean_up(now)
+        return [*effects, *self._apply_effects(self.token_requester.tick(now), now)]
 
-    def _take_named(
-        self, life: str, limit_per_s: float, now: float
+    def _apply_limit(
+        self, incarnation_id: str, limit_per_s: float, now: float
     ) -> list[SendToPeer]:
-        gate = self.limiter_by_incarnation.get(life)
-        was_doubted = gate is not None and gate.has_answers_without_limit
-        self._name(life, limit_per_s, heard_at=now)
-        if not was_doubted and not self._is_news(life, limit_per_s, now):
+        limiter = self.limiter_by_incarnation.get(incarnation_id)
+        was_in_doubt = limiter is not None and limiter.has_answers_without_limit
+        self._record_limit(incarnation_id, limit_per_s, announced_at=now)
+        if not was_in_doubt and not self._should_broadcast(
+            incarnation_id, limit_per_s, now
+        ):
             return []
-        self._told_by_life[life] = _Told(limit_per_s=limit_per_s, at=now)
-        news = LimitNews(
+        self._last_broadcast_by_incarnation[incarnation_id] = _LastBroadcast(
+            limit_per_s=limit_per_s, at=now
+        )
+        update = LimitNews(
             sender=self.vm,
-            life=life,
+            life=incarnation_id,
             limit_per_s=limit_per_s,
             is_silent=False,
             number=self.token_requester.random.getrandbits(63),
             ago_ms=0,
         )
-        return self._tell(news, now)
+        return self._broadcast(update, now)
 
-    def _name(self, life: str, limit_per_s: float, *, heard_at: float) -> None:
-        if heard_at < self._lifted_by_life.get(life, 0.0):
+    def _record_limit(
+        self, incarnation_id: str, limit_per_s: float, *, announced_at: float
+    ) -> None:
+        if announced_at < self._lifted_at_by_incarnation.get(incarnation_id, 0.0):
             return
-        gate = self.limiter_by_incarnation.get(life)
-        if gate is not None:
-            gate.record_limit(limit_per_s, heard_at)
+        limiter = self.limiter_by_incarnation.get(incarnation_id)
+        if limiter is not None:
+            limiter.record_limit(limit_per_s, announced_at)
             return
         if len(self.limiter_by_incarnation) >= MAX_LIMITS:
             del self.limiter_by_incarnation[next(iter(self.limiter_by_incarnation))]
-        self.limiter_by_incarnation[life] = FleetLimiter(
-            limit_per_s=limit_per_s, announced_at=heard_at
+        self.limiter_by_incarnation[incarnation_id] = FleetLimiter(
+            limit_per_s=limit_per_s, announced_at=announced_at
         )
 
-    def _note_silent(
-        self, life: str, gate: FleetLimiter, number: int, sent_at: float
+    def _record_answer_without_limit(
+        self, incarnation_id: str, limiter: FleetLimiter, number: int, sent_at: float
     ) -> None:
-        """Take an answer that named no limit, and end the limit after some of them."""
-        gate.record_answer_without_limit(number, sent_at)
-        if gate.is_lifted():
-            del self.limiter_by_incarnation[life]
-            self.holder.remove(life)
-            self._lifted_by_life[life] = sent_at
-            self._told_by_life.pop(life, None)
-
-    def _is_news(self, life: str, limit_per_s: float, now: float) -> bool:
-        """Tell whether other VMs should hear of a limit that was named."""
-        told = self._told_by_life.get(life)
-        if told is None:
+        """Record an answer without a limit; several of them lift the limit."""
+        limiter.record_answer_without_limit(number, sent_at)
+        if limiter.is_lifted():
+            del self.limiter_by_incarnation[incarnation_id]
+            self.holder.remove(incarnation_id)
+            self._lifted_at_by_incarnation[incarnation_id] = sent_at
+            self._last_broadcast_by_incarnation.pop(incarnation_id, None)
+
+    def _should_broadcast(
+        self, incarnation_id: str, limit_per_s: float, now: float
+    ) -> bool:
+        """Return whether an announced limit should be broadcast to other VMs."""
+        last = self._last_broadcast_by_incarnation.get(incarnation_id)
+        if last is None:
             return True
-        step = abs(limit_per_s - told.limit_per_s)
+        step = abs(limit_per_s - last.limit_per_s)
         return (
-            step > BROADCAST_STEP_SHARE * told.limit_per_s
-            and now - told.at >= MIN_BROADCAST_GAP_S
+            step > BROADCAST_STEP_SHARE * last.limit_per_s
+            and now - last.at >= MIN_BROADCAST_GAP_S
         )
 
-    def _tell(self, news: LimitNews, now: float) -> list[SendToPeer]:
+    def _broadcast(self, update: LimitNews, now: float) -> list[SendToPeer]:
         members = list(self.membership.members_by_name.values())
         if len(members) > MAX_BROADCAST_RECIPIENTS:
             members = [
-                each for each in members if each.failure_domain == self.failure_domain
+                member
+                for member in members
+                if member.failure_domain == self.failure_domain
             ]
         effects = [
-            SendToPeer(message=news, to=each.peer_endpoint)
-            for each in members
-            if each.peer_endpoint is not None
+            SendToPeer(message=update, to=member.peer_endpoint)
+            for member in members
+            if member.peer_endpoint is not None
         ]
         return self._outbox.send(effects, now)
 
-    def _take(
+    def _apply_effects(
         self, effects: list[TokenRequesterEffect], now: float
     ) -> list[LimitEffect]:
-        """Give tokens to their gates, and say whose requests may go on."""
-        taken: list[LimitEffect] = []
+        """Add tokens to their limiters, and report which services may have changed."""
+        applied: list[LimitEffect] = []
         for effect in effects:
             match effect:
                 case SendToPeer():
-                    taken.append(effect)
+                    applied.append(effect)
                 case TokenTaken(ticket=ticket):
-                    ask = self._asks_by_ticket.pop(ticket)
-                    gate = self.limiter_by_incarnation.get(ask.life)
-                    if gate is not None:
-                        gate.add_token(now)
-                    taken.append(FleetLimiterChanged(service=ask.service))
+                    pending = self._pending_by_ticket.pop(ticket)
+                    limiter = self.limiter_by_incarnation.get(pending.incarnation_id)
+                    if limiter is not None:
+                        limiter.add_token(now)
+                    applied.append(FleetLimiterChanged(service=pending.service))
                 case TokenRefused(ticket=ticket, retry_after_s=retry_after_s):
-                    ask = self._asks_by_ticket.pop(ticket)
-                    gate = self.limiter_by_incarnation.get(ask.life)
-                    if gate is not None:
-                        gate.block(now + retry_after_s)
-                    taken.append(FleetLimiterChanged(service=ask.service))
-        return taken
-
-    def _forget(self, now: float) -> None:
+                    pending = self._pending_by_ticket.pop(ticket)
+                    limiter = self.limiter_by_incarnation.get(pending.incarnation_id)
+                    if limiter is not None:
+                        limiter.block(now + retry_after_s)
+                    applied.append(FleetLimiterChanged(service=pending.service))
+        return applied
+
+    def _clean_up(self, now: float) -> None:
         self.holder.remove_unused(now)
         self.token_requester.remove_all_except(self.limiter_by_incarnation)
-        self._lifted_by_life = {
-            life: at
-            for life, at in self._lifted_by_life.items()
+        self._lifted_at_by_incarnation = {
+            incarnation_id: at
+            for incarnation_id, at in self._lifted_at_by_incarnation.items()
             if now - at < LIFTED_LIMIT_MEMORY_S
         }
-        self._told_by_life = {
-            life: told
-            for life, told in self._told_by_life.items()
-            if life in self.limiter_by_incarnation
+        self._last_broadcast_by_incarnation = {
+            incarnation_id: last
+            for incarnation_id, last in self._last_broadcast_by_incarnation.items()
+            if incarnation_id in self.limiter_by_incarnation
         }
--- a/packages/daemon/tests/quotas/test_limit_loads.py
+++ b/packages/daemon/tests/quotas/test_limit_loads.py
@@ -1,7 +1,7 @@
-"""Limits that upstreams name over a whole fleet: cuts, restarts, lost messages.
+"""Limits of upstreams over a whole fleet, with partitions, restarts and lost messages.
 
-The bound is that of the promise: from VMs that know of it, an upstream gets in any four
-seconds at most 1.5 times what its limit allows, and five requests more.
+The guarantee under test: from VMs that know of the limit, an upstream gets in any four
+seconds at most 1.5 times what its limit allows, plus five requests.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-LIFE = "u#1"
-OTHER = "v#7"
+INCARNATION = "u#1"
+OTHER_INCARNATION = "v#7"
 SIZES = (9, 67, 195, 300)
 SETTLE_S = 3.0
 HOT_PER_S = 60.0
@@ -34,103 +34,107 @@
 
 
 def load(
-    fleet: QuotaFleet, per_s: float = HOT_PER_S, *lives: str, seed: int = 7
+    fleet: QuotaFleet, per_s: float = HOT_PER_S, *incarnations: str, seed: int = 7
 ) -> Callable[[float], None]:
     """Send requests to upstreams from random VMs, ten times a second."""
     random, names = Random(seed), list(fleet.vms_by_name)
 
     def send(now: float) -> None:
         del now
-        for life in lives or (LIFE,):
+        for incarnation in incarnations or (INCARNATION,):
             for _ in range(round(per_s / 10)):
-                fleet.send_to_upstream(random.choice(names), life)
+                fleet.send_to_upstream(random.choice(names), incarnation)
 
     return send
 
 
-def name_limit(fleet: QuotaFleet, limit_per_s: float, life: str = LIFE) -> None:
-    """Name a limit, and let all VMs hear of it."""
-    fleet.limit_by_life[life] = limit_per_s
-    fleet.run(0.5, load(fleet, HOT_PER_S, life))
-    fleet.arrived_at_by_life.pop(life, None)
+def announce_limit(
+    fleet: QuotaFleet, limit_per_s: float, incarnation: str = INCARNATION
+) -> None:
+    """Announce a limit, and let all VMs receive it."""
+    fleet.limit_by_life[incarnation] = limit_per_s
+    fleet.run(0.5, load(fleet, HOT_PER_S, incarnation))
+    fleet.arrived_at_by_life.pop(incarnation, None)
 
 
-def assert_bound(fleet: QuotaFleet, life: str = LIFE, since: float = 0.0) -> None:
-    allowed = most_allowed(fleet.limit_by_life[life])
-    assert fleet.most_arrived(life, WINDOW_S, since) <= allowed
+def assert_within_limit(
+    fleet: QuotaFleet, incarnation: str = INCARNATION, since: float = 0.0
+) -> None:
+    allowed = most_allowed(fleet.limit_by_life[incarnation])
+    assert fleet.most_arrived(incarnation, WINDOW_S, since) <= allowed
 
 
-def used(fleet: QuotaFleet, life: str, seconds: float) -> float:
-    """Give the part of a limit that was used in the last seconds."""
-    arrived = fleet.arrived_at_by_life.get(life, [])
+def used_share(fleet: QuotaFleet, incarnation: str, seconds: float) -> float:
+    """Return the share of a limit that was used in the last seconds."""
+    arrived = fleet.arrived_at_by_life.get(incarnation, [])
     recent = [at for at in arrived if at > fleet.now - seconds]
-    return len(recent) / seconds / fleet.limit_by_life[life]
+    return len(recent) / seconds / fleet.limit_by_life[incarnation]
 
 
 @pytest.mark.parametrize(
     ("size", "limit_per_s"),
     [(9, 0.5), (9, 4.6), (9, 30.0), (67, 0.5), (67, 30.0), (195, 4.6), (300, 4.6)],
 )
-def test_a_hot_upstream_gets_its_limit_and_no_more(
+def test_overloaded_upstream_gets_its_limit_and_no_more(
     size: int, limit_per_s: float
 ) -> None:
     fleet = build_fleet(size)
-    name_limit(fleet, limit_per_s)
+    announce_limit(fleet, limit_per_s)
     fleet.run(14.0, load(fleet))
-    assert_bound(fleet)
-    assert used(fleet, LIFE, 8.0) > 0.5
+    assert_within_limit(fleet)
+    assert used_share(fleet, INCARNATION, 8.0) > 0.5
 
 
 @pytest.mark.parametrize("size", [9, 67, 300])
-def test_a_fleet_in_two_halves_keeps_the_sum(size: int) -> None:
+def test_limit_is_kept_when_fleet_is_partitioned_in_halves(size: int) -> None:
     fleet = build_fleet(size)
-    name_limit(fleet, 6.0)
+    announce_limit(fleet, 6.0)
     half = {name for index, name in enumerate(fleet.vms_by_name) if index % 2}
     fleet.cut(lambda one, other: (one in half) == (other in half))
     fleet.run(10.0, load(fleet))
     fleet.heal()
     fleet.run(8.0, load(fleet))
-    assert_bound(fleet)
+    assert_within_limit(fleet)
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_regions_that_are_cut_off_serve_their_part(size: int) -> None:
+def test_partitioned_regions_use_their_share_of_limit(size: int) -> None:
     fleet = build_fleet(size)
-    name_limit(fleet, 6.0)
+    announce_limit(fleet, 6.0)
     region = {vm.name: vm.region for vm in fleet.vms_by_name.values()}
     fleet.cut(lambda one, other: region[one] == region[other])
     fleet.run(14.0, load(fleet))
-    assert_bound(fleet)
-    assert used(fleet, LIFE, 8.0) > 0.5
+    assert_within_limit(fleet)
+    assert used_share(fleet, INCARNATION, 8.0) > 0.5
 
 
 @pytest.mark.parametrize("size", [9, 67])
-def test_a_third_of_the_vms_is_cut_from_all(size: int) -> None:
+def test_limit_is_kept_when_third_of_vms_is_isolated(size: int) -> None:
     fleet = build_fleet(size)
-    name_limit(fleet, 6.0)
-    alone = {name for index, name in enumerate(fleet.vms_by_name) if index % 3 == 0}
-    fleet.cut(lambda one, other: one not in alone and other not in alone)
+    announce_limit(fleet, 6.0)
+    isolated = {name for index, name in enumerate(fleet.vms_by_name) if index % 3 == 0}
+    fleet.cut(lambda one, other: one not in isolated and other not in isolated)
     fleet.run(10.0, load(fleet))
     fleet.heal()
     fleet.run(6.0, load(fleet))
-    assert_bound(fleet)
+    assert_within_limit(fleet)
 
 
 @pytest.mark.parametrize("size", [9, 67])
-def test_all_vms_restarted_hear_of_the_limit_again(size: int) -> None:
+def test_limit_is_kept_after_all_vms_restart(size: int) -> None:
     fleet = build_fleet(size)
-    name_limit(fleet, 4.6)
+    announce_limit(fleet, 4.6)
     for name in list(fleet.vms_by_name):
         fleet.restart(name)
     fleet.run(0.5, load(fleet))
     since = fleet.now
     fleet.run(10.0, load(fleet))
-    assert_bound(fleet, since=since)
+    assert_within_limit(fleet, since=since)
 
 
-def test_frozen_vms_use_nothing_that_they_held() -> None:
+def test_limit_is_kept_when_vms_resume_after_pause() -> None:
     fleet = build_fleet(9)
-    name_limit(fleet, 6.0)
+    announce_limit(fleet, 6.0)
     frozen = list(fleet.vms_by_name.values())[:5]
     for for_s in (3.0, 0.4, 6.0):
         for vm in frozen:
@@ -139,78 +143,78 @@
         for vm in frozen:
             vm.is_running = True
         fleet.run(3.0, load(fleet))
-    assert_bound(fleet)
+    assert_within_limit(fleet)
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_third_of_the_messages_lost_and_others_late(seed: int) -> None:
+def test_limit_is_kept_when_messages_are_lost_and_delayed(seed: int) -> None:
     fleet = build_fleet(67, seed)
-    name_limit(fleet, 4.6)
+    announce_limit(fleet, 4.6)
     fleet.loss, fleet.delay_s = 0.3, 0.5
     fleet.run(15.0, load(fleet))
-    assert_bound(fleet)
+    assert_within_limit(fleet)
 
 
 @pytest.mark.parametrize("mistakes", [0.2, 0.5, 0.9])
-def test_vms_that_are_wrong_about_who_is_there(mistakes: float) -> None:
+def test_limit_is_kept_when_views_of_membership_are_wrong(mistakes: float) -> None:
     fleet = build_fleet(67)
-    name_limit(fleet, 4.6)
+    announce_limit(fleet, 4.6)
     fleet.mistakes = mistakes
     fleet.run(15.0, load(fleet))
-    assert_bound(fleet)
+    assert_within_limit(fleet)
 
 
-def test_a_lowered_limit_holds_within_a_window() -> None:
+def test_lowered_limit_is_kept_after_one_second() -> None:
     fleet = build_fleet(67)
-    name_limit(fleet, 40.0)
+    announce_limit(fleet, 40.0)
     fleet.run(6.0, load(fleet))
-    fleet.limit_by_life[LIFE] = 4.0
+    fleet.limit_by_life[INCARNATION] = 4.0
     fleet.run(1.0, load(fleet))
     since = fleet.now
     fleet.run(12.0, load(fleet))
-    assert_bound(fleet, since=since)
+    assert_within_limit(fleet, since=since)
 
 
 @pytest.mark.parametrize("size", [9, 300])
-def test_a_limit_that_is_lifted_binds_nobody_any_more(size: int) -> None:
+def test_lifted_limit_is_removed_at_all_vms(size: int) -> None:
     fleet = build_fleet(size)
-    name_limit(fleet, 4.6)
+    announce_limit(fleet, 4.6)
     fleet.run(4.0, load(fleet))
-    del fleet.limit_by_life[LIFE]
+    del fleet.limit_by_life[INCARNATION]
     fleet.run(3.0, load(fleet))
     for vm in fleet.vms_by_name.values():
         assert not vm.quotas.limits.limiter_by_incarnation
 
 
-def test_a_limit_that_nobody_wants_tokens_of_costs_no_messages() -> None:
+def test_limit_without_token_requests_costs_no_messages() -> None:
     fleet = build_fleet(9)
-    name_limit(fleet, 4.6)
+    announce_limit(fleet, 4.6)
     fleet.run(5.0, load(fleet))
     fleet.run(UNUSED_POOL_TTL_S + 10.0)
     sent = fleet.sent_by_kind.total()
     fleet.run(10.0)
     assert fleet.sent_by_kind.total() == sent
     fleet.run(6.0, load(fleet))
-    assert_bound(fleet)
-    assert used(fleet, LIFE, 4.0) > 0.5
+    assert_within_limit(fleet)
+    assert used_share(fleet, INCARNATION, 4.0) > 0.5
 
 
-def test_several_limits_are_kept_each() -> None:
+def test_limits_of_several_upstreams_are_kept_separately() -> None:
     fleet = build_fleet(67)
-    name_limit(fleet, 4.6)
-    name_limit(fleet, 12.0, OTHER)
-    fleet.run(12.0, load(fleet, HOT_PER_S, LIFE, OTHER))
-    for life in (LIFE, OTHER):
-        assert_bound(fleet, life)
-        assert used(fleet, life, 8.0) > 0.5
+    announce_limit(fleet, 4.6)
+    announce_limit(fleet, 12.0, OTHER_INCARNATION)
+    fleet.run(12.0, load(fleet, HOT_PER_S, INCARNATION, OTHER_INCARNATION))
+    for incarnation in (INCARNATION, OTHER_INCARNATION):
+        assert_within_limit(fleet, incarnation)
+        assert used_share(fleet, incarnation, 8.0) > 0.5
 
 
-def test_an_upstream_that_takes_nothing_is_asked_now_and_then() -> None:
+def test_limit_of_zero_lets_few_requests_pass_until_lifted() -> None:
     fleet = build_fleet(9)
-    name_limit(fleet, 0.0)
+    announce_limit(fleet, 0.0)
     fleet.run(40.0, load(fleet))
-    assert fleet.most_arrived(LIFE, WINDOW_S) <= most_allowed(0.0)
-    del fleet.limit_by_life[LIFE]
+    assert fleet.most_arrived(INCARNATION, WINDOW_S) <= most_allowed(0.0)
+    del fleet.limit_by_life[INCARNATION]
     fleet.run(40.0, load(fleet))
     gates = [
         vm.quotas.limits.limiter_by_incarnation for vm in fleet.vms_by_name.values()
--- a/packages/daemon/tests/quotas/test_limit_machine.py
+++ b/packages/daemon/tests/quotas/test_limit_machine.py
@@ -1,4 +1,4 @@
-"""Random orders of limits, requests, cuts, freezes and restarts keep each sum."""
+"""Each limit is kept in random orders of limits, requests, partitions and restarts."""
 
 from __future__ import annotations
 
@@ -17,46 +17,46 @@
 from plankspindle_testkit.quota_fleet import most_in_window
 
 VMS = 6
-LIVES = ("u#1", "v#2")
+INCARNATIONS = ("u#1", "v#2")
 LIMITS_PER_S = (0.0, 0.5, 2.0, 4.6, 20.0)
 BURST = 12
-"""Requests that come to one VM at once."""
+"""Requests that arrive at one VM at once."""
 vms = st.integers(0, VMS - 1)
-lives = st.sampled_from(LIVES)
+incarnations = st.sampled_from(INCARNATIONS)
 
 
 class LimitMachine(RuleBasedStateMachine):
-    """Upstreams name limits, change and lift them while anything happens to VMs."""
+    """Upstreams announce, change and lift limits while VMs fail, pause and restart."""
 
     def __init__(self) -> None:
         super().__init__()
         self.fleet = QuotaFleet(random=Random(3), workspaces_by_name={})
         self.fleet.add_vms(VMS)
         self.fleet.run(2.0)
-        self.changed_at = dict.fromkeys(LIVES, self.fleet.now)
+        self.changed_at = dict.fromkeys(INCARNATIONS, self.fleet.now)
 
     def name(self, vm: int) -> str:
         return f"vm-{vm}"
 
-    @rule(life=lives, limit_per_s=st.sampled_from(LIMITS_PER_S))
-    def name_limit(self, life: str, limit_per_s: float) -> None:
-        self.fleet.limit_by_life[life] = limit_per_s
-        self.changed_at[life] = self.fleet.now
+    @rule(incarnation=incarnations, limit_per_s=st.sampled_from(LIMITS_PER_S))
+    def announce_limit(self, incarnation: str, limit_per_s: float) -> None:
+        self.fleet.limit_by_life[incarnation] = limit_per_s
+        self.changed_at[incarnation] = self.fleet.now
 
-    @rule(life=lives)
-    def lift_limit(self, life: str) -> None:
-        self.fleet.limit_by_life.pop(life, None)
+    @rule(incarnation=incarnations)
+    def lift_limit(self, incarnation: str) -> None:
+        self.fleet.limit_by_life.pop(incarnation, None)
 
-    @rule(vm=vms, life=lives, number=st.integers(1, BURST))
-    def send(self, vm: int, life: str, number: int) -> None:
+    @rule(vm=vms, incarnation=incarnations, number=st.integers(1, BURST))
+    def send(self, vm: int, incarnation: str, number: int) -> None:
         for _ in range(number):
-            self.fleet.send_to_upstream(self.name(vm), life)
+            self.fleet.send_to_upstream(self.name(vm), incarnation)
 
-    @rule(life=lives, seconds=st.sampled_from([0.3, 1.0, 4.0]))
-    def send_everywhere(self, life: str, seconds: float) -> None:
+    @rule(incarnation=incarnations, seconds=st.sampled_from([0.3, 1.0, 4.0]))
+    def send_from_all_vms(self, incarnation: str, seconds: float) -> None:
         def load(_: float) -> None:
             for vm in range(VMS):
-                self.fleet.send_to_upstream(self.name(vm), life)
+                self.fleet.send_to_upstream(self.name(vm), incarnation)
 
         self.fleet.run(seconds, load)
 
@@ -74,9 +74,9 @@
         self.fleet.heal()
 
     @rule(vm=vms)
-    def freeze_or_wake(self, vm: int) -> None:
-        frozen = self.fleet.vms_by_name[self.name(vm)]
-        frozen.is_running = not frozen.is_running
+    def pause_or_resume(self, vm: int) -> None:
+        paused = self.fleet.vms_by_name[self.name(vm)]
+        paused.is_running = not paused.is_running
 
     @rule(vm=vms)
     def restart(self, vm: int) -> None:
@@ -87,21 +87,23 @@
         self.fleet.loss = loss
 
     @invariant()
-    def no_upstream_gets_more_than_its_limit_from_who_knows_it(self) -> None:
-        for life, limit_per_s in self.fleet.limit_by_life.items():
-            # Who last heard of a higher limit goes by that until told otherwise.
-            since = self.changed_at[life] + KNOWN_S
+    def no_upstream_gets_more_than_its_limit_from_vms_that_know_it(self) -> None:
+        for incarnation, limit_per_s in self.fleet.limit_by_life.items():
+            # A VM applies the last limit that it received until an update arrives.
+            since = self.changed_at[incarnation] + KNOWN_S
             arrived = [
                 at
-                for at in self.fleet.arrived_at_by_life.get(life, [])
+                for at in self.fleet.arrived_at_by_life.get(incarnation, [])
                 if at >= max(since, self.fleet.now - WINDOW_S)
             ]
-            most = most_in_window(arrived, WINDOW_S)
-            assert most <= most_allowed(limit_per_s) + VMS * self._is_fresh(life)
-
-    def _is_fresh(self, life: str) -> bool:
-        """Tell whether VMs may still go by another limit of a moment ago."""
-        return self.fleet.now - self.changed_at[life] < 2 * WINDOW_S
+            most_arrived = most_in_window(arrived, WINDOW_S)
+            assert most_arrived <= most_allowed(
+                limit_per_s
+            ) + VMS * self._changed_recently(incarnation)
+
+    def _changed_recently(self, incarnation: str) -> bool:
+        """Return whether VMs may still apply the previous limit."""
+        return self.fleet.now - self.changed_at[incarnation] < 2 * WINDOW_S
 
 
 TestLimitMachine = LimitMachine.TestCase
--- a/packages/daemon/tests/quotas/test_quota_loads.py
+++ b/packages/daemon/tests/quotas/test_quota_loads.py
@@ -1,7 +1,7 @@
-"""Loads on quotas of a whole fleet: hot workspaces, cuts, restarts, lost messages.
+"""Quotas over a whole fleet under overload, partitions, restarts and lost messages.
 
-The bound is that of the promise: what runs in any window stays below the quota and a
-small slack, whatever VMs can reach of each other.
+The guarantee under test: the requests admitted in any window stay within the quota plus
+a small slack, whichever VMs can reach each other.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 OVERAGE = 1.1
 SLACK = 20
 SETTLE_S = 8.0
-"""Time in which a fleet that starts has its shares leased and its pools filled."""
+"""Time in which a starting fleet leases its shares and fills its pools, in seconds."""
 SIZES = (9, 67, 195, 300)
 
 
-def bound(rate_per_s: float, burst: float) -> float:
+def max_admitted(rate_per_s: float, burst: float) -> float:
     return (rate_per_s * WINDOW_S + burst) * OVERAGE + SLACK
 
 
@@ -62,28 +62,28 @@
                 self.fleet.request(self.random.choice(names), workspace)
 
 
-def refused(fleet: QuotaFleet, workspace: str) -> int:
+def count_refused(fleet: QuotaFleet, workspace: str) -> int:
     return len(fleet.refused_at_by_workspace.get(workspace, []))
 
 
-def assert_bound(fleet: QuotaFleet) -> None:
-    for name, terms in fleet.workspaces_by_name.items():
+def assert_within_quota(fleet: QuotaFleet) -> None:
+    for name, quota in fleet.workspaces_by_name.items():
         most = fleet.most_in_window(name, WINDOW_S)
-        assert most <= bound(terms.rate_per_s, terms.burst), name
+        assert most <= max_admitted(quota.rate_per_s, quota.burst), name
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_calm_workspaces_are_hardly_refused(size: int) -> None:
+def test_workspaces_below_quota_are_rarely_refused(size: int) -> None:
     fleet = build_fleet(size, small=5.0, large=160.0)
     load = Load(fleet, small=3.0, large=100.0)
     fleet.run(20.0, load)
-    asked = sum(load.sent.values())
-    assert refused(fleet, "small") + refused(fleet, "large") <= asked / 1000
-    assert_bound(fleet)
+    sent = sum(load.sent.values())
+    assert count_refused(fleet, "small") + count_refused(fleet, "large") <= sent / 1000
+    assert_within_quota(fleet)
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_one_instant_of_requests_at_all_vms(size: int) -> None:
+def test_quota_is_kept_when_all_vms_get_requests_at_once(size: int) -> None:
     fleet = build_fleet(size, small=2.0)
     for name in fleet.vms_by_name:
         fleet.request(name, "small")
@@ -92,22 +92,22 @@
         fleet.request(name, "small")
     fleet.run(6.0)
     assert fleet.admitted_at_by_workspace["small"]
-    assert_bound(fleet)
+    assert_within_quota(fleet)
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_hot_workspaces_get_their_quota_and_no_more(size: int) -> None:
+def test_overloaded_workspaces_get_their_quota_and_no_more(size: int) -> None:
     fleet = build_fleet(size, small=5.0, large=160.0)
     fleet.run(12.0, Load(fleet, small=40.0, large=1280.0))
-    assert_bound(fleet)
-    for name, terms in fleet.workspaces_by_name.items():
+    assert_within_quota(fleet)
+    for name, quota in fleet.workspaces_by_name.items():
         admitted = len(fleet.admitted_at_by_workspace[name])
-        assert admitted >= 0.9 * terms.rate_per_s * 12.0, name
+        assert admitted >= 0.9 * quota.rate_per_s * 12.0, name
     assert all(each.is_over_quota for each in fleet.refusals)
 
 
 @pytest.mark.parametrize("size", [9, 67])
-def test_half_of_the_vms_cut_from_the_other_half(size: int) -> None:
+def test_quota_is_kept_when_fleet_is_partitioned_in_halves(size: int) -> None:
     fleet = build_fleet(size, small=5.0, large=160.0)
     half = {name for index, name in enumerate(fleet.vms_by_name) if index % 2}
     load = Load(fleet, small=40.0, large=1280.0)
@@ -116,94 +116,96 @@
     fleet.run(8.0, load)
     fleet.heal()
     fleet.run(8.0, load)
-    assert_bound(fleet)
+    assert_within_quota(fleet)
 
 
 @pytest.mark.parametrize("size", [9, 67])
-def test_single_vms_cut_from_all(size: int) -> None:
+def test_quota_is_kept_when_single_vms_are_isolated(size: int) -> None:
     fleet = build_fleet(size, small=5.0, large=160.0)
     load = Load(fleet, small=40.0, large=1280.0)
-    alone = {name for index, name in enumerate(fleet.vms_by_name) if index % 3 == 0}
-    fleet.cut(lambda one, other: one not in alone and other not in alone)
+    isolated = {name for index, name in enumerate(fleet.vms_by_name) if index % 3 == 0}
+    fleet.cut(lambda one, other: one not in isolated and other not in isolated)
     fleet.run(10.0, load)
     fleet.heal()
     fleet.run(6.0, load)
-    assert_bound(fleet)
+    assert_within_quota(fleet)
     assert len(fleet.admitted_at_by_workspace["large"]) >= 0.5 * 160.0 * 16.0
 
 
 @pytest.mark.parametrize("size", [9, 67])
-def test_all_vms_restarted_just_after_a_burst(size: int) -> None:
+def test_quota_is_kept_when_all_vms_restart_after_burst(size: int) -> None:
     fleet = build_fleet(size, small=5.0, large=160.0)
     load = Load(fleet, small=40.0, large=1280.0)
     fleet.run(1.0, load)
     for name in list(fleet.vms_by_name):
         fleet.restart(name)
     fleet.run(6.0, load)
-    assert_bound(fleet)
-    late = [at for at in fleet.admitted_at_by_workspace["large"] if at > fleet.now - 2]
-    assert len(late) >= 0.9 * 160.0 * 2.0
+    assert_within_quota(fleet)
+    admitted_late = [
+        at for at in fleet.admitted_at_by_workspace["large"] if at > fleet.now - 2
+    ]
+    assert len(admitted_late) >= 0.9 * 160.0 * 2.0
 
 
-def test_vms_rolled_one_after_another() -> None:
+def test_quota_is_kept_during_rolling_restart() -> None:
     fleet = build_fleet(67, small=5.0, large=160.0)
     load = Load(fleet, small=40.0, large=1280.0)
     for name in list(fleet.vms_by_name)[:30]:
         fleet.restart(name)
         fleet.run(0.3, load)
-    assert_bound(fleet)
+    assert_within_quota(fleet)
 
 
-def test_vms_added() -> None:
+def test_quota_is_kept_when_vms_are_added() -> None:
     fleet = build_fleet(67, small=5.0, large=160.0)
     load = Load(fleet, small=40.0, large=1280.0)
     fleet.run(2.0, load)
     fleet.add_vms(12)
     fleet.run(8.0, load)
-    assert_bound(fleet)
+    assert_within_quota(fleet)
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_third_of_the_messages_lost_and_others_late(seed: int) -> None:
+def test_quota_is_kept_when_messages_are_lost_and_delayed(seed: int) -> None:
     fleet = build_fleet(67, seed, small=5.0, large=160.0)
     fleet.loss, fleet.delay_s = 0.3, 1.0
     fleet.run(15.0, Load(fleet, small=40.0, large=1280.0))
-    assert_bound(fleet)
+    assert_within_quota(fleet)
 
 
 @pytest.mark.parametrize("mistakes", [0.2, 0.5, 0.9])
-def test_vms_that_are_wrong_about_who_is_there(mistakes: float) -> None:
+def test_quota_is_kept_when_views_of_membership_are_wrong(mistakes: float) -> None:
     fleet = build_fleet(67, small=5.0, large=160.0)
     fleet.mistakes = mistakes
     fleet.run(15.0, Load(fleet, small=40.0, large=1280.0))
-    assert_bound(fleet)
+    assert_within_quota(fleet)
 
 
-def test_messages_lost_refuse_few_calm_requests() -> None:
+def test_message_loss_refuses_few_requests_below_quota() -> None:
     fleet = build_fleet(67, small=5.0, large=160.0)
     fleet.loss = 0.025
     load = Load(fleet, small=3.0, large=100.0)
     fleet.run(20.0, load)
-    asked = sum(load.sent.values())
-    assert refused(fleet, "small") + refused(fleet, "large") <= asked / 200
+    sent = sum(load.sent.values())
+    assert count_refused(fleet, "small") + count_refused(fleet, "large") <= sent / 200
 
 
-def test_a_frozen_vm_gives_nothing_of_what_it_held() -> None:
+def test_quota_is_kept_when_vms_resume_after_pause() -> None:
     fleet = build_fleet(9, large=160.0)
     load = Load(fleet, large=1280.0)
     fleet.run(2.0, load)
-    frozen = list(fleet.vms_by_name.values())[:5]
-    for vm in frozen:
+    paused = list(fleet.vms_by_name.values())[:5]
+    for vm in paused:
         vm.is_running = False
     fleet.run(5.0, load)
-    for vm in frozen:
+    for vm in paused:
         vm.is_running = True
     fleet.run(6.0, load)
-    assert_bound(fleet)
+    assert_within_quota(fleet)
 
 
 @pytest.mark.parametrize("cut", [False, True])
-def test_a_quota_lowered_to_a_tenth_holds_one_window_later(cut: bool) -> None:
+def test_lowered_quota_is_kept_after_one_window(cut: bool) -> None:
     fleet = build_fleet(67, large=160.0)
     load = Load(fleet, large=1280.0)
     fleet.run(3.0, load)
@@ -217,24 +219,24 @@
         for at in fleet.admitted_at_by_workspace["large"]
         if at > lowered_at + WINDOW_S
     ]
-    assert_bound(fleet)
+    assert_within_quota(fleet)
 
 
-def test_quotas_raised_lifted_and_absent() -> None:
+def test_raised_or_removed_quota_refuses_nothing() -> None:
     fleet = build_fleet(9, large=16.0)
     load = Load(fleet, large=100.0)
     fleet.run(3.0, load)
     fleet.use({"large": limited(160.0)})
     fleet.run(4.0)
-    before = refused(fleet, "large")
+    before = count_refused(fleet, "large")
     fleet.run(4.0, load)
-    assert refused(fleet, "large") == before
+    assert count_refused(fleet, "large") == before
     fleet.use({"large": build_workspace()})
     fleet.run(4.0, Load(fleet, large=1000.0))
-    assert refused(fleet, "large") == before
+    assert count_refused(fleet, "large") == before
 
 
-def test_a_refusal_tells_when_there_is_room() -> None:
+def test_refusal_has_bounded_retry_after() -> None:
     fleet = build_fleet(9, small=5.0)
     for _ in range(40):
         fleet.request("vm-0", "small")
--- a/packages/daemon/tests/quotas/test_quota_machine.py
+++ b/packages/daemon/tests/quotas/test_quota_machine.py
@@ -1,4 +1,4 @@
-"""Random orders of claims, leases, delays, restarts and requests keep the quota."""
+"""The quota is kept in random orders of claims, leases, restarts and requests."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 
 
 class QuotaMachine(RuleBasedStateMachine):
-    """Every VM claims, leases and gives tokens whenever the run says so.
+    """VMs claim, lease and grant tokens in any order.
 
-    Nobody coordinates: any VM claims at any time, messages are lost, late and
-    repeated, processes end and start, one after another or all at once.
+    Nothing coordinates them: any VM claims at any time, messages are lost, delayed and
+    repeated, and processes restart, one after another or all at once.
     """
 
     def __init__(self) -> None:
@@ -43,11 +43,11 @@
         self.incarnation = 0
         self.claims: list[ShareClaim] = []
         self.leases: list[tuple[int, ShareLease]] = []
-        self.given_at: list[float] = []
-        self.holders = [self.start_holder(vm) for vm in range(VMS)]
+        self.granted_at: list[float] = []
+        self.holders = [self.create_holder(vm) for vm in range(VMS)]
         self.lessors = [ShareLessor(vm=f"vm-{vm}", owns_from=0.0) for vm in range(VMS)]
 
-    def start_holder(self, vm: int) -> QuotaHolder:
+    def create_holder(self, vm: int) -> QuotaHolder:
         self.incarnation += 1
         holder = QuotaHolder(
             vm=f"vm-{vm}", incarnation=self.incarnation, options=QuotaOptions()
@@ -78,7 +78,7 @@
             self.holders[holder].add_lease(lease, self.now)
 
     @rule()
-    def claim_and_lease_everywhere(self) -> None:
+    def claim_and_lease_at_all_vms(self) -> None:
         for holder in self.holders:
             claim = holder.claim(tuple(range(SHARDS)), fleet_size=VMS, now=self.now)
             for lessor in self.lessors:
@@ -86,10 +86,10 @@
                 if lease is not None:
                     holder.add_lease(lease, self.now)
 
-    @rule(vm=vms, wanted=st.integers(1, 20))
-    def want(self, vm: int, wanted: int) -> None:
-        taken = self.holders[vm].take_tokens("desk", wanted, self.now)
-        self.given_at += [self.now] * taken.count
+    @rule(vm=vms, requested=st.integers(1, 20))
+    def take_tokens(self, vm: int, requested: int) -> None:
+        taken = self.holders[vm].take_tokens("desk", requested, self.now)
+        self.granted_at += [self.now] * taken.count
 
     @rule(seconds=st.sampled_from([0.05, 0.3, 0.8, 2.0, LEASE_S, 6.0]))
     def pass_time(self, seconds: float) -> None:
@@ -97,7 +97,7 @@
 
     @rule(vm=vms)
     def restart(self, vm: int) -> None:
-        self.holders[vm] = self.start_holder(vm)
+        self.holders[vm] = self.create_holder(vm)
         self.lessors[vm] = ShareLessor(vm=f"vm-{vm}", owns_from=self.now + LEASE_S)
 
     @rule()
@@ -106,14 +106,14 @@
             self.restart(vm)
 
     @invariant()
-    def no_share_is_with_two(self) -> None:
+    def no_share_is_leased_to_two_holders(self) -> None:
         for shard in range(SHARDS):
             shares = [each.share_of(shard, self.now) for each in self.holders]
             assert sum(shares) <= 1.0 + 1e-9
 
     @invariant()
-    def no_window_has_more_than_the_quota(self) -> None:
-        recent = [at for at in self.given_at if at >= self.now - WINDOW_S]
+    def no_window_exceeds_quota(self) -> None:
+        recent = [at for at in self.granted_at if at >= self.now - WINDOW_S]
         assert len(recent) <= RATE_PER_S * WINDOW_S + BURST + ROUNDING
 
 
