--- a/packages/daemon/src/plankspindle_daemon/sharing/__init__.py
+++ b/packages/daemon/src/plankspindle_daemon/sharing/__init__.py
@@ -1,3 +1,3 @@
-"""Reads of the platform that entry VMs of a failure domain share."""
+"""Sharing of platform reads between the entry VMs of a failure domain."""
 
 from __future__ import annotations
--- a/packages/daemon/src/plankspindle_daemon/sharing/list_history.py
+++ b/packages/daemon/src/plankspindle_daemon/sharing/list_history.py
@@ -1,4 +1,4 @@
-"""The last changes of the list, for those that missed one."""
+"""Recent changes of the list, which are sent again to VMs that missed one."""
 
 from __future__ import annotations
 
@@ -16,32 +16,35 @@
     from collections.abc import Iterable
 
 MAX_RECENT_CHANGES = 4
-"""Reads whose changes are told again: a lost message costs its receiver no read."""
+"""Changes that are sent again, so that a lost message costs its receiver no read."""
 COLD_END_TOLERANCE_S = 0.25
-"""Difference of two readings of the end of a cold time, which is told as a rest."""
+"""Largest difference between two equal ends of a cold period, in seconds.
+
+Messages carry the remaining time, so the end that a receiver computes varies.
+"""
 MAX_BASES = 6
 MAX_CHANGED = 7
 MAX_GONE = 24
-"""What fits into a message of 1,400 bytes."""
+"""Most spans, changed and removed upstreams that fit into a message of 1,400 bytes."""
 MAX_PARTS = 48
-"""Messages that carry one change: a third of 900 upstreams replaced at once.
+"""Most messages for one change, enough to replace a third of 900 upstreams at once.
 
-To 20 members that is 1.2 MB within the failure domain, once. Whoever lacks one of them,
-or a longer change, reads for itself.
+Sent to 20 members, that is 1.2 MB within the failure domain, once. A VM that misses one
+of the messages, or for which the change is too long, reads the list itself.
 """
 
 
 @frozen(kw_only=True)
 class ListChange:
-    """What leads from some versions of the list to a later one.
+    """Difference between some versions of the list and a later one.
 
     Parameters
     ----------
     bases : tuple of (int, int)
-        Spans of versions from which it leads there, first and last of each. A list that
-        was read between them may hold entries that came and went unseen.
+        Spans of versions that it can be applied to, as first and last version of each.
+        A list of a version between two spans may hold entries that this VM never saw.
     version : int
-        Where it leads.
+        Version of the list after the change.
     changed : tuple of ListedVm
         Upstreams that are new or have changed.
     gone : tuple of str
@@ -54,14 +57,14 @@
     gone: tuple[str, ...] = ()
 
     def applies_to(self, version: int) -> bool:
-        """Tell whether it may be applied to a list of a version."""
+        """Return whether the change can be applied to a version of the list."""
         return any(first <= version <= last for first, last in self.bases)
 
     def merged_with(self, later: ListChange) -> ListChange:
-        """Give this change and the one that follows it as one."""
+        """Return this change and a following one combined."""
         latest = {each.name: each for each in (*self.changed, *later.changed)}
-        back = {each.name for each in later.changed}
-        gone = (set(self.gone) - back) | set(later.gone)
+        listed_again = {each.name for each in later.changed}
+        gone = (set(self.gone) - listed_again) | set(later.gone)
         return ListChange(
             bases=(*self.bases, *later.bases),
             version=later.version,
@@ -70,7 +73,7 @@
         )
 
     def fits_message(self) -> bool:
-        """Tell whether a message can carry it."""
+        """Return whether the change fits into one message."""
         return (
             len(self.bases) <= MAX_BASES
             and len(self.changed) <= MAX_CHANGED
@@ -78,12 +81,13 @@
         )
 
     def split(self) -> list[ListChange]:
-        """Give changes that fit a message each and make up this one.
+        """Split the change into changes that fit into one message each.
 
         Returns
         -------
         list of ListChange
-            All have the same bases and version; empty if they would be too many.
+            Parts with the same bases and version; empty if there would be more than
+            ``MAX_PARTS``, or the spans do not fit.
         """
         count = max(
             1,
@@ -95,16 +99,16 @@
         return [
             evolve(
                 self,
-                changed=self.changed[at * MAX_CHANGED : (at + 1) * MAX_CHANGED],
-                gone=self.gone[at * MAX_GONE : (at + 1) * MAX_GONE],
+                changed=self.changed[index * MAX_CHANGED : (index + 1) * MAX_CHANGED],
+                gone=self.gone[index * MAX_GONE : (index + 1) * MAX_GONE],
             )
-            for at in range(count)
+            for index in range(count)
         ]
 
 
 @define(kw_only=True)
 class ListHistory:
-    """Changes between the lists that were read or told."""
+    """Changes between the lists that were read or received."""
 
     _by_name: dict[str, ListedVm] = Factory(dict)
     _changes: deque[ListChange] = Factory(lambda: deque(maxlen=MAX_RECENT_CHANGES))
@@ -114,12 +118,12 @@
     def record(
         self, vms: Iterable[ListedVm], *, version: int, now: float
     ) -> ListChange | None:
-        """Take a whole list, and keep what has changed in it.
+        """Record a complete list and its changes since the list before.
 
         Returns
         -------
         ListChange or None
-            What has changed since the list before, if anything.
+            The changes, or None if there are none or this is the first list.
         """
         by_name = {each.name: each for each in vms if each.upstream is not None}
         before, self._by_name = self._by_name, by_name
@@ -145,7 +149,7 @@
         return change
 
     def add(self, change: ListChange) -> None:
-        """Take a change that was told."""
+        """Add a change that was received from another VM."""
         for name in change.gone:
             self._by_name.pop(name, None)
         self._by_name |= {each.name: each for each in change.changed}
@@ -153,28 +157,28 @@
         self._unchanged_since = self._version = change.version
 
     def merge_recent(self) -> ListChange:
-        """Give the last changes as one, as many as a message can carry.
+        """Return the most recent changes combined, as many as fit into one message.
 
         Raises
         ------
         ValueError
-            If no list was ever taken.
+            If no list was recorded yet.
         """
         if self._unchanged_since is None:
-            raise ValueError("no list was taken yet")
+            raise ValueError("no list was recorded yet")
         recent = ListChange(
             bases=((self._unchanged_since, self._version),), version=self._version
         )
         for change in reversed(self._changes):
-            longer = change.merged_with(recent)
-            if not longer.fits_message():
+            merged = change.merged_with(recent)
+            if not merged.fits_message():
                 break
-            recent = longer
+            recent = merged
         return recent
 
 
 def _is_same(before: ListedVm | None, after: ListedVm, now: float) -> bool:
-    """Compare two readings of an entry."""
+    """Return whether two readings of an entry are equal, within the tolerance."""
     if before is after:
         return True
     if before is None or evolve(after, cold_until=before.cold_until) != before:
--- a/packages/daemon/src/plankspindle_daemon/sharing/reader_group.py
+++ b/packages/daemon/src/plankspindle_daemon/sharing/reader_group.py
@@ -1,4 +1,4 @@
-"""The entry VMs that read the platform for one another, in their order."""
+"""The entry VMs that read the platform on behalf of one another, ordered by name."""
 
 from __future__ import annotations
 
@@ -11,71 +11,75 @@
     from plankspindle_core.endpoint import Endpoint
 
 MIN_GROUP_SIZE = 6
-"""Entry VMs of a domain from which on they share reads.
+"""Fewest entry VMs of a failure domain that share reads.
 
-A reader asks about five times as often as a VM that reads for itself alone, so that the
-others notice in time when it falls silent.
+A reader polls about five times as often as a VM that reads only for itself, so that the
+other VMs notice in time when it becomes unresponsive. Sharing does not pay in smaller
+groups.
 """
 MAX_GROUP_SIZE = 32
-"""Entry VMs that one reader tells, two messages a second of some 100 bytes each."""
+"""Most entry VMs of a group.
+
+The reader sends each of them two messages per second of about 100 bytes.
+"""
 
 
 @define(kw_only=True)
 class ReaderGroup:
-    """Entry VMs of the own failure domain, at most ``MAX_GROUP_SIZE``, by name.
+    """Group of at most ``MAX_GROUP_SIZE`` entry VMs of the same failure domain.
 
     Parameters
     ----------
     vm, failure_domain : str
-        This VM and where it stands.
+        Name of this VM, and the failure domain that it is located in.
     membership : Membership
-        The members.
+        Known entry VMs.
 
     Notes
     -----
-    Dead members keep their place until they are unlisted: who is heard decides, not who
-    is counted.
+    A dead member keeps its rank until it is removed from the list: whether a VM reads
+    depends on the updates that it receives, not on which members are alive.
     """
 
     vm: str
     failure_domain: str
     membership: Membership
-    _view: tuple[str, ...] = ()
+    _member_names: tuple[str, ...] = ()
     _names: tuple[str, ...] = ()
 
     def names(self) -> tuple[str, ...]:
-        """Give all names in order, this VM included."""
-        view = self.membership.member_names()
-        if view is not self._view:
-            self._view = view
-            self._names = self._own_group(view)
+        """Return all names in order, including this VM."""
+        names = self.membership.member_names()
+        if names is not self._member_names:
+            self._member_names = names
+            self._names = self._own_group(names)
         return self._names
 
-    def _own_group(self, view: tuple[str, ...]) -> tuple[str, ...]:
+    def _own_group(self, names: tuple[str, ...]) -> tuple[str, ...]:
         members = self.membership.members_by_name
-        near = [
+        local = [
             name
-            for name in view
+            for name in names
             if name == self.vm or members[name].failure_domain == self.failure_domain
         ]
-        groups = -(-len(near) // MAX_GROUP_SIZE)
-        size = -(-len(near) // groups)
-        first = near.index(self.vm) // size * size
-        return tuple(near[first : first + size])
+        groups = -(-len(local) // MAX_GROUP_SIZE)
+        size = -(-len(local) // groups)
+        first = local.index(self.vm) // size * size
+        return tuple(local[first : first + size])
 
     def is_large_enough(self) -> bool:
-        """Tell whether the group is large enough to share reads."""
+        """Return whether the group is large enough to share reads."""
         return len(self.names()) >= MIN_GROUP_SIZE
 
     def rank(self) -> int:
-        """Give the number of members that come before this VM."""
+        """Return the number of members that precede this VM."""
         return self.names().index(self.vm)
 
     def is_before(self, name: str) -> bool:
-        """Tell whether a VM of the group comes before this one."""
+        """Return whether a VM belongs to the group and precedes this one."""
         return name in self.names() and name < self.vm
 
     def peer_endpoints(self) -> list[Endpoint]:
-        """Give where the other members are reached."""
+        """Return the peer endpoints of the other members."""
         members = self.membership.members_by_name
         return [members[name].peer_endpoint for name in self.names() if name != self.vm]
--- a/packages/daemon/src/plankspindle_daemon/sharing/shared_reads.py
+++ b/packages/daemon/src/plankspindle_daemon/sharing/shared_reads.py
@@ -1,4 +1,4 @@
-"""State machine by which entry VMs of a failure domain read the platform together."""
+"""State machine by which entry VMs of a failure domain share platform reads."""
 
 from __future__ import annotations
 
@@ -27,44 +27,47 @@
 
 STALE_AFTER_PERIODS = 1.4
 STALE_MARGIN_S = 0.1
-"""Age at which a reader's word is stale: its period, a late message, and the way."""
+"""Age at which an update is stale: the reader's period, delay and transfer time."""
 RANK_DELAY_PERIODS = 0.1
 MAX_RANK_DELAY_PERIODS = 0.4
-"""Further wait of each place in the group before a VM reads in a silent one's stead.
+"""Additional delay per rank before a VM takes over from an unresponsive reader.
 
-With 1.4 periods and the margin a change is read 1.8 periods and 0.1 s after it was
-made, at the latest, if the reader dies just then.
+With 1.4 periods and the margin, a change is read at most 1.8 periods and 0.1 s after it
+was made, even if the reader fails at that moment.
 """
 LIST_WAIT_PERIODS = 0.6
-"""Part of the period in which a reader waits for changes of the list.
+"""Share of the period in which a reader waits for changes of the list.
 
-In the rest it gathers changes, so that many of them cost few calls.
+In the remaining time changes accumulate, so that many of them cost few calls.
 """
 FETCH_TIMEOUT_S = 0.4
-"""Time to learn a version from a member before this VM reads it itself, in seconds."""
+"""Time to fetch a version from a member before this VM reads it itself, in seconds."""
 MIN_CHECK_DELAY_S = 0.2
 MAX_CHECK_DELAY_S = 1.0
-"""Periods of looking whether this VM is to read, while others read for it, in seconds.
+"""Bounds of the time between checks whether this VM must read itself, in seconds.
 
-It looks when the readers' word would be stale, and soon after it is told of something
-that it lacks. The longer one bounds what other members that come and go may change.
+A follower checks when the last update becomes stale, and after the shorter time while
+it lacks a change. The longer time bounds how late it reacts to members that join or
+leave.
 """
 SETTLE_S = 2.0
-"""Time after the first read for which a VM reads for itself, to enter the list.
+"""Time after its first read for which a VM reads for itself, in seconds.
 
-All VMs may start together, and the slowest take 2 s longer to do so; one that enters
-later greets those that are there. At 6 s each VM made four calls more at each start.
+All VMs may start together, and the slowest of them enter the list 2 s later; one that
+enters later sends heartbeats to those in the list. With 6 s, each VM made four more
+calls at each start.
 """
 MAX_OWN_READ_AGE_S = 60.0
-"""Age of the last own read from which on a VM reads for itself once, in seconds.
+"""Age of a VM's own last read at which it reads itself once, in seconds.
 
-It bounds how long a fault of the sharing could last, and finds VMs not yet heard.
+This bounds how long a fault of the sharing can last, and finds VMs from which no
+heartbeat was received yet.
 """
 MAX_AGE_MS = 0xFFFFFFFF
 
 
 class ReadRole(Enum):
-    """How an entry VM learns what the platform holds."""
+    """How an entry VM obtains the platform's list."""
 
     ALONE = "alone"
     READER = "reader"
@@ -73,7 +76,7 @@
 
 @define(kw_only=True)
 class _ReadStatus:
-    """When something was read last, by this VM and by the readers before it."""
+    """When this VM, and readers that precede it, last read list or configuration."""
 
     own_read_at: float = -math.inf
     reported_at: float = -math.inf
@@ -102,25 +105,26 @@
     Parameters
     ----------
     group : ReaderGroup
-        The entry VMs that share reads.
+        Entry VMs that share reads.
     period_s : float
-        Period at which a reader hears of the platform, in seconds; zero if every VM
-        reads for itself.
+        Period at which a reader polls the platform, in seconds; zero if every VM reads
+        for itself.
 
     Attributes
     ----------
     list_version : int or None
         Version of the list that this VM holds.
     is_reading : bool
-        Whether a read of the list is under way; what others tell then is left out,
-        since the read may bring older entries.
+        Whether a read of the list is in progress. Changes received meanwhile are not
+        applied, since the read may return older entries.
 
     Notes
     -----
-    Nobody is elected. Whoever has read tells the others of its domain how fresh that
-    is, and what has changed; whoever hears one that comes before it by name does not
-    read. A VM that hears no fresh word, or lacks a change, reads for itself. At 13 VMs
-    a domain that is two calls a second of the domain instead of thirteen.
+    There is no election. A VM that has read the platform broadcasts to its group how
+    old its data is and what has changed; a VM that receives updates of one that
+    precedes it by name does not read. A VM that receives no fresh update, or lacks a
+    change, reads for itself. With 13 VMs in a domain, that is two calls per second of
+    the whole domain instead of thirteen.
     """
 
     group: ReaderGroup
@@ -135,14 +139,14 @@
     _retained_until: float = -math.inf
 
     def should_read_list(self, now: float) -> bool:
-        """Tell whether this VM is to read the list."""
-        patience_s = PARTS_TIMEOUT_S if self._assembler.is_waiting(now) else 0.0
+        """Return whether this VM must read the list."""
+        grace_s = PARTS_TIMEOUT_S if self._assembler.is_waiting(now) else 0.0
         return self._should_read(
-            self._list, self._held_list_version(), now, grace_s=patience_s
+            self._list, self._held_list_version(), now, grace_s=grace_s
         )
 
     def should_read_configuration(self, held: int, now: float) -> bool:
-        """Tell whether this VM is to read the configuration.
+        """Return whether this VM must read the configuration.
 
         Parameters
         ----------
@@ -165,15 +169,18 @@
         return now > self._stale_at(status)
 
     def lacks_change(self) -> bool:
-        """Tell whether a later list than this VM's was read."""
+        """Return whether another VM has read a later list than this VM holds."""
         return self._list.reported_version > self._held_list_version()
 
     def list_check_delay_s(self, now: float) -> float:
-        """Give the time until the next look at the list, unless more is told."""
+        """Return the time until the next check of the list, in seconds.
+
+        A received update may require an earlier one.
+        """
         return self._check_delay_s(self._list, self._held_list_version(), now)
 
     def configuration_check_delay_s(self, held: int, now: float) -> float:
-        """Give the time until the next look at the configuration, likewise.
+        """Return the time until the next check of the configuration, in seconds.
 
         Parameters
         ----------
@@ -194,23 +201,27 @@
         return -1 if self.list_version is None else self.list_version
 
     def _stale_at(self, status: _ReadStatus) -> float:
-        """Give when this VM reads by itself if no further word comes."""
+        """Return when this VM reads for itself if it receives no further update."""
         delay = min(MAX_RANK_DELAY_PERIODS, RANK_DELAY_PERIODS * self.group.rank())
         return status.reported_at + self._stale_after_s() + delay * self.period_s
 
     def invalidate(self) -> None:
-        """Read all anew, as after a pause of the process."""
+        """Require own reads of list and configuration, as after a process pause."""
         self._list.own_read_at = self._configuration.own_read_at = -math.inf
 
     def role(self, now: float) -> ReadRole:
-        """Tell what this VM does for the others, for the log."""
+        """Return the role of this VM in its group, for the log."""
         if not self.is_shared(now):
             return ReadRole.ALONE
-        hears = now - self._list.reported_at <= self._stale_after_s()
-        return ReadRole.FOLLOWER if hears and self.group.rank() > 0 else ReadRole.READER
+        has_fresh_update = now - self._list.reported_at <= self._stale_after_s()
+        return (
+            ReadRole.FOLLOWER
+            if has_fresh_update and self.group.rank() > 0
+            else ReadRole.READER
+        )
 
     def is_shared(self, now: float) -> bool:
-        """Tell whether reads are shared at all."""
+        """Return whether reads are shared at all."""
         return (
             self.period_s > 0
             and now >= self._settled_at
@@ -221,17 +232,17 @@
         return STALE_AFTER_PERIODS * self.period_s + STALE_MARGIN_S
 
     def list_wait_s(self, now: float) -> float | None:
-        """Give the longest wait for a change of the list; None for the usual one."""
+        """Return the longest wait for a list change, in seconds; None for default."""
         return LIST_WAIT_PERIODS * self.period_s if self.is_shared(now) else None
 
     def configuration_wait_s(self, now: float) -> float | None:
-        """Give the longest wait for a version; None for the usual one."""
+        """Return the longest wait for a version, in seconds; None for the default."""
         return self.period_s if self.is_shared(now) else None
 
     def list_pause_s(self, now: float) -> float | None:
-        """Give the pause between reads of the list; None for the usual one."""
-        pause = (1 - LIST_WAIT_PERIODS) * self.period_s
-        return pause if self.is_shared(now) else None
+        """Return the pause between list reads, in seconds; None for the default."""
+        pause_s = (1 - LIST_WAIT_PERIODS) * self.period_s
+        return pause_s if self.is_shared(now) else None
 
     def record_list_read(
         self,
@@ -242,61 +253,59 @@
         kept_until: float,
         now: float,
     ) -> list[SendToPeer]:
-        """Take a list that this VM has read, and tell the others.
+        """Record a list that this VM has read, and broadcast its changes.
 
         Parameters
         ----------
         vms : iterable of ListedVm
-            The whole list.
+            The complete list.
         version : int, optional
-            Its version; without one it cannot be shared.
+            Its version; a list without version cannot be shared.
         configuration_version : int
             Version of the configuration in force.
         kept_until : float
-            Until when entries that are missing since the platform was away are kept,
-            monotonic seconds.
+            Until when entries are retained that are missing since the platform was
+            unavailable, in monotonic seconds.
         now : float
             Monotonic seconds.
         """
         if version is None or self.period_s == 0:
             return []
-        new = self._history.record(vms, version=version, now=now)
+        change = self._history.record(vms, version=version, now=now)
         self.list_version = version
         self._list.own_read_at = now
         self._assembler.reset()
         self._retained_until = kept_until
         self._settled_at = min(self._settled_at, now + SETTLE_S)
-        return self._broadcast(configuration_version, now, change=new)
+        return self._broadcast(configuration_version, now, change=change)
 
     def record_configuration_read(self, version: int, now: float) -> list[SendToPeer]:
-        """Take that this VM has read the configuration, and tell the others."""
+        """Record that this VM has read the configuration, and broadcast the time."""
         self._configuration.own_read_at = now
         return self._broadcast(version, now)
 
     def _broadcast(
         self, configuration_version: int, now: float, change: ListChange | None = None
     ) -> list[SendToPeer]:
-        """Tell the others how fresh this VM's knowledge is, and what has changed.
+        """Broadcast the age of this VM's data and the recent changes of the list.
 
-        A change that needs several messages is told once, when it is new: a release of
-        900 upstreams changes 30 of them in a period, and while one message had to hold
-        it each VM of the domain read for itself. Smaller ones are told again.
+        A change that needs several messages is sent once, when it is new; smaller ones
+        are sent again. A release of 900 upstreams changes 30 of them per period: if a
+        change had to fit into one message, each VM of the domain would read for itself.
         """
-        follows = now - self._list.reported_at <= self._stale_after_s()
-        if self.list_version is None or follows or not self.is_shared(now):
+        is_follower = now - self._list.reported_at <= self._stale_after_s()
+        if self.list_version is None or is_follower or not self.is_shared(now):
             return []
         parts = (
             change.split() if change is not None and not change.fits_message() else []
         )
-        news = [
-            self._update_of(
-                change, configuration_version, now, part, max(1, len(parts))
-            )
-            for part, change in enumerate(parts or [self._history.merge_recent()])
+        updates = [
+            self._update_of(piece, configuration_version, now, part, max(1, len(parts)))
+            for part, piece in enumerate(parts or [self._history.merge_recent()])
         ]
         return [
             SendToPeer(message=each, to=to)
-            for each in news
+            for each in updates
             for to in self.group.peer_endpoints()
         ]
 
@@ -324,28 +333,29 @@
         )
 
     def is_in_group(self, sender: str) -> bool:
-        """Tell whether a VM is of the group."""
+        """Return whether a VM belongs to the group."""
         return sender in self.group.names()
 
     def confirms_list(self, update: ListNews) -> bool:
-        """Tell whether news confirm the list that this VM holds."""
+        """Return whether an update confirms the list that this VM holds."""
         is_fresh = update.list_age_ms <= 1000 * self._stale_after_s()
         return is_fresh and not self.is_reading and update.version == self.list_version
 
     def apply_update(self, update: ListNews, now: float) -> ListChange | None:
-        """Take what a reader tells.
+        """Apply an update from a reader.
 
         Parameters
         ----------
         update : ListNews
-            What it tells.
+            The update.
         now : float
             Monotonic seconds.
 
         Returns
         -------
         ListChange or None
-            What has changed in the list that this VM holds, if anything.
+            Change of the list that this VM holds; None if there is none or it cannot be
+            applied.
         """
         if not self.is_in_group(update.sender) or self.list_version is None:
             return None
@@ -358,8 +368,8 @@
             )
         if self.is_reading or self.list_version >= update.version:
             return None
-        whole = self._assembler.add(update, now)
-        return None if whole is None else self._apply_change(whole, now)
+        complete = self._assembler.add(update, now)
+        return None if complete is None else self._apply_change(complete, now)
 
     def _apply_change(self, update: ListNews, now: float) -> ListChange | None:
         change = ListChange(
--- a/packages/daemon/src/plankspindle_daemon/sharing/update_assembler.py
+++ b/packages/daemon/src/plankspindle_daemon/sharing/update_assembler.py
@@ -1,4 +1,4 @@
-"""Puts together what a reader tells in several messages."""
+"""Assembles a list update that a reader sends in several messages."""
 
 from __future__ import annotations
 
@@ -11,33 +11,33 @@
 from plankspindle_daemon.peer_messages.list_news import ListNews
 
 PARTS_TIMEOUT_S = 0.4
-"""Time to wait for the rest of a change before this VM reads for itself, in seconds."""
+"""Time to wait for missing parts before this VM reads the list itself, in seconds."""
 
 
 @define(kw_only=True)
 class UpdateAssembler:
-    """Parts of the newest change that came in several messages."""
+    """Collects the parts of the newest update that needs several messages."""
 
     _updates_by_part: dict[int, ListNews] = Factory(dict)
     _update_key: tuple[str, int, int] | None = None
-    _began_at: float = -math.inf
+    _started_at: float = -math.inf
 
     def add(self, update: ListNews, now: float) -> ListNews | None:
-        """Take one message, and give the whole once all parts have come.
+        """Add one message and return the update once it is complete.
 
         Parameters
         ----------
         update : ListNews
-            A message, whole or a part.
+            A message, which holds a complete update or a part of one.
         now : float
             Monotonic seconds.
         """
         if update.parts <= 1:
             return update
-        is_of = (update.sender, update.version, update.parts)
-        if is_of != self._update_key:
-            self._update_key = is_of
-            self._began_at = now
+        key = (update.sender, update.version, update.parts)
+        if key != self._update_key:
+            self._update_key = key
+            self._started_at = now
             self._updates_by_part = {}
         self._updates_by_part[update.part] = update
         if len(self._updates_by_part) < update.parts:
@@ -55,10 +55,10 @@
         )
 
     def reset(self) -> None:
-        """Wait for nothing more."""
+        """Discard the parts that were received."""
         self._updates_by_part = {}
         self._update_key = None
 
     def is_waiting(self, now: float) -> bool:
-        """Tell whether the rest of a change may still come."""
-        return self._update_key is not None and now - self._began_at < PARTS_TIMEOUT_S
+        """Return whether missing parts of an update may still arrive."""
+        return self._update_key is not None and now - self._started_at < PARTS_TIMEOUT_S
--- a/packages/daemon/src/plankspindle_daemon/sharing/upstream_codec.py
+++ b/packages/daemon/src/plankspindle_daemon/sharing/upstream_codec.py
@@ -1,4 +1,4 @@
-"""Upstreams of the list as messages carry them."""
+"""Conversion of the list's upstreams to and from messages."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def encode_upstream(listed: ListedVm, now: float) -> ToldUpstream:
-    """Write an upstream of the list; its cold time is told as what is left of it.
+    """Encode an upstream of the list; its cold period as the time that remains.
 
-    A planned time of leaving is not told: lists that have versions have none.
+    A planned time of leaving is not encoded: lists with versions have none.
     """
     declared = listed.upstream
     assert declared is not None
@@ -28,7 +28,7 @@
 
 
 def decode_upstream(encoded: ToldUpstream, now: float) -> ListedVm:
-    """Read an upstream as the list would give it."""
+    """Decode an upstream to an entry as read from the list."""
     return ListedVm(
         name=encoded.name,
         kind=VmKind.UPSTREAM,
--- a/packages/daemon/tests/sharing/test_follower_checks.py
+++ b/packages/daemon/tests/sharing/test_follower_checks.py
@@ -1,7 +1,7 @@
-"""How long a VM rests while another reads the platform for it.
+"""Tests of how often a VM checks for updates while another reads on its behalf.
 
-The pattern: an entry VM of a large domain that serves little. Each look wakes the
-process, and ten looks a second were a fifth of all that woke it.
+Each check wakes the process. With ten checks per second, they were a fifth of all
+wake-ups of an entry VM of a large domain that serves few requests.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
 NAMES = tuple(f"vm-{number:02}" for number in range(8))
 PERIOD_S = 1.33
-LOOKS_PER_S = 1.5
-"""Looks a second that are wanted of a follower, beside the word of its reader."""
+MAX_CHECKS_PER_S = 1.5
+"""Most checks per second of a follower, besides received updates."""
 
 
 def build_reads(vm: str) -> SharedReads:
-    """Build a VM that has read version 1, and shares reads."""
+    """Build the reads of a VM that has read version 1 and shares reads."""
     reads = SharedReads(group=build_reader_group(vm, NAMES), period_s=PERIOD_S)
     read(reads, version=1, now=-SETTLE_S)
     return reads
@@ -47,20 +47,22 @@
     return [each.message for each in sent]
 
 
-def test_a_follower_that_hears_its_reader_looks_seldom() -> None:
+def test_follower_with_live_reader_checks_rarely() -> None:
     reader, follower = build_reads(NAMES[0]), build_reads(NAMES[1])
-    looks, now, next_word = 0, 0.0, 0.0
+    checks, now, next_update_at = 0, 0.0, 0.0
     while now < 20.0:
-        while next_word <= now:
-            follower.apply_update(read(reader, version=1, now=next_word)[0], next_word)
-            next_word += PERIOD_S
+        while next_update_at <= now:
+            follower.apply_update(
+                read(reader, version=1, now=next_update_at)[0], next_update_at
+            )
+            next_update_at += PERIOD_S
         assert not follower.should_read_list(now)
-        looks += 1
+        checks += 1
         now += follower.list_check_delay_s(now)
-    assert looks / 20.0 <= LOOKS_PER_S
+    assert checks / 20.0 <= MAX_CHECKS_PER_S
 
 
-def test_a_follower_looks_when_its_reader_falls_silent() -> None:
+def test_follower_reads_in_time_when_reader_becomes_unresponsive() -> None:
     reader, follower = build_reads(NAMES[0]), build_reads(NAMES[1])
     follower.apply_update(read(reader, version=1, now=0.0)[0], 0.0)
     now = 0.0
@@ -69,11 +71,11 @@
     assert now <= 1.8 * PERIOD_S + 0.1 + MIN_CHECK_DELAY_S
 
 
-def test_who_lacks_a_change_looks_soon() -> None:
+def test_follower_that_lacks_change_checks_soon() -> None:
     reader, follower = build_reads(NAMES[0]), build_reads(NAMES[1])
     for version in range(2, 12):
-        news = read(reader, version=version, now=float(version))
-    follower.apply_update(news[0], 11.0)
+        messages = read(reader, version=version, now=float(version))
+    follower.apply_update(messages[0], 11.0)
     assert follower.lacks_change()
     assert follower.list_check_delay_s(11.0) == MIN_CHECK_DELAY_S
     assert MAX_CHECK_DELAY_S > MIN_CHECK_DELAY_S
--- a/packages/daemon/tests/sharing/test_platform_calls_at_start.py
+++ b/packages/daemon/tests/sharing/test_platform_calls_at_start.py
@@ -1,9 +1,9 @@
 """Calls to the platform while all entry VMs of a failure domain start at once.
 
-The pattern: 21 entry VMs of one domain start within 0.3 s of one another, read the
-platform's list of 900 upstreams and the configuration, and go on for 42 s, in which
-nothing changes. Each call is paid. At 195 VMs fewer than 0.15 a second and VM are
-wanted; the first reads of a process, five calls whatever follows, stand beside that.
+Twenty-one entry VMs of one domain start within 0.3 s of one another, read the
+platform's list of 900 upstreams and the configuration, and run for 42 s in which
+nothing changes. Each call is billed. At 195 VMs, fewer than 0.15 calls per second and
+VM are allowed, besides the first reads of a process, which always take five calls.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 from plankspindle_testkit.builders import build_upstream
 
 NAMES = tuple(f"vm-{number:02}" for number in range(21))
-LASTS_S = 42.0
+DURATION_S = 42.0
 CALLS_PER_S = 0.15
 PERIOD_S = 1.33
-"""A third of the shortest bound on changes of 4 s."""
+"""A third of the shortest bound on the delay of changes, which is 4 s."""
 WATCH_S = 2.25
-"""Longest wait of a VM that reads for itself."""
+"""Longest wait of a VM that reads only for itself, in seconds."""
 SUBJECTS = ("list", "configuration")
 LISTED = ListedVm(
     name="u", kind=VmKind.UPSTREAM, failure_domain="ba-1", upstream=build_upstream()
@@ -49,27 +49,27 @@
         heapq.heapify(self._events)
 
     def run(self, until: float) -> None:
-        """Let time pass."""
+        """Process all events before a time, in seconds."""
         while self._events and self._events[0][0] < until:
             now, name, subject, step = heapq.heappop(self._events)
             reads = self.reads_by_vm[name]
             if step == "read":
-                self._take(name, subject, now)
+                self._finish_read(name, subject, now)
                 pause_s = reads.list_pause_s(now) if subject == "list" else None
-                event = (now + (pause_s or MIN_CHECK_DELAY_S), name, subject, "look")
-            elif self._is_to_read(reads, subject, now):
+                event = (now + (pause_s or MIN_CHECK_DELAY_S), name, subject, "check")
+            elif self._should_read(reads, subject, now):
                 self.calls += 1
                 wait_s = self._wait_s(reads, subject, now)
                 event = (now + wait_s, name, subject, "read")
             else:
-                event = (now + MIN_CHECK_DELAY_S, name, subject, "look")
+                event = (now + MIN_CHECK_DELAY_S, name, subject, "check")
             heapq.heappush(self._events, event)
 
-    def _take(self, name: str, subject: str, now: float) -> None:
-        """Take what a read brought, and tell the others."""
+    def _finish_read(self, name: str, subject: str, now: float) -> None:
+        """Apply the result of a read, and broadcast it."""
         reads = self.reads_by_vm[name]
         if subject == "list":
-            told = reads.record_list_read(
+            messages = reads.record_list_read(
                 [LISTED],
                 version=1,
                 configuration_version=1,
@@ -77,13 +77,13 @@
                 now=now,
             )
         else:
-            told = reads.record_configuration_read(1, now)
-        for each in told[:1]:
+            messages = reads.record_configuration_read(1, now)
+        for each in messages[:1]:
             for other in NAMES:
                 if other != name:
                     self.reads_by_vm[other].apply_update(each.message, now)
 
-    def _is_to_read(self, reads: SharedReads, subject: str, now: float) -> bool:
+    def _should_read(self, reads: SharedReads, subject: str, now: float) -> bool:
         if subject == "list":
             return reads.should_read_list(now)
         return reads.should_read_configuration(1, now)
@@ -96,7 +96,7 @@
         return WATCH_S if shared_s is None else shared_s
 
 
-def test_a_start_of_all_costs_few_calls_beyond_the_first() -> None:
+def test_simultaneous_start_of_all_vms_stays_within_call_budget() -> None:
     domain = Domain()
-    domain.run(LASTS_S)
-    assert domain.calls / len(NAMES) / LASTS_S < CALLS_PER_S
+    domain.run(DURATION_S)
+    assert domain.calls / len(NAMES) / DURATION_S < CALLS_PER_S
--- a/packages/daemon/tests/sharing/test_shared_reads.py
+++ b/packages/daemon/tests/sharing/test_shared_reads.py
@@ -1,4 +1,4 @@
-"""Tests of the reads of the platform that entry VMs share."""
+"""Tests of platform reads that entry VMs share."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 def read(
     reads: SharedReads, *vms: ListedVm, version: int, now: float, configuration: int = 1
 ) -> ListNews | None:
-    """Read list and configuration, and give the last message to a member."""
+    """Read list and configuration, and return the last message to a member."""
     sent = reads.record_list_read(
         vms,
         version=version,
@@ -61,20 +61,20 @@
         kept_until=-math.inf,
         now=now,
     )
-    told = reads.record_configuration_read(configuration, now)
-    messages = [each.message for each in (told or sent)]
+    broadcast = reads.record_configuration_read(configuration, now)
+    messages = [each.message for each in (broadcast or sent)]
     return messages[0] if messages else None
 
 
 def settled(*vms: str) -> list[SharedReads]:
-    """Give VMs that have read version 1 so long ago that they share reads."""
+    """Return VMs that have read version 1 long enough ago to share reads."""
     all_reads = [build_reads(vm) for vm in vms]
     for reads in all_reads:
         read(reads, listed("u"), version=1, now=-SETTLE_S)
     return all_reads
 
 
-def test_a_small_domain_reads_each_for_itself() -> None:
+def test_vms_of_small_domain_read_for_themselves() -> None:
     names = NAMES[: MIN_GROUP_SIZE - 1]
     reads = build_reads(names[-1], names)
     assert read(reads, version=1, now=0.0) is None
@@ -82,7 +82,7 @@
     assert reads.list_wait_s(SETTLE_S + 1) is None
 
 
-def test_without_a_period_every_vm_reads_for_itself() -> None:
+def test_every_vm_reads_for_itself_when_period_is_zero() -> None:
     reads = SharedReads(group=build_reader_group(NAMES[1], NAMES), period_s=0.0)
     assert (
         reads.record_list_read(
@@ -93,7 +93,7 @@
     assert reads.should_read_list(100.0)
 
 
-def test_a_list_without_versions_is_not_shared() -> None:
+def test_list_without_version_is_not_shared() -> None:
     reads = build_reads(NAMES[1])
     assert (
         reads.record_list_read(
@@ -104,34 +104,34 @@
     assert reads.should_read_list(100.0)
 
 
-def test_a_new_vm_reads_for_itself_until_it_is_entered_in_the_list() -> None:
+def test_new_vm_reads_for_itself_during_settle_time() -> None:
     reads = build_reads(NAMES[1])
     read(reads, listed("u"), version=1, now=0.0)
     assert reads.should_read_list(SETTLE_S - 0.1)
 
 
-def test_who_hears_a_reader_before_it_does_not_read() -> None:
+def test_vm_with_preceding_reader_does_not_read() -> None:
     first, second = settled(*NAMES[:2])
-    news = read(first, listed("u"), version=1, now=0.0)
-    second.apply_update(news, 0.1)
+    update = read(first, listed("u"), version=1, now=0.0)
+    second.apply_update(update, 0.1)
     assert first.should_read_list(0.2)
     assert not second.should_read_list(0.2)
     assert not second.should_read_configuration(1, 0.2)
     assert second.record_configuration_read(1, 0.2) == []
 
 
-def test_a_reader_after_it_does_not_keep_a_vm_from_reading() -> None:
+def test_vm_reads_despite_reader_of_higher_rank() -> None:
     second, third = settled(NAMES[1], NAMES[2])
     second.apply_update(read(third, listed("u"), version=1, now=0.0), 0.1)
     assert second.should_read_list(0.2)
 
 
-def test_a_change_reaches_who_holds_the_version_before_it() -> None:
+def test_change_is_applied_to_previous_version() -> None:
     first, second = settled(*NAMES[:2])
     changed = listed("u", leaving=True)
     new = listed("v", cold_until=3.0)
-    news = read(first, changed, new, version=5, now=0.0)
-    change = second.apply_update(news, 0.1)
+    update = read(first, changed, new, version=5, now=0.0)
+    change = second.apply_update(update, 0.1)
     assert [(each.name, each.leaving) for each in change.changed] == [
         ("u", True),
         ("v", False),
@@ -142,11 +142,11 @@
     assert gone.gone == ("u",)
 
 
-def test_a_lost_message_is_made_good_by_the_next() -> None:
+def test_lost_change_is_recovered_from_next_message() -> None:
     first, second = settled(*NAMES[:2])
     read(first, listed("u"), listed("v"), version=5, now=0.0)
-    news = read(first, listed("u"), listed("v"), listed("w"), version=6, now=0.5)
-    change = second.apply_update(news, 0.6)
+    update = read(first, listed("u"), listed("v"), listed("w"), version=6, now=0.5)
+    change = second.apply_update(update, 0.6)
     assert {each.name for each in change.changed} == {"v", "w"}
     assert not second.should_read_list(0.7)
 
@@ -154,7 +154,7 @@
 def read_parts(
     reads: SharedReads, *vms: ListedVm, version: int, now: float
 ) -> list[ListNews]:
-    """Read the list, and give all messages to one member."""
+    """Read the list, and return all messages to one member."""
     sent = reads.record_list_read(
         vms,
         version=version,
@@ -165,18 +165,18 @@
     return list({each.message.part: each.message for each in sent}.values())
 
 
-def test_a_release_of_many_upstreams_is_told_in_parts() -> None:
-    """Thirty upstreams of 900 replaced within a period, as in a release."""
+def test_large_change_is_sent_in_parts() -> None:
+    """A release replaces 30 of 900 upstreams within one period."""
     first, second = settled(*NAMES[:2])
     old = [listed(f"old{number}") for number in range(30)]
-    for news in read_parts(first, *old, version=5, now=0.0):
-        second.apply_update(news, 0.1)
+    for update in read_parts(first, *old, version=5, now=0.0):
+        second.apply_update(update, 0.1)
     new = [listed(f"new{number}") for number in range(30)]
     messages = read_parts(first, *new, version=6, now=1.0)
     assert all(len(encode(each)) < MAX_FRAME_BYTES - 64 for each in messages)
     *earlier, last = reversed(messages)
-    for news in earlier:
-        assert second.apply_update(news, 1.1) is None
+    for update in earlier:
+        assert second.apply_update(update, 1.1) is None
         assert not second.should_read_list(1.1)
     change = second.apply_update(last, 1.1)
     assert {each.name for each in change.changed} == {each.name for each in new}
@@ -184,7 +184,7 @@
     assert not second.should_read_list(1.2)
 
 
-def test_who_lacks_a_part_reads_soon() -> None:
+def test_vm_that_misses_part_reads_after_timeout() -> None:
     first, second = settled(*NAMES[:2])
     many = [listed(f"u{number}") for number in range(2 * MAX_CHANGED)]
     messages = read_parts(first, *many, version=9, now=0.0)
@@ -193,33 +193,33 @@
     assert second.should_read_list(0.1 + PARTS_TIMEOUT_S)
 
 
-def test_a_change_of_more_parts_than_are_told_is_read() -> None:
+def test_change_with_too_many_parts_is_read_from_platform() -> None:
     first, second = settled(*NAMES[:2])
     many = [listed(f"u{number}") for number in range(MAX_PARTS * MAX_CHANGED + 1)]
-    (news,) = read_parts(first, *many, version=9, now=0.0)
-    assert second.apply_update(news, 0.1) is None
+    (update,) = read_parts(first, *many, version=9, now=0.0)
+    assert second.apply_update(update, 0.1) is None
     assert second.should_read_list(0.1)
 
 
-def test_who_lacks_a_change_reads_at_once() -> None:
+def test_vm_that_lacks_change_reads_immediately() -> None:
     first, second = settled(*NAMES[:2])
     many = [listed(f"u{number}") for number in range(MAX_CHANGED + 1)]
     read(first, *many, version=8, now=-0.5)
-    news = read(first, *many, version=9, now=0.0)
-    assert second.apply_update(news, 0.1) is None
+    update = read(first, *many, version=9, now=0.0)
+    assert second.apply_update(update, 0.1) is None
     assert second.should_read_list(0.1)
     read(second, *many, version=9, now=0.2)
     assert not second.should_read_list(0.3)
 
 
-def test_older_news_change_nothing() -> None:
+def test_older_update_is_ignored() -> None:
     first, second = settled(*NAMES[:2])
     read(second, listed("u"), version=8, now=0.0)
     assert second.apply_update(read(first, version=5, now=0.0), 0.1) is None
     assert second.list_version == 8
 
 
-def test_news_during_an_own_read_change_nothing_and_are_read_after_it() -> None:
+def test_update_during_own_read_is_not_applied_and_causes_another_read() -> None:
     first, second = settled(*NAMES[:2])
     second.is_reading = True
     assert second.apply_update(read(first, version=5, now=0.0), 0.1) is None
@@ -227,67 +227,67 @@
     assert second.should_read_list(0.2)
 
 
-def test_a_vm_of_no_group_is_not_heard() -> None:
+def test_update_from_vm_outside_group_is_ignored() -> None:
     first, second = settled(*NAMES[:2])
-    news = evolve(read(first, version=5, now=0.0), sender="stranger")
-    assert second.apply_update(news, 0.1) is None
+    update = evolve(read(first, version=5, now=0.0), sender="stranger")
+    assert second.apply_update(update, 0.1) is None
     assert second.should_read_list(10.0)
 
 
-def test_a_silent_reader_is_replaced_in_order_and_in_time() -> None:
+def test_unresponsive_reader_is_replaced_in_rank_order_within_bound() -> None:
     first, *others = settled(*NAMES[:4])
-    news = read(first, listed("u"), version=1, now=0.0)
+    update = read(first, listed("u"), version=1, now=0.0)
     for reads in others:
-        reads.apply_update(news, 0.0)
-    taken_over = [
+        reads.apply_update(update, 0.0)
+    takeover_times = [
         next(step / 100 for step in range(400) if reads.should_read_list(step / 100))
         for reads in others
     ]
-    assert taken_over == sorted(taken_over)
-    assert len(set(taken_over)) == 3
-    assert taken_over[-1] <= 1.8 * PERIOD_S + 0.11
+    assert takeover_times == sorted(takeover_times)
+    assert len(set(takeover_times)) == 3
+    assert takeover_times[-1] <= 1.8 * PERIOD_S + 0.11
 
 
-def test_an_old_read_of_the_reader_is_no_fresh_word() -> None:
+def test_stale_list_read_is_not_refreshed_by_configuration_read() -> None:
     first, second = settled(*NAMES[:2])
     read(first, listed("u"), version=1, now=0.0)
-    told = first.record_configuration_read(1, 3.0)
-    second.apply_update(told[0].message, 3.0)
+    broadcast = first.record_configuration_read(1, 3.0)
+    second.apply_update(broadcast[0].message, 3.0)
     assert second.should_read_list(3.0)
     assert not second.should_read_configuration(1, 3.0)
 
 
-def test_every_vm_reads_for_itself_once_in_a_while() -> None:
+def test_every_vm_reads_for_itself_once_own_read_is_too_old() -> None:
     first, second = settled(*NAMES[:2])
     now = MAX_OWN_READ_AGE_S
     second.apply_update(read(first, listed("u"), version=1, now=now), now)
     assert second.should_read_list(now)
 
 
-def test_a_version_that_members_do_not_give_in_time_is_read() -> None:
+def test_version_not_fetched_from_members_in_time_is_read_from_platform() -> None:
     first, second = settled(*NAMES[:2])
-    news = read(first, listed("u"), version=1, now=0.0, configuration=2)
-    second.apply_update(news, 0.0)
+    update = read(first, listed("u"), version=1, now=0.0, configuration=2)
+    second.apply_update(update, 0.0)
     assert not second.should_read_configuration(1, 0.0)
     assert second.should_read_configuration(1, FETCH_TIMEOUT_S)
     assert not second.should_read_configuration(2, FETCH_TIMEOUT_S)
 
 
-def test_the_longest_news_fit_into_a_frame() -> None:
+def test_longest_update_fits_into_frame() -> None:
     (first,) = settled(NAMES[0])
-    long = "i-0123456789abcdef"
-    before = [listed(f"{long}-{number}") for number in range(MAX_GONE)]
+    prefix = "i-0123456789abcdef"
+    before = [listed(f"{prefix}-{number}") for number in range(MAX_GONE)]
     read(first, *before, version=2**40, now=0.0)
     after = [
-        evolve(listed(f"{long}-n{number}"), incarnation=2**63 + number)
+        evolve(listed(f"{prefix}-n{number}"), incarnation=2**63 + number)
         for number in range(MAX_CHANGED)
     ]
-    news = read(first, *after, version=2**40 + 1, now=0.5)
-    assert len(news.changed) == MAX_CHANGED
-    assert len(encode(news)) < MAX_FRAME_BYTES - 64
+    update = read(first, *after, version=2**40 + 1, now=0.5)
+    assert len(update.changed) == MAX_CHANGED
+    assert len(encode(update)) < MAX_FRAME_BYTES - 64
 
 
-def test_a_large_domain_has_several_groups_of_all_its_vms() -> None:
+def test_large_domain_is_split_into_groups_of_bounded_size() -> None:
     names = tuple(f"vm-{number:03}" for number in range(205))
     groups = {build_reader_group(vm, names).names() for vm in names}
     assert sorted(name for group in groups for name in group) == list(names)
@@ -295,13 +295,13 @@
 
 
 @given(seed=st.integers(0, 10_000))
-def test_all_hold_the_newest_list_in_time_while_readers_die_and_messages_are_lost(
+def test_vms_hold_newest_list_despite_failed_readers_and_lost_messages(
     seed: int,
 ) -> None:
-    """Play VMs that read a changing list, some of which stop for good.
+    """Simulate VMs that read a changing list, some of which stop for good.
 
-    A change must be held by each living VM within what a takeover takes at most, a
-    read and the step of the play.
+    Each running VM must hold a change within the longest takeover time, plus a read and
+    the step of the simulation.
     """
     random = Random(seed)
     alive = {vm: reads for vm, reads in zip(NAMES, settled(*NAMES), strict=True)}
@@ -319,14 +319,14 @@
         if random.random() < 0.01 and len(alive) > 2:
             del alive[random.choice(sorted(alive))]
         for vm, reads in alive.items():
-            may = reads.should_read_list(now) and now >= next_read_at[vm]
-            if not may:
+            should_read = reads.should_read_list(now) and now >= next_read_at[vm]
+            if not should_read:
                 continue
             next_read_at[vm] = now + 0.4 * PERIOD_S
-            news = read(reads, *lists[newest], version=newest, now=now)
+            update = read(reads, *lists[newest], version=newest, now=now)
             for other, theirs in alive.items():
-                if news is not None and other != vm and random.random() < 0.9:
-                    theirs.apply_update(news, now)
+                if update is not None and other != vm and random.random() < 0.9:
+                    theirs.apply_update(update, now)
         for vm, reads in alive.items():
             assert reads.list_version in lists
             due = [
@@ -335,11 +335,11 @@
                 if now - at > 1.8 * PERIOD_S + 0.1 + 0.4 * PERIOD_S + 2 * step_s
             ]
             assert reads.list_version >= max(due, default=1), vm
-            held = reads._history._by_name
-            assert set(held) == {each.name for each in lists[reads.list_version]}
+            held_names = reads._history._by_name
+            assert set(held_names) == {each.name for each in lists[reads.list_version]}
 
 
-def test_a_vm_says_how_it_learns_what_the_platform_holds() -> None:
+def test_role_follows_received_updates() -> None:
     first, second = settled(*NAMES[:2])
     second.apply_update(read(first, listed("u"), version=1, now=0.0), 0.0)
     assert first.role(0.1) is ReadRole.READER
@@ -348,18 +348,18 @@
     assert build_reads(NAMES[0]).role(5.0) is ReadRole.ALONE
 
 
-def test_a_reader_tells_for_how_long_it_keeps_what_is_missing() -> None:
-    """Also with the news of another read: a first message may be lost."""
+def test_updates_carry_remaining_retention_of_missing_entries() -> None:
+    """Updates of later reads carry it too, since the first message may be lost."""
     reads = build_reads("vm-0")
     reads.record_list_read(
         [], version=1, configuration_version=1, kept_until=-math.inf, now=0.0
     )
     now = SETTLE_S + 1.0
-    told = reads.record_list_read(
+    broadcast = reads.record_list_read(
         [], version=2, configuration_version=1, kept_until=now + 2.0, now=now
     )
-    assert all(each.message.after_gap for each in told)
-    assert {each.message.keep_ms for each in told} == {2_000}
+    assert all(each.message.after_gap for each in broadcast)
+    assert {each.message.keep_ms for each in broadcast} == {2_000}
     later = reads.record_configuration_read(2, now + 1.5)
     assert {each.message.keep_ms for each in later} == {500}
     last = reads.record_configuration_read(2, now + 2.0)
