--- a/packages/daemon/src/plankspindle_daemon/quarantine/__init__.py
+++ b/packages/daemon/src/plankspindle_daemon/quarantine/__init__.py
@@ -1,3 +1,3 @@
-"""Requests under which upstreams end, held back at all entry VMs."""
+"""Quarantine, at all entry VMs, of requests that crash upstreams."""
 
 from __future__ import annotations
--- a/packages/daemon/src/plankspindle_daemon/quarantine/aggregator_selector.py
+++ b/packages/daemon/src/plankspindle_daemon/quarantine/aggregator_selector.py
@@ -1,4 +1,4 @@
-"""Which entry VMs count the ends of upstreams under a request."""
+"""Selects the entry VMs that aggregate the crash reports of a request."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from plankspindle_daemon.platform.live_list import VmKind
 
 AGGREGATORS_PER_REQUEST = 3
-"""Entry VMs that count for one request, in as many failure domains."""
+"""Entry VMs that aggregate the reports of one request, in as many failure domains."""
 
 
 @frozen(kw_only=True)
 class CandidateVm:
-    """Another entry VM.
+    """An entry VM that may aggregate reports.
 
     Parameters
     ----------
     name, failure_domain : str
-        Its name, and where it stands.
+        Name of the VM and the failure domain that it is located in.
     endpoint : Endpoint, optional
-        Where messages reach it; None for this VM.
+        Its address for messages; None for this VM.
     """
 
     name: str
@@ -33,14 +33,14 @@
 
 @define(kw_only=True)
 class AggregatorSelector:
-    """Choose them by a hash, so that all entry VMs choose the same.
+    """Select aggregators by rendezvous hashing, so that all entry VMs select the same.
 
     Parameters
     ----------
     vm, failure_domain : str
-        This VM, and where it stands.
+        Name and failure domain of this VM.
     membership : Membership
-        The other ones.
+        The other entry VMs.
     """
 
     vm: str
@@ -48,48 +48,52 @@
     membership: Membership
 
     def select(self, identity: int, now: float) -> list[CandidateVm]:
-        """Choose for a request, the one that tries it out first.
+        """Return the aggregators of a request; the first may send its probe attempts.
 
         Notes
         -----
-        A request comes to any entry VM, so that in a large fleet each of them sees it
-        once. A report to all of them would cost a message for each pair of VMs when a
-        failure domain is lost; to a few it costs the same at any size.
+        The attempts of a request arrive at arbitrary entry VMs, so in a large fleet
+        each VM sees a crash at most once. Reporting to all VMs would cost a message for
+        each pair of VMs when a failure domain is lost; reporting to a few costs the
+        same at any fleet size.
         """
         ranked = sorted(
-            [self._own(), *self._alive(now)],
+            [self._own_candidate(), *self._live_candidates(now)],
             key=lambda each: stable_hash(f"{identity} {each.name}"),
         )
-        chosen: dict[str, CandidateVm] = {}
+        first_by_domain: dict[str, CandidateVm] = {}
         for each in ranked:
-            chosen.setdefault(each.failure_domain, each)
-        first = list(chosen.values())[:AGGREGATORS_PER_REQUEST]
+            first_by_domain.setdefault(each.failure_domain, each)
+        first = list(first_by_domain.values())[:AGGREGATORS_PER_REQUEST]
         rest = [each for each in ranked if each not in first]
         return [*first, *rest][:AGGREGATORS_PER_REQUEST]
 
     def peer_endpoints(self) -> list[Endpoint]:
-        """Give the addresses of all other entry VMs, of all failure domains."""
+        """Return the addresses of all other entry VMs, in all failure domains."""
         endpoints = set(self.membership.peer_endpoints())
-        endpoints |= {each.endpoint for each in self._listed() if each.endpoint}
+        endpoints |= {
+            each.endpoint for each in self._listed_candidates() if each.endpoint
+        }
         own = self.membership.listed_by_name.get(self.vm)
         if own is not None and own.peer_endpoint is not None:
             endpoints.discard(own.peer_endpoint)
         return sorted(endpoints)
 
-    def _own(self) -> CandidateVm:
+    def _own_candidate(self) -> CandidateVm:
         return CandidateVm(
             name=self.vm, failure_domain=self.failure_domain, endpoint=None
         )
 
-    def _alive(self, now: float) -> list[CandidateVm]:
-        """Give members that are not known as silent; those not heard yet count.
+    def _live_candidates(self, now: float) -> list[CandidateVm]:
+        """Return the members that are not known to be silent.
 
-        A process that has just started would else choose among the few that it heard,
-        and others than all other VMs.
+        Members without a heartbeat so far are included: a process that has just started
+        would otherwise select among the few that it has received heartbeats from, and
+        disagree with all other VMs.
         """
         silence_s = self.membership.suspect_after_s()
         members = self.membership.members_by_name
-        alive = [
+        live = [
             CandidateVm(
                 name=each.name,
                 failure_domain=each.failure_domain,
@@ -102,9 +106,12 @@
                 or now - each.last_heartbeat_at <= silence_s
             )
         ]
-        return [*alive, *(each for each in self._listed() if each.name not in members)]
+        return [
+            *live,
+            *(each for each in self._listed_candidates() if each.name not in members),
+        ]
 
-    def _listed(self) -> list[CandidateVm]:
+    def _listed_candidates(self) -> list[CandidateVm]:
         return [
             CandidateVm(
                 name=each.name,
--- a/packages/daemon/src/plankspindle_daemon/quarantine/crash_detector.py
+++ b/packages/daemon/src/plankspindle_daemon/quarantine/crash_detector.py
@@ -1,4 +1,4 @@
-"""Finds out whether an upstream that broke a request off has ended."""
+"""Detects whether an upstream that dropped a request's connection has crashed."""
 
 from __future__ import annotations
 
@@ -26,13 +26,16 @@
     from plankspindle_daemon.dispatch.messages import Assign
 
 CONNECT_TIMEOUT_S = 0.5
-"""Longest wait for a connection to an upstream that broke a request off, in seconds."""
+"""Timeout of the connection attempt that checks an upstream, in seconds."""
 UNNUMBERED_INCARNATION_S = 5.0
-"""Time in which an upstream whose lives nobody numbers ends once, in seconds."""
+"""Length of the time slots that replace unknown incarnation numbers, in seconds.
+
+Crashes of an upstream within one slot count as one.
+"""
 CONNECTION_CLOSE_WAIT_S = 0.03
-"""Time in which the ends of all connections of a process arrive, in seconds."""
+"""Time in which the closings of all connections of a process arrive, in seconds."""
 MAX_CRASHED_INCARNATIONS = 1_024
-"""Lives that are known to have ended."""
+"""Number of crashed incarnations that are remembered."""
 
 
 @define(kw_only=True)
@@ -45,26 +48,26 @@
 
 @define(kw_only=True)
 class CrashDetector:
-    """Tell the quarantine of requests that were in flight where an upstream ended.
+    """Report requests in flight at crashed upstreams to the quarantine.
 
     Parameters
     ----------
     quarantine : Quarantine
-        The decisions.
+        Decides which requests are quarantined.
     pool : ConnectionPool
         Connections to upstreams.
     supervisor : Supervisor
-        Starter of tasks.
+        Starts tasks.
     send_messages : callable
         Sends messages to other entry VMs.
 
     Notes
     -----
-    A connection is lost for other reasons, too: a reset on the way, an answer that the
-    upstream broke off. A process that has ended closes its connections, the resting
-    ones as well, and its port refuses new ones until it is back after some seconds. So
-    one connection is tried where no resting one is left; a machine that says nothing
-    is none that a request has crashed.
+    A connection is also lost for other reasons, such as a reset by the network or a
+    response that the upstream aborted. A process that has exited closes all its
+    connections, idle ones included, and its port refuses new ones until it is back some
+    seconds later. One connection attempt is therefore made if no idle connection is
+    left. An attempt without any answer does not indicate a crash caused by a request.
     """
 
     quarantine: Quarantine
@@ -77,47 +80,49 @@
     async def handle_connection_loss(
         self, identity: RequestIdentity, assigned: Assign
     ) -> None:
-        """Take the loss of a connection with a request in flight.
+        """Handle the loss of a connection with a request in flight.
 
         Parameters
         ----------
         identity : RequestIdentity
             The request.
         assigned : Assign
-            Where it was.
+            The upstream that it was sent to.
         """
-        life = _incarnation_id_of(assigned)
+        incarnation_id = _incarnation_id_of(assigned)
         lost = _LostRequest(identity=identity, at=monotonic())
-        if life in self._crashed:
-            await self._report(life, [lost])
-        elif life in self._lost_by_incarnation:
-            self._lost_by_incarnation[life].append(lost)
+        if incarnation_id in self._crashed:
+            await self._report(incarnation_id, [lost])
+        elif incarnation_id in self._lost_by_incarnation:
+            self._lost_by_incarnation[incarnation_id].append(lost)
         else:
-            self._lost_by_incarnation[life] = [lost]
-            await self.supervisor.spawn(self._start_check, life, assigned.endpoint)
+            self._lost_by_incarnation[incarnation_id] = [lost]
+            await self.supervisor.spawn(
+                self._start_check, incarnation_id, assigned.endpoint
+            )
 
     async def handle_completion(self, identity: RequestIdentity) -> None:
-        """Take that an upstream ran a request to its end."""
+        """Handle a request that an upstream completed."""
         if self.quarantine.is_active:
             now = monotonic()
             await self.send_messages(
                 self.quarantine.record_completion(identity.value, now)
             )
 
-    async def _start_check(self, life: str, endpoint: Endpoint) -> None:
-        await self.supervisor.contain(self._check, life, endpoint)
+    async def _start_check(self, incarnation_id: str, endpoint: Endpoint) -> None:
+        await self.supervisor.contain(self._check, incarnation_id, endpoint)
 
-    async def _check(self, life: str, endpoint: Endpoint) -> None:
+    async def _check(self, incarnation_id: str, endpoint: Endpoint) -> None:
         try:
-            has_ended = await self._has_crashed(endpoint)
+            has_crashed = await self._has_crashed(endpoint)
         finally:
-            lost = self._lost_by_incarnation.pop(life)
-        if not has_ended:
+            lost = self._lost_by_incarnation.pop(incarnation_id)
+        if not has_crashed:
             return
-        self._crashed[life] = None
+        self._crashed[incarnation_id] = None
         while len(self._crashed) > MAX_CRASHED_INCARNATIONS:
             self._crashed.popitem(last=False)
-        await self._report(life, lost)
+        await self._report(incarnation_id, lost)
 
     async def _has_crashed(self, endpoint: Endpoint) -> bool:
         await sleep(CONNECTION_CLOSE_WAIT_S)
@@ -129,12 +134,12 @@
         failure = started.err()
         return failure is not None and failure.is_refused
 
-    async def _report(self, life: str, lost: list[_LostRequest]) -> None:
+    async def _report(self, incarnation_id: str, lost: list[_LostRequest]) -> None:
         for each in lost:
             identity, now = each.identity, monotonic()
             log_event(
                 "upstream_crashed",
-                upstream=life,
+                upstream=incarnation_id,
                 identity=identity.text,
                 method=identity.method,
                 path=identity.path,
@@ -142,12 +147,14 @@
                 in_flight=len(lost),
             )
             await self.send_messages(
-                self.quarantine.record_crash(identity.value, life, at=each.at, now=now)
+                self.quarantine.record_crash(
+                    identity.value, incarnation_id, at=each.at, now=now
+                )
             )
 
 
 def _incarnation_id_of(assigned: Assign) -> str:
-    """Name the life of an upstream, at all entry VMs alike."""
+    """Return the name of an upstream's incarnation, the same at all entry VMs."""
     if assigned.incarnation:
         return f"{assigned.upstream}#{assigned.incarnation}"
     return f"{assigned.upstream}@{int(time.time() / UNNUMBERED_INCARNATION_S)}"
--- a/packages/daemon/src/plankspindle_daemon/quarantine/crash_records.py
+++ b/packages/daemon/src/plankspindle_daemon/quarantine/crash_records.py
@@ -1,4 +1,4 @@
-"""Counts the upstreams that ended under each request."""
+"""Counts the upstreams that crashed while processing each request."""
 
 from __future__ import annotations
 
@@ -13,42 +13,43 @@
     from collections.abc import Iterable
 
 QUARANTINE_AFTER_CRASHES = 3
-"""Upstreams that end under a request before it is put in quarantine."""
+"""Number of upstream crashes after which a request is quarantined."""
 WATCH_AFTER_CRASHES = 2
-"""Upstreams that end under a request before all entry VMs look for an answer to it."""
+"""Number of upstream crashes after which all entry VMs watch for a completion of it."""
 MIN_CRASH_SPREAD_S = 0.15
-"""Least time between the first and the last end that make one suspected, in seconds.
+"""Minimum time from the first to the last crash of a suspected request, in seconds.
 
-Upstreams that end at one moment have a cause in common, which need not be the request.
+Upstreams that crash at the same moment have a common cause, which need not be the
+request.
 """
 CLEARANCE_WINDOW_S = 0.7
-"""Time in which an answer clears a watched request, in seconds.
+"""Time in which a completion clears a watched request, in seconds.
 
-One that many callers send is in flight at several upstreams that end at once of
-something else. It is answered elsewhere meanwhile.
+A request that many callers send is in flight at several upstreams when those crash at
+once for another reason. It completes at other upstreams in the meantime.
 """
 CRASH_RETENTION_S = 600.0
-"""Time for which an end counts, in seconds."""
+"""Time for which a crash counts, in seconds."""
 MAX_RECORDS = 4_096
 MAX_CRASHES_PER_REQUEST = 8
-"""Ends that are kept of one request."""
+"""Number of crashes that are stored for one request."""
 MAX_ATTRIBUTED = 1_024
 
 
 @define(kw_only=True)
 class CrashRecord:
-    """Upstreams that ended under one request.
+    """Upstreams that crashed while processing one request.
 
     Parameters
     ----------
     identity : int
-        The request.
+        Digest of the request.
     crashed_at_by_incarnation : dict of str to float
-        When lives of upstreams ended, monotonic seconds.
+        Crash times by upstream incarnation, monotonic seconds.
     watched_at : float, optional
-        Since when all entry VMs look for an answer, monotonic seconds.
+        Time from which all entry VMs watch for a completion, monotonic seconds.
     is_suspected : bool
-        Whether a try of it is sent to one upstream only.
+        Whether each attempt of the request is sent to a single upstream.
     """
 
     identity: int
@@ -57,25 +58,29 @@
     is_suspected: bool = False
 
     def update_state(self, now: float) -> bool:
-        """Watch and suspect the request if its ends say so; tell if that is new."""
+        """Update the watched and suspected states; return whether one changed."""
         before = (self.watched_at, self.is_suspected)
-        ends = self.crashed_at_by_incarnation.values()
-        if len(ends) >= WATCH_AFTER_CRASHES:
+        crash_times = self.crashed_at_by_incarnation.values()
+        if len(crash_times) >= WATCH_AFTER_CRASHES:
             self.watched_at = now if self.watched_at is None else self.watched_at
-            self.is_suspected |= max(ends) - min(ends) >= MIN_CRASH_SPREAD_S
+            self.is_suspected |= (
+                max(crash_times) - min(crash_times) >= MIN_CRASH_SPREAD_S
+            )
         return before != (self.watched_at, self.is_suspected)
 
     def expire(self, now: float) -> None:
-        """Forget ends that do not count any more."""
+        """Remove crashes that are past their retention time."""
         kept = self.crashed_at_by_incarnation.items()
         self.crashed_at_by_incarnation = {
-            life: at for life, at in kept if now - at <= CRASH_RETENTION_S
+            incarnation_id: at
+            for incarnation_id, at in kept
+            if now - at <= CRASH_RETENTION_S
         }
         if len(self.crashed_at_by_incarnation) < WATCH_AFTER_CRASHES:
             self.watched_at, self.is_suspected = None, False
 
     def is_quarantine_due(self, now: float) -> bool:
-        """Tell whether the request is to be put in quarantine."""
+        """Return whether the request must be quarantined now."""
         return (
             self.watched_at is not None
             and len(self.crashed_at_by_incarnation) >= QUARANTINE_AFTER_CRASHES
@@ -85,14 +90,15 @@
 
 @define(kw_only=True)
 class CrashRecords:
-    """Requests that were in flight at upstreams that ended.
+    """Requests that were in flight at upstreams that crashed.
 
     Notes
     -----
-    All that was in flight at an upstream ends with it, and nothing tells which request
-    it was. Only the one that crashes it is in flight at the next one, too. An end that
-    a quarantined request explains counts for no other: the callers of those that
-    crashed with it try again, and would meet it at a second and third upstream.
+    All requests that are in flight at an upstream fail when it crashes, and nothing
+    shows which one caused the crash. Only the request that causes crashes is in flight
+    at the next upstream that crashes, too. A crash that is attributed to a quarantined
+    request counts for no other request: callers of the requests that failed along with
+    it retry, and these retries would otherwise be present at a second and third crash.
     """
 
     records_by_identity: OrderedDict[int, CrashRecord] = Factory(OrderedDict)
@@ -101,66 +107,66 @@
     def record_crash(
         self, identity: int, incarnation_id: str, *, at: float, now: float
     ) -> bool:
-        """Count the end of an upstream.
+        """Record the crash of an upstream.
 
         Parameters
         ----------
         identity : int
-            A request that was in flight there.
+            Digest of a request that was in flight there.
         incarnation_id : str
-            Which life of which upstream ended.
+            Name and incarnation of the upstream that crashed.
         at, now : float
-            When it ended, and the time now, monotonic seconds.
+            Time of the crash and current time, monotonic seconds.
 
         Returns
         -------
         bool
-            Whether all entry VMs are to be told: they are to watch the request from now
-            on, or it is suspected now.
+            Whether all entry VMs must be notified, since the request has become watched
+            or suspected.
         """
         if incarnation_id in self._attributed:
             return False
-        case = self.records_by_identity.get(identity)
-        if case is None:
-            case = self.records_by_identity[identity] = CrashRecord(identity=identity)
+        record = self.records_by_identity.get(identity)
+        if record is None:
+            record = self.records_by_identity[identity] = CrashRecord(identity=identity)
             while len(self.records_by_identity) > MAX_RECORDS:
                 self.records_by_identity.popitem(last=False)
         self.records_by_identity.move_to_end(identity)
-        case.expire(now)
-        if len(case.crashed_at_by_incarnation) < MAX_CRASHES_PER_REQUEST:
-            case.crashed_at_by_incarnation.setdefault(incarnation_id, at)
-        return case.update_state(now)
+        record.expire(now)
+        if len(record.crashed_at_by_incarnation) < MAX_CRASHES_PER_REQUEST:
+            record.crashed_at_by_incarnation.setdefault(incarnation_id, at)
+        return record.update_state(now)
 
     def clear(self, identity: int) -> None:
-        """Forget a request that was answered."""
+        """Discard the record of a request that completed."""
         self.records_by_identity.pop(identity, None)
 
     def attribute_crashes(self, incarnation_ids: Iterable[str]) -> None:
-        """Take ends that a quarantined request has brought about off the others."""
-        for life in incarnation_ids:
-            self._attributed[life] = None
-            for identity, case in list(self.records_by_identity.items()):
-                if case.crashed_at_by_incarnation.pop(life, None) is None:
+        """Remove crashes that a quarantined request caused from all other requests."""
+        for incarnation_id in incarnation_ids:
+            self._attributed[incarnation_id] = None
+            for identity, record in list(self.records_by_identity.items()):
+                if record.crashed_at_by_incarnation.pop(incarnation_id, None) is None:
                     continue
-                if not case.crashed_at_by_incarnation:
+                if not record.crashed_at_by_incarnation:
                     del self.records_by_identity[identity]
         while len(self._attributed) > MAX_ATTRIBUTED:
             self._attributed.popitem(last=False)
 
     def expire(self, now: float) -> None:
-        """Forget requests of which no end counts any more; each tick looks at all."""
-        for identity, case in list(self.records_by_identity.items()):
-            case.expire(now)
-            if not case.crashed_at_by_incarnation:
+        """Discard requests without crashes that still count."""
+        for identity, record in list(self.records_by_identity.items()):
+            record.expire(now)
+            if not record.crashed_at_by_incarnation:
                 del self.records_by_identity[identity]
 
     def pop_due(self, now: float) -> list[CrashRecord]:
-        """Take out the requests that are to be put in quarantine."""
+        """Remove and return the requests that must be quarantined now."""
         due = [
             each
             for each in self.records_by_identity.values()
             if each.is_quarantine_due(now)
         ]
-        for case in due:
-            del self.records_by_identity[case.identity]
+        for record in due:
+            del self.records_by_identity[record.identity]
         return due
--- a/packages/daemon/src/plankspindle_daemon/quarantine/quarantine.py
+++ b/packages/daemon/src/plankspindle_daemon/quarantine/quarantine.py
@@ -1,4 +1,4 @@
-"""State machine that holds back requests under which upstreams end."""
+"""State machine that blocks requests that crash upstreams."""
 
 from __future__ import annotations
 
@@ -30,52 +30,55 @@
     from plankspindle_daemon.peer_messages.heartbeat import Heartbeat
 
 MIN_SYNC_INTERVAL_S = 1.0
-"""Least time between two lists told to one member, in seconds."""
+"""Minimum time between two transfers of the full state to one member, in seconds."""
 EXPIRY_INTERVAL_S = 10.0
-"""Period of forgetting what is old, in seconds."""
+"""Interval between removals of expired state, in seconds."""
 MAX_NEW_ENTRIES = 8
 NEW_ENTRY_WINDOW_S = 60.0
-"""Requests that are put in quarantine within some seconds, at most.
+"""At most MAX_NEW_ENTRIES requests are quarantined within this time, in seconds.
 
-Where upstreams crash under more of them, it is the upstreams: a release that ends under
-any request must not leave each popular one held back once it is undone.
+If upstreams crash under more requests than that, the upstreams are the cause: a release
+that crashes on any request must not leave every frequent request blocked after it has
+been rolled back.
 """
 MAX_CHANGES = 64
-"""Changes that are kept for the log."""
+"""Number of changes that are kept until they are logged."""
 ENTRIES_PER_MESSAGE = 32
 
 
 @define(kw_only=True)
 class Quarantine:
-    """Decide which requests are sent to no upstream any more.
+    """Decide which requests are no longer sent to any upstream.
 
     Parameters
     ----------
     vm : str
-        This VM.
+        Name of this VM.
     aggregators : AggregatorSelector
-        Which entry VMs count for a request, and where they are.
+        Selects the entry VMs that aggregate the crash reports of a request.
 
     Attributes
     ----------
     quarantine_list : QuarantineList
-        What is held back.
+        Quarantined requests.
     is_unsaved : bool
-        Whether something was decided here that the platform does not hold yet.
+        Whether a decision of this VM is not yet stored at the platform.
     needs_reread : bool
-        Whether an upstream ended here under a request that others may hold back.
+        Whether an upstream crashed here under a request that other VMs may have
+        quarantined.
     watched, suspected : RecentIdentities
-        Requests whose answers are told, and those that are sent to one upstream a try.
+        Requests whose completions are reported, and those of which each attempt is sent
+        to a single upstream.
     crashes_reported, requests_refused : int
-        Ends of upstreams that were noticed here, and requests that were held back here.
+        Upstream crashes that this VM detected, and requests that it blocked.
     changes : list of QuarantineChange
-        What changed, to be logged.
+        Changes that are not logged yet.
 
     Notes
     -----
-    A try tells nothing of earlier ones: it has an id of its own, and comes to any entry
-    VM. A retry budget bounds the retries of all requests together, so that one that
-    crashes an upstream each time goes on to the next for as long as its caller tries.
+    Attempts by a caller have ids of their own and arrive at any entry VM. A retry
+    budget bounds the retries of all requests together, so a request that crashes an
+    upstream each time would continue to the next one for as long as its caller retries.
     """
 
     vm: str
@@ -95,36 +98,32 @@
 
     @classmethod
     def create(cls, vm: str, failure_domain: str, membership: Membership) -> Quarantine:
-        """Make one that knows of nothing, for an entry VM and its members."""
-        counting = AggregatorSelector(
+        """Create an empty quarantine for an entry VM and its members."""
+        aggregators = AggregatorSelector(
             vm=vm, failure_domain=failure_domain, membership=membership
         )
-        return cls(vm=vm, aggregators=counting)
+        return cls(vm=vm, aggregators=aggregators)
 
     @property
     def is_active(self) -> bool:
-        """Whether requests must be identified: some are held back or watched."""
+        """Whether requests must be identified: some are quarantined or watched."""
         return bool(self.quarantine_list.entries_by_identity or self.watched)
 
     def is_suspected(self, identity: int) -> bool:
-        """Tell whether several upstreams ended under a request.
+        """Return whether several upstreams crashed under a request.
 
-        Notes
-        -----
-        It may be tried again by its caller, but is sent to one upstream a try: of two
-        upstreams that such a request ends, the second brings no further evidence of
-        worth, and fails all that is in flight there.
+        Its caller may retry it, but each attempt is sent to a single upstream. If one
+        attempt crashed two upstreams, the second crash would add no useful evidence and
+        would fail everything in flight there.
         """
         return identity in self.suspected
 
     def blocking_entry(self, identity: int, now: float) -> QuarantineEntry | None:
-        """Give the entry by which a request is held back; None if it may be sent now.
+        """Return the entry that blocks a request, or None if it may be sent now.
 
-        Notes
-        -----
-        A quarantined request is let through now and then, so that one that is answered
-        again is released. Of all entry VMs only the first of those that count for it
-        does so: no message decides who may, and many callers' request comes there soon.
+        A quarantined request is sent occasionally as a probe attempt, so that it is
+        released once it completes again. Only the first of its aggregators does so:
+        that needs no messages, and a request that many callers send arrives there soon.
         """
         entry = self.quarantine_list.entries_by_identity.get(identity)
         if entry is None or self._may_probe(entry, now):
@@ -135,47 +134,37 @@
     def blocking_entry_on_send(
         self, identity: int, now: float
     ) -> QuarantineEntry | None:
-        """Say the same of a request that has an upstream, and note its trial.
+        """Do the same for a request that has an upstream, and record a probe attempt.
 
-        Notes
-        -----
-        A trial is noted here only: a request that is let through may find no upstream.
+        `blocking_entry` does not record it, since the request may still find no
+        upstream.
         """
-        held = self.blocking_entry(identity, now)
+        blocking = self.blocking_entry(identity, now)
         entry = self.quarantine_list.entries_by_identity.get(identity)
-        if held is None and entry is not None:
+        if blocking is None and entry is not None:
             self._record_probe(entry, now)
-        return held
+        return blocking
 
     def _may_probe(self, entry: QuarantineEntry, now: float) -> bool:
-        """Tell whether a request is to be let through here."""
+        """Return whether a request may be sent here as a probe attempt."""
         if now < entry.next_probe_at:
             return False
         return self.aggregators.select(entry.identity, now)[0].name == self.vm
 
     def _record_probe(self, entry: QuarantineEntry, now: float) -> None:
-        tried = evolve(entry, probe_attempts=entry.probe_attempts + 1)
-        self.quarantine_list.add(tried)
+        probed = evolve(entry, probe_attempts=entry.probe_attempts + 1)
+        self.quarantine_list.add(probed)
         self.is_unsaved = True
-        self._record_change(
-            "quarantine_trial", entry.identity, trial=tried.probe_attempts
-        )
-        news = CrashNews(sender=self.vm, quarantined=(_as_message(tried, now),))
-        self.resend_queue.send_later(self._to_all(news), now)
+        self._log("quarantine_trial", entry.identity, trial=probed.probe_attempts)
+        update = CrashNews(sender=self.vm, quarantined=(_as_message(probed, now),))
+        self.resend_queue.send_later(self._to_all(update), now)
 
     def record_crash(
         self, identity: int, incarnation_id: str, *, at: float, now: float
     ) -> list[SendToPeer]:
-        """Take the end of an upstream with a request in flight there.
-
-        Parameters
-        ----------
-        identity : int
-            The request.
-        incarnation_id : str
-            Which life of which upstream ended.
-        at, now : float
-            When it was lost, and the time now, monotonic seconds.
+        """Record the crash of an upstream incarnation with a request in flight.
+
+        ``at`` is the time of the connection loss; both times are monotonic seconds.
         """
         self.crashes_reported += 1
         if identity in self.quarantine_list.entries_by_identity:
@@ -184,23 +173,23 @@
         self.watched.add(identity, now)
         ago_ms = round(1000 * max(0.0, now - at))
         report = CrashReport(identity=identity, life=incarnation_id, ago_ms=ago_ms)
-        news = CrashNews(sender=self.vm, reports=(report,))
-        return self._send_to_aggregators(identity, news, now)
+        update = CrashNews(sender=self.vm, reports=(report,))
+        return self._send_to_aggregators(identity, update, now)
 
     def record_completion(self, identity: int, now: float) -> list[SendToPeer]:
-        """Take that an upstream ran a request to its end."""
+        """Record that an upstream completed a request."""
         if identity in self.quarantine_list.entries_by_identity:
             return self.lift(identity, now)
-        news = self._clearance(identity)
+        update = self._clearance(identity)
         if not self.watched.remove(identity):
             return []
-        return self._send_to_aggregators(identity, news, now)
+        return self._send_to_aggregators(identity, update, now)
 
     def lift(self, identity: int, now: float) -> list[SendToPeer]:
         """Release a request at all entry VMs."""
         if identity not in self.quarantine_list.entries_by_identity:
             return []
-        self._apply_clearance(identity, now, now)
+        self._clear(identity, now, now)
         self.is_unsaved = True
         return self.resend_queue.send(self._to_all(self._clearance(identity)), now)
 
@@ -211,17 +200,7 @@
     def handle_update(
         self, update: CrashNews, reply_to: Endpoint, now: float
     ) -> list[SendToPeer]:
-        """Take news of another entry VM.
-
-        Parameters
-        ----------
-        update : CrashNews
-            What it tells.
-        reply_to : Endpoint
-            Where it is reached.
-        now : float
-            Monotonic seconds.
-        """
+        """Apply an update of the VM at ``reply_to``; times in monotonic seconds."""
         effects: list[SendToPeer] = []
         for identity in update.watched:
             self.watched.add(identity, now)
@@ -231,39 +210,38 @@
             self._apply_entry(each, now)
         for cleared in update.cleared:
             at = now - cleared.ago_ms / 1000
-            effects += self._apply_clearance(cleared.identity, at, now)
+            effects += self._clear(cleared.identity, at, now)
         for report in update.reports:
             effects += self._apply_report(report, reply_to, now)
         return effects
 
     def handle_heartbeat(self, heartbeat: Heartbeat, now: float) -> list[SendToPeer]:
-        """Tell a member what is held back if it knows something else.
+        """Send the full state to a member whose digest differs.
 
-        Notes
-        -----
-        This repairs what was lost, and tells processes that have started meanwhile or
-        were cut off: at any size within a second or two, by heartbeats to watchers.
+        This repairs lost messages, and updates processes that were restarted or
+        partitioned in the meantime: within a second or two at any fleet size, by the
+        heartbeats to watchers.
         """
         if (
             heartbeat.quarantine_digest == self.quarantine_list.digest
             or not self.quarantine_list.digest
         ):
             return []
-        told_at = self._synced_at_by_vm.get(heartbeat.sender, -math.inf)
-        if now - told_at < MIN_SYNC_INTERVAL_S:
+        synced_at = self._synced_at_by_vm.get(heartbeat.sender, -math.inf)
+        if now - synced_at < MIN_SYNC_INTERVAL_S:
             return []
         self._synced_at_by_vm[heartbeat.sender] = now
         return [
-            SendToPeer(message=news, to=heartbeat.peer_endpoint)
-            for news in self._full_state(now)
+            SendToPeer(message=update, to=heartbeat.peer_endpoint)
+            for update in self._full_state(now)
         ]
 
     def tick(self, now: float) -> list[SendToPeer]:
-        """Let some time pass."""
+        """Quarantine due requests, and return the messages that are due."""
         effects: list[SendToPeer] = []
         if self.crash_records.records_by_identity:
-            for case in self.crash_records.pop_due(now):
-                effects += self._quarantine(case, now)
+            for record in self.crash_records.pop_due(now):
+                effects += self._quarantine(record, now)
         effects += self.resend_queue.pop_due(now)
         if now >= self._next_expiry:
             self._next_expiry = now + EXPIRY_INTERVAL_S
@@ -271,36 +249,34 @@
         return effects
 
     def restore(self, entry: QuarantineEntry) -> None:
-        """Take what the platform holds since before this process started."""
+        """Add an entry that is stored at the platform."""
         if self.quarantine_list.add(entry):
-            self._record_change("request_quarantined", entry.identity, by="platform")
+            self._log("request_quarantined", entry.identity, by="platform")
 
     def _quarantine(self, record: CrashRecord, now: float) -> list[SendToPeer]:
-        """Put a request in quarantine, and tell all of it."""
+        """Quarantine a request, and notify all entry VMs."""
         known = self.quarantine_list.entries_by_identity.values()
         if (
             sum(now - each.quarantined_at < NEW_ENTRY_WINDOW_S for each in known)
             >= MAX_NEW_ENTRIES
         ):
-            self._record_change(
-                "quarantine_withheld", record.identity, others=MAX_NEW_ENTRIES
-            )
+            self._log("quarantine_withheld", record.identity, others=MAX_NEW_ENTRIES)
             return []
         entry = QuarantineEntry(identity=record.identity, quarantined_at=now)
         if not self.quarantine_list.add(entry):
             return []
-        lives = tuple(record.crashed_at_by_incarnation)
-        self.crash_records.attribute_crashes(lives)
+        incarnation_ids = tuple(record.crashed_at_by_incarnation)
+        self.crash_records.attribute_crashes(incarnation_ids)
         self.is_unsaved = True
-        self._record_change(
+        self._log(
             "request_quarantined",
             record.identity,
             by=self.vm,
-            upstreams=",".join(lives),
+            upstreams=",".join(incarnation_ids),
         )
-        told = evolve(_as_message(entry, now), lives=lives)
-        news = CrashNews(sender=self.vm, quarantined=(told,))
-        return self.resend_queue.send(self._to_all(news), now)
+        message = evolve(_as_message(entry, now), lives=incarnation_ids)
+        update = CrashNews(sender=self.vm, quarantined=(message,))
+        return self.resend_queue.send(self._to_all(update), now)
 
     def _apply_report(
         self, report: CrashReport, reply_to: Endpoint | None, now: float
@@ -310,58 +286,54 @@
             self.crash_records.attribute_crashes((report.life,))
             if reply_to is None:
                 return []
-            news = CrashNews(sender=self.vm, quarantined=(_as_message(entry, now),))
-            return [SendToPeer(message=news, to=reply_to)]
+            update = CrashNews(sender=self.vm, quarantined=(_as_message(entry, now),))
+            return [SendToPeer(message=update, to=reply_to)]
         at = now - report.ago_ms / 1000
         if not self.crash_records.record_crash(
             report.identity, report.life, at=at, now=now
         ):
             return []
         self.watched.add(report.identity, now)
-        case = self.crash_records.records_by_identity[report.identity]
-        suspected = (report.identity,) if case.is_suspected else ()
+        record = self.crash_records.records_by_identity[report.identity]
+        suspected = (report.identity,) if record.is_suspected else ()
         if suspected:
             self.suspected.add(report.identity, now)
-        self._record_change(
+        self._log(
             "request_watched",
             report.identity,
-            upstreams=",".join(case.crashed_at_by_incarnation),
+            upstreams=",".join(record.crashed_at_by_incarnation),
         )
         watch = CrashNews(
             sender=self.vm, watched=(report.identity,), suspected=suspected
         )
         return self.resend_queue.send(self._to_all(watch), now)
 
-    def _apply_entry(self, quarantined: Quarantined, now: float) -> None:
+    def _apply_entry(self, message: Quarantined, now: float) -> None:
         entry = QuarantineEntry(
-            identity=quarantined.identity,
-            quarantined_at=now - quarantined.ago_ms / 1000,
-            probe_attempts=quarantined.trials,
+            identity=message.identity,
+            quarantined_at=now - message.ago_ms / 1000,
+            probe_attempts=message.trials,
         )
         if self.quarantine_list.add(entry):
-            self.crash_records.clear(quarantined.identity)
-            self._record_change(
-                "request_quarantined", quarantined.identity, by="member"
-            )
-        self.crash_records.attribute_crashes(quarantined.lives)
+            self.crash_records.clear(message.identity)
+            self._log("request_quarantined", message.identity, by="member")
+        self.crash_records.attribute_crashes(message.lives)
 
-    def _apply_clearance(
-        self, identity: int, at: float, now: float
-    ) -> list[SendToPeer]:
-        """Forget what speaks against a request; tell all that had been told of it."""
-        case = self.crash_records.records_by_identity.get(identity)
+    def _clear(self, identity: int, at: float, now: float) -> list[SendToPeer]:
+        """Discard the crashes of a request; notify all VMs that watch it."""
+        record = self.crash_records.records_by_identity.get(identity)
         self.crash_records.clear(identity)
         self.suspected.remove(identity)
         if self.quarantine_list.clear(identity, at):
-            self._record_change("quarantine_lifted", identity)
-        if case is None or case.watched_at is None:
+            self._log("quarantine_lifted", identity)
+        if record is None or record.watched_at is None:
             return []
         return self.resend_queue.send(self._to_all(self._clearance(identity)), now)
 
     def _send_to_aggregators(
         self, identity: int, update: CrashNews, now: float
     ) -> list[SendToPeer]:
-        """Tell those that count for a request, this VM among them perhaps."""
+        """Send an update to a request's aggregators; apply it if this VM is one."""
         effects: list[SendToPeer] = []
         own: list[SendToPeer] = []
         for each in self.aggregators.select(identity, now):
@@ -371,7 +343,7 @@
             for report in update.reports:
                 own += self._apply_report(report, None, now)
             for cleared in update.cleared:
-                own += self._apply_clearance(cleared.identity, now, now)
+                own += self._clear(cleared.identity, now, now)
         return [*own, *self.resend_queue.send(effects, now)]
 
     def _to_all(self, update: CrashNews) -> list[SendToPeer]:
@@ -381,10 +353,10 @@
         ]
 
     def _full_state(self, now: float) -> list[CrashNews]:
-        """Give all that is held back or was cleared, in parts."""
-        held = [
-            _as_message(e, now)
-            for e in self.quarantine_list.entries_by_identity.values()
+        """Return all quarantined and cleared requests, in messages of bounded size."""
+        quarantined = [
+            _as_message(entry, now)
+            for entry in self.quarantine_list.entries_by_identity.values()
         ]
         cleared = [
             Clearance(identity=identity, ago_ms=round(1000 * (now - at)))
@@ -394,10 +366,10 @@
         return [
             CrashNews(
                 sender=self.vm,
-                quarantined=tuple(held[first : first + size]),
+                quarantined=tuple(quarantined[first : first + size]),
                 cleared=tuple(cleared[first : first + size]),
             )
-            for first in range(0, max(len(held), len(cleared)), size)
+            for first in range(0, max(len(quarantined), len(cleared)), size)
         ]
 
     def _expire(self, now: float) -> None:
@@ -411,7 +383,7 @@
             if now - at < MIN_SYNC_INTERVAL_S
         }
 
-    def _record_change(self, event: str, identity: int, **fields: object) -> None:
+    def _log(self, event: str, identity: int, **fields: object) -> None:
         change = QuarantineChange(event=event, identity=identity, fields=fields)
         self.changes = [*self.changes, change][-MAX_CHANGES:]
 
--- a/packages/daemon/src/plankspindle_daemon/quarantine/quarantine_change.py
+++ b/packages/daemon/src/plankspindle_daemon/quarantine/quarantine_change.py
@@ -1,4 +1,4 @@
-"""What changes in a quarantine, to be logged."""
+"""Changes of a quarantine that are to be logged."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 @frozen(kw_only=True)
 class QuarantineChange:
-    """One change.
+    """One change of a quarantine.
 
     Parameters
     ----------
     event : str
-        Name of the event, in snake case.
+        Name of the log event, in snake case.
     identity : int
-        The request.
+        Digest of the request.
     fields : dict of str to object
-        What else is known.
+        Further fields of the log event.
     """
 
     event: str
--- a/packages/daemon/src/plankspindle_daemon/quarantine/quarantine_list.py
+++ b/packages/daemon/src/plankspindle_daemon/quarantine/quarantine_list.py
@@ -1,4 +1,4 @@
-"""The requests that are held back, as one entry VM knows them."""
+"""The list of quarantined requests at one entry VM."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 from plankspindle_core.stable_hash import stable_hash
 
 FIRST_PROBE_DELAY_S = 60.0
-"""Time until a quarantined request is let through for the first time, in seconds.
+"""Time until the first probe attempt of a quarantined request, in seconds.
 
-Each further one comes after twice the time. A trial costs an upstream if the request
-still crashes it, and all that is in flight there.
+The delay doubles with each further one. A probe attempt costs an upstream, and
+everything in flight there, if the request still crashes it.
 """
 MAX_PROBE_DELAY_S = 3_600.0
 ENTRY_RETENTION_S = 86_400.0
-"""Time after which a quarantined request is forgotten, in seconds."""
+"""Time after which a quarantined request is removed, in seconds."""
 MAX_ENTRIES = 256
 AGE_TOLERANCE_S = 2.0
-"""Time by which ages that entry VMs tell may be off, in seconds.
+"""Tolerated error of the ages in messages between entry VMs, in seconds.
 
-A clearance of up to that much earlier goes before a quarantine.
+A clearance takes precedence over a quarantine that began up to this much later.
 """
 
 
 @frozen(kw_only=True)
 class QuarantineEntry:
-    """A request that is held back.
+    """A quarantined request.
 
     Parameters
     ----------
     identity : int
-        The request.
+        Digest of the request.
     quarantined_at : float
-        When it was put in quarantine, monotonic seconds.
+        When it was quarantined, monotonic seconds.
     probe_attempts : int
-        How often it was let through since then.
+        Number of probe attempts since then.
     """
 
     identity: int
@@ -45,29 +45,29 @@
 
     @property
     def next_probe_at(self) -> float:
-        """When it is let through next, monotonic seconds."""
+        """Time of the next probe attempt, monotonic seconds."""
         waited_s = 0.0
-        for trial in range(
+        for attempt in range(
             min(self.probe_attempts + 1, int(ENTRY_RETENTION_S / FIRST_PROBE_DELAY_S))
         ):
             waited_s += min(
-                MAX_PROBE_DELAY_S, FIRST_PROBE_DELAY_S * 2.0 ** min(trial, 16)
+                MAX_PROBE_DELAY_S, FIRST_PROBE_DELAY_S * 2.0 ** min(attempt, 16)
             )
         return self.quarantined_at + waited_s
 
 
 @define(kw_only=True)
 class QuarantineList:
-    """Quarantined requests, and those that were cleared again.
+    """Quarantined requests, and requests that were cleared again.
 
     Attributes
     ----------
     entries_by_identity : dict of int to QuarantineEntry
-        What is held back.
+        Quarantined requests.
     cleared_at_by_identity : dict of int to float
-        When requests were answered after they had been held back, monotonic seconds.
+        When formerly quarantined requests were cleared, monotonic seconds.
     digest : int
-        Digest of both, 64 bits; zero if there is nothing.
+        Digest of both, 64 bits; zero if both are empty.
     """
 
     entries_by_identity: dict[int, QuarantineEntry] = Factory(dict)
@@ -75,12 +75,12 @@
     digest: int = 0
 
     def add(self, entry: QuarantineEntry) -> bool:
-        """Take an entry, made here or told; tell whether it is new.
+        """Add an entry of this or another VM; return whether it is new.
 
         Notes
         -----
-        Of two entries of one request, the one with more trials counts: the next
-        follows later.
+        Of two entries of one request, the one with more probe attempts is kept, since
+        its next attempt is later.
         """
         cleared_at = self.cleared_at_by_identity.get(entry.identity)
         if (
@@ -98,7 +98,7 @@
         return known is None
 
     def clear(self, identity: int, at: float) -> bool:
-        """Take out a request that was answered; tell whether it was held back."""
+        """Remove a request that completed; return whether it was quarantined."""
         known = self.entries_by_identity.get(identity)
         if known is None or known.quarantined_at > at + AGE_TOLERANCE_S:
             return False
@@ -108,7 +108,7 @@
         return True
 
     def expire(self, now: float) -> None:
-        """Forget what is old."""
+        """Remove entries and clearances that are past their retention time."""
         before = len(self.entries_by_identity) + len(self.cleared_at_by_identity)
         self.entries_by_identity = {
             each.identity: each
--- a/packages/daemon/src/plankspindle_daemon/quarantine/quarantine_store.py
+++ b/packages/daemon/src/plankspindle_daemon/quarantine/quarantine_store.py
@@ -1,4 +1,4 @@
-"""Keeps the quarantine at the platform, for a fleet that starts anew."""
+"""Stores the quarantine at the platform, so that it survives a restart of the fleet."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 ROW_KEY = "quarantine"
 MIN_REREAD_INTERVAL_S = 2.0
-"""Least time between two reads that ends of upstreams lead to, in seconds."""
+"""Minimum time between two reads that upstream crashes cause, in seconds."""
 RETRY_S = 1.0
 """Pause after a call that failed, in seconds."""
 MAX_PROBE_ATTEMPTS = 65_535
@@ -38,23 +38,24 @@
 
 @define(kw_only=True)
 class QuarantineStore:
-    """Read the row once, and write it whenever this VM decides something.
+    """Read the row at the start, and write it whenever this VM decides something.
 
     Parameters
     ----------
     quarantine : Quarantine
-        The decisions.
+        The quarantine to be stored.
     platform : PlatformClient
-        Keeper of the row.
+        Client of the platform that holds the row.
     random : Random
         Source of the jitter of pauses.
 
     Notes
     -----
-    Entry VMs tell one another within a second or two, but when all of them end at once
-    none is left that knows, and one that is cut off from the others hears nothing. All
-    entries stand in one row: it is read once a start and where an upstream ends, and
-    written only when a request is put in quarantine, tried or released.
+    Entry VMs notify one another within a second or two, but if all of them stop at once
+    the state is lost, and a VM that is partitioned from the others receives no updates.
+    All entries are in one row: it is read once at the start and when an upstream
+    crashes, and written only when a request is quarantined, sent as a probe attempt or
+    released.
     """
 
     quarantine: Quarantine
@@ -64,7 +65,7 @@
     _read_at: float = -math.inf
 
     async def run(self) -> None:
-        """Keep it for ever."""
+        """Read and write the row until the task is cancelled."""
         while (await self._read()).is_err():
             await self._pause()
         while True:
@@ -77,7 +78,7 @@
                     await self._pause()
 
     async def wake_if_needed(self) -> None:
-        """Begin to write what was decided here, or to read what others decided."""
+        """Wake the task if the row must be written or read again."""
         may_read = monotonic() - self._read_at >= MIN_REREAD_INTERVAL_S
         if self.quarantine.is_unsaved or (self.quarantine.needs_reread and may_read):
             await self._wake_event.set()
@@ -95,7 +96,7 @@
         return read
 
     async def _save(self) -> bool:
-        """Write what is known, together with what the row holds; tell if that went."""
+        """Merge the state with the row and write it; return whether that succeeded."""
         read = await self._read()
         if read.is_err():
             return False
@@ -129,7 +130,7 @@
 
 
 def _entries_of(value: dict[str, Any] | None) -> list[QuarantineEntry]:
-    """Read the row; one that was damaged holds nothing back."""
+    """Return the entries of the row; a damaged row has none."""
     wall_behind_s = monotonic() - time.time()
     match _parse(value or {"entries": []}):
         case Ok(parsed):
@@ -137,9 +138,9 @@
                 QuarantineEntry(
                     identity=identity,
                     quarantined_at=at + wall_behind_s,
-                    probe_attempts=trials,
+                    probe_attempts=probe_attempts,
                 )
-                for identity, at, trials in parsed
+                for identity, at, probe_attempts in parsed
                 if abs(time.time() - at) < ENTRY_RETENTION_S
             ]
         case Err(detail):
@@ -150,12 +151,14 @@
 def _parse(value: dict[str, Any]) -> Result[list[tuple[int, int, int]], str]:
     try:
         parsed = [
-            (int(identity, 16), int(at), int(trials))
-            for identity, at, trials in value["entries"]
+            (int(identity, 16), int(at), int(probe_attempts))
+            for identity, at, probe_attempts in value["entries"]
         ]
     except (KeyError, TypeError, ValueError, OverflowError) as error:
         return Err(f"{type(error).__name__}: {error}")
-    for identity, _, trials in parsed:
-        if not (0 <= identity < 1 << 64 and 0 <= trials <= MAX_PROBE_ATTEMPTS):
-            return Err(f"no entry: {identity:x}, {trials}")
+    for identity, _, probe_attempts in parsed:
+        if not (0 <= identity < 1 << 64 and 0 <= probe_attempts <= MAX_PROBE_ATTEMPTS):
+            return Err(
+                f"invalid entry: identity {identity:x}, probe attempts {probe_attempts}"
+            )
     return Ok(parsed)
--- a/packages/daemon/src/plankspindle_daemon/quarantine/recent_identities.py
+++ b/packages/daemon/src/plankspindle_daemon/quarantine/recent_identities.py
@@ -1,4 +1,4 @@
-"""A bounded set of requests that were named lately."""
+"""A bounded set of requests, by the time at which each was last added."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 
 @define(kw_only=True)
 class RecentIdentities:
-    """Requests and when each was named last; the oldest go beyond a bound."""
+    """Requests and when each was last added; beyond a bound the oldest are removed."""
 
     _added_at: dict[int, float] = Factory(dict)
 
     def __contains__(self, identity: int) -> bool:
-        """Tell whether a request was named lately."""
+        """Return whether a request is in the set."""
         return identity in self._added_at
 
     def __len__(self) -> int:
-        """Count them."""
+        """Return the number of requests."""
         return len(self._added_at)
 
     def add(self, identity: int, now: float) -> None:
-        """Note that a request is named now."""
+        """Add a request, or renew it, at the current time in monotonic seconds."""
         self._added_at.pop(identity, None)
         self._added_at[identity] = now
         if len(self._added_at) > MAX_IDENTITIES:
             del self._added_at[next(iter(self._added_at))]
 
     def remove(self, identity: int) -> bool:
-        """Forget a request; tell whether it was there."""
+        """Remove a request; return whether it was in the set."""
         return self._added_at.pop(identity, None) is not None
 
     def expire(self, *, before: float) -> None:
-        """Forget what was named before a time, in monotonic seconds."""
+        """Remove requests that were last added before a time in monotonic seconds."""
         kept = self._added_at.items()
         self._added_at = {identity: at for identity, at in kept if at >= before}
--- a/packages/daemon/src/plankspindle_daemon/quarantine/request_identity.py
+++ b/packages/daemon/src/plankspindle_daemon/quarantine/request_identity.py
@@ -1,4 +1,4 @@
-"""What makes two tries the same request."""
+"""Identifies attempts that belong to the same request."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @define(kw_only=True)
 class RequestIdentity:
-    """Tell a request by who asks for what, whatever id its tries carry.
+    """Identify a request by its caller and content, independent of the attempt's id.
 
     Parameters
     ----------
@@ -25,16 +25,19 @@
     method, target : str
         Request line.
     headers : list of (bytes, bytes)
-        Headers of the caller; of them only the host counts, and that not for paths that
-        name a service: another entry VM may have passed the request on.
+        Headers of the caller, of which only Host is used.
+    names_service : bool
+        Whether the path names a service; Host is ignored then, since another entry VM
+        may have forwarded the request.
     body : bytes, optional
-        Its body, if that is at hand whole; otherwise its declared length counts.
+        The complete body if it is buffered; otherwise the declared length is used.
 
     Notes
     -----
-    The service is no part of it: a route may move to another one, and the request
-    crashes that one's upstreams, too. The digest is made once it is needed, so that a
-    request costs nothing while none is suspected and no upstream ends.
+    The service is not part of the identity: a route may move to another service, and
+    the request crashes the upstreams of that one, too. The digest is computed on first
+    use, so that a request costs nothing while none is suspected and no upstream
+    crashes.
     """
 
     caller: str | None
@@ -54,12 +57,12 @@
 
     @property
     def text(self) -> str:
-        """The digest as logs and commands name it."""
+        """The digest as it is written in logs and commands."""
         return identity_text(self.value)
 
     @property
     def path(self) -> str:
-        """Path without its query, as far as logs show it."""
+        """Path without its query, truncated for logs."""
         return self.target.partition("?")[0][:MAX_PATH_LOGGED]
 
     def _digest(self) -> int:
@@ -81,5 +84,5 @@
 
 
 def identity_text(identity: int) -> str:
-    """Write an identity as logs and commands name it."""
+    """Return an identity as it is written in logs and commands."""
     return f"{identity:016x}"
--- a/packages/daemon/tests/quarantine/test_crash_probe.py
+++ b/packages/daemon/tests/quarantine/test_crash_detector.py
@@ -1,4 +1,4 @@
-"""Tests of what tells an upstream that ended from one that broke a request off."""
+"""Tests of telling a crashed upstream from one that dropped a connection."""
 
 from __future__ import annotations
 
@@ -24,36 +24,36 @@
 SETTLED_S = 0.1
 
 
-async def lose(*, listens: bool, rests: bool) -> Quarantine:
-    """Lose two requests at an upstream that still listens or does not."""
+async def lose_requests(*, listening: bool, idle: bool) -> Quarantine:
+    """Lose the connections of two requests at an upstream, listening or not."""
     endpoint = Endpoint(host_of_run(7, 31), next(_PORTS))
     pool = ConnectionPool(max_per_endpoint=4, connect_timeout_s=1.0)
     quarantine = Quarantine.create("a", "ba-1", build_membership("a"))
 
-    async def send(news: Any) -> None:
+    async def send(messages: Any) -> None:
         return None
 
     async def hold(client: Any, _: Any) -> None:
         await client.recv(100)
 
-    probe = CrashDetector(
+    detector = CrashDetector(
         quarantine=quarantine, pool=pool, supervisor=Supervisor(), send_messages=send
     )
     server = None
-    if listens or rests:
+    if listening or idle:
         server = await curio.spawn(
             curio.tcp_server, endpoint.host, endpoint.port, hold, daemon=True
         )
         await curio.sleep(SETTLED_S)
-    if rests:
-        idle = (await pool.acquire(endpoint, max_idle_s=0.0)).unwrap()
-        pool._idle_by_endpoint[endpoint] = [idle]
+    if idle:
+        connection = (await pool.acquire(endpoint, max_idle_s=0.0)).unwrap()
+        pool._idle_by_endpoint[endpoint] = [connection]
     assigned = Assign(
         ticket=build_ticket(1), upstream="u", endpoint=endpoint, incarnation=5
     )
     for target in ("/a", "/b"):
         request = RequestIdentity(caller=None, method="GET", target=target)
-        await probe.handle_connection_loss(request, assigned)
+        await detector.handle_connection_loss(request, assigned)
     await curio.sleep(SETTLED_S)
     await pool.close()
     if server is not None:
@@ -61,13 +61,19 @@
     return quarantine
 
 
-def test_requests_are_reported_where_nobody_listens_any_more() -> None:
-    quarantine = curio.run(partial(lose, listens=False, rests=False))
+def test_requests_are_reported_when_upstream_refuses_connections() -> None:
+    quarantine = curio.run(partial(lose_requests, listening=False, idle=False))
     assert quarantine.crashes_reported == 2
     records = quarantine.crash_records.records_by_identity.values()
-    assert [list(each.crashed_at_by_incarnation) for each in records] == [["u#5"], ["u#5"]]
+    assert [list(each.crashed_at_by_incarnation) for each in records] == [
+        ["u#5"],
+        ["u#5"],
+    ]
 
 
-@pytest.mark.parametrize("rests", [False, True])
-def test_an_upstream_that_goes_on_has_not_ended(rests: bool) -> None:
-    assert curio.run(partial(lose, listens=True, rests=rests)).crashes_reported == 0
+@pytest.mark.parametrize("idle", [False, True])
+def test_no_crash_is_reported_while_upstream_accepts_connections(idle: bool) -> None:
+    assert (
+        curio.run(partial(lose_requests, listening=True, idle=idle)).crashes_reported
+        == 0
+    )
--- a/packages/daemon/tests/quarantine/test_trial_of_a_real_process.py
+++ b/packages/daemon/tests/quarantine/test_probe_attempt_of_daemon_process.py
@@ -1,10 +1,8 @@
-"""A real entry VM lets a quarantined request through now and then.
+"""A daemon process sends probe attempts of a quarantined request.
 
-Seen: found by reading the change. A request that was held back stayed so for good: no
-trial of it ever came to an upstream.
-
-Cause: a request is looked at before an upstream is found and after it. The first look
-took the trial, and the second held it back; the state machine alone did as it should.
+The quarantine is checked before an upstream is found and again after that. If the first
+check records the probe attempt, the second one blocks it, and the request stays blocked
+for ever, although the state machine passes its own tests.
 """
 
 from __future__ import annotations
@@ -41,10 +39,10 @@
 UPSTREAM = build_upstream(endpoint=Endpoint(host_of_run(9, 21), 17200), slots=4)
 GOLD = (header_names.AUTHORIZATION, b"Bearer " + GOLD_KEY.encode())
 TARGET = "/v1/services/registry/plates/crash"
-LIFE_S = 1.0
+INCARNATION_S = 1.0
 SHORT_TIMES = f"""
 from plankspindle_daemon.quarantine import crash_detector, quarantine_list
-crash_detector.UNNUMBERED_INCARNATION_S = {LIFE_S}
+crash_detector.UNNUMBERED_INCARNATION_S = {INCARNATION_S}
 quarantine_list.FIRST_PROBE_DELAY_S = 3.0
 """
 
@@ -58,7 +56,7 @@
         started.start_daemon(PLACE, platform=PLATFORM, prelude=SHORT_TIMES)
         wait_for_operator_listener(PLACE)
         put_in_force(PLACE, build_configuration(upstreams_by_name={"u": UPSTREAM}))
-        wait_until(lambda: ask() == 200, what="a request is served")
+        wait_until(lambda: send_request() == 200, what="a request is served")
         yield started
     finally:
         started.close()
@@ -71,22 +69,22 @@
     wait_until(lambda: call(UPSTREAM.endpoint, target="/load").status == 200, what=name)
 
 
-def ask() -> int:
+def send_request() -> int:
     return call(PLACE.caller, target=TARGET, headers=[GOLD]).status
 
 
-def is_held() -> bool:
+def is_quarantined() -> bool:
     return bool(state_of(PLACE)["quarantine"]["requests"])
 
 
-def test_an_answer_to_a_trial_releases_it(processes: Processes) -> None:
+def test_completed_probe_attempt_lifts_quarantine(processes: Processes) -> None:
     for _ in range(QUARANTINE_AFTER_CRASHES):
         crash = json.dumps({"crash_path": "/plates/crash"}).encode()
         call(UPSTREAM.endpoint, "POST", "/control", body=crash)
-        assert ask() in (502, 503)
-        time.sleep(LIFE_S)
+        assert send_request() in (502, 503)
+        time.sleep(INCARNATION_S)
         start_upstream(processes)
-    wait_until(is_held, what="it is held back")
-    assert ask() == 503
-    wait_until(lambda: ask() == 200, what="a trial is answered")
-    assert not is_held()
+    wait_until(is_quarantined, what="the request is quarantined")
+    assert send_request() == 503
+    wait_until(lambda: send_request() == 200, what="a probe attempt is completed")
+    assert not is_quarantined()
--- a/packages/daemon/tests/quarantine/test_quarantine_list.py
+++ b/packages/daemon/tests/quarantine/test_quarantine_list.py
@@ -1,4 +1,4 @@
-"""Tests of the list of requests that are held back."""
+"""Tests of the list of quarantined requests."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 LATER = 10 * AGE_TOLERANCE_S
 
 
-def entry(identity: int = 1, since: float = 0.0, trials: int = 0) -> QuarantineEntry:
+def entry(identity: int = 1, since: float = 0.0, attempts: int = 0) -> QuarantineEntry:
     return QuarantineEntry(
-        identity=identity, quarantined_at=since, probe_attempts=trials
+        identity=identity, quarantined_at=since, probe_attempts=attempts
     )
 
 
-def test_trials_become_rarer() -> None:
-    at = [entry(trials=trials).next_probe_at for trials in range(9)]
+def test_delay_between_probe_attempts_grows() -> None:
+    at = [entry(attempts=attempts).next_probe_at for attempts in range(9)]
     assert at[:3] == [
         FIRST_PROBE_DELAY_S,
         3 * FIRST_PROBE_DELAY_S,
@@ -32,7 +32,7 @@
     assert gaps == sorted(gaps)
 
 
-def test_a_cleared_request_is_not_taken_again_from_old_news() -> None:
+def test_cleared_request_is_not_added_again_by_older_update() -> None:
     listed = QuarantineList()
     assert listed.add(entry())
     assert listed.clear(1, LATER)
@@ -41,22 +41,22 @@
     assert listed.add(entry(since=2 * LATER))
 
 
-def test_an_old_answer_does_not_clear_a_later_quarantine() -> None:
+def test_older_clearance_does_not_clear_later_quarantine() -> None:
     listed = QuarantineList()
     listed.add(entry(since=2 * LATER))
     assert not listed.clear(1, LATER)
     assert 1 in listed.entries_by_identity
 
 
-def test_the_entry_with_more_trials_counts() -> None:
+def test_entry_with_more_probe_attempts_is_kept() -> None:
     listed = QuarantineList()
-    listed.add(entry(trials=2))
-    assert not listed.add(entry(trials=1))
+    listed.add(entry(attempts=2))
+    assert not listed.add(entry(attempts=1))
     assert listed.entries_by_identity[1].probe_attempts == 2
 
 
 @given(st.permutations([("add", n) for n in range(4)] + [("clear", n) for n in (1, 2)]))
-def test_digests_agree_whatever_the_order_of_news(order: list[tuple[str, int]]) -> None:
+def test_digest_is_independent_of_update_order(order: list[tuple[str, int]]) -> None:
     listed = QuarantineList()
     for _ in range(2):
         for kind, number in order:
@@ -73,7 +73,7 @@
     assert listed.entries_by_identity == again.entries_by_identity
 
 
-def test_what_is_old_is_forgotten_and_memory_is_bounded() -> None:
+def test_entries_are_bounded_and_expire() -> None:
     listed = QuarantineList()
     for number in range(2 * MAX_ENTRIES):
         listed.add(entry(number, since=float(number)))
--- a/packages/daemon/tests/quarantine/test_quarantine_store.py
+++ b/packages/daemon/tests/quarantine/test_quarantine_store.py
@@ -1,4 +1,4 @@
-"""Tests of what of a quarantine outlasts all entry VMs."""
+"""Tests of the quarantine entries that are stored at the platform."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @define
 class FakePlatform:
-    """One row, and failures that come first."""
+    """One row, preceded by a number of failures."""
 
     row: Row = field(factory=lambda: Row(key=ROW_KEY, version=0))
     failing_reads: int = 0
@@ -41,7 +41,7 @@
         self.reads += 1
         if self.failing_reads:
             self.failing_reads -= 1
-            return Err(PlatformUnavailable("away"))
+            return Err(PlatformUnavailable("platform unavailable"))
         return Ok(self.row)
 
     async def commit(self, transaction: Any) -> Any:
@@ -54,8 +54,8 @@
         return Ok(None)
 
 
-async def keep(platform: FakePlatform, *, decides: bool) -> Quarantine:
-    """Let an entry VM start, and put a request in quarantine perhaps."""
+async def run_store(platform: FakePlatform, *, quarantines: bool) -> Quarantine:
+    """Start an entry VM, and optionally quarantine a request."""
     quarantine = Quarantine.create("a", "ba-1", build_membership("a"))
     store = QuarantineStore(
         quarantine=quarantine,
@@ -64,10 +64,10 @@
     )
     task = await curio.spawn(store.run, daemon=True)
     await curio.sleep(SETTLED_S)
-    if decides:
+    if quarantines:
         now = quarantine_store.monotonic()
-        for life in "abc":
-            quarantine.record_crash(REQUEST, life, at=now, now=now)
+        for incarnation_id in "abc":
+            quarantine.record_crash(REQUEST, incarnation_id, at=now, now=now)
         quarantine.tick(now + CLEARANCE_WINDOW_S)
         await store.wake_if_needed()
     await curio.sleep(SETTLED_S)
@@ -80,47 +80,47 @@
     monkeypatch.setattr(quarantine_store, "RETRY_S", 0.01)
 
 
-def test_a_fleet_that_starts_anew_holds_back_what_it_held_back() -> None:
+def test_restarted_fleet_blocks_stored_requests() -> None:
     platform = FakePlatform()
-    curio.run(partial(keep, platform, decides=True))
-    found = curio.run(partial(keep, platform, decides=False))
+    curio.run(partial(run_store, platform, quarantines=True))
+    found = curio.run(partial(run_store, platform, quarantines=False))
     assert list(found.quarantine_list.entries_by_identity) == [REQUEST]
     assert platform.writes == 1
 
 
-def test_a_start_costs_one_read() -> None:
+def test_start_reads_the_row_once_and_writes_nothing() -> None:
     platform = FakePlatform()
-    curio.run(partial(keep, platform, decides=False))
+    curio.run(partial(run_store, platform, quarantines=False))
     assert (platform.reads, platform.writes) == (1, 0)
 
 
-def test_it_is_written_once_the_platform_is_back() -> None:
+def test_entry_is_written_once_the_platform_recovers() -> None:
     platform = FakePlatform(failing_reads=2, refused_writes=2)
-    curio.run(partial(keep, platform, decides=True))
+    curio.run(partial(run_store, platform, quarantines=True))
     assert platform.row.value is not None
     assert len(platform.row.value["entries"]) == 1
 
 
-def test_what_another_vm_wrote_meanwhile_stays() -> None:
+def test_entries_written_by_another_vm_are_kept() -> None:
     platform = FakePlatform()
-    curio.run(partial(keep, platform, decides=True))
+    curio.run(partial(run_store, platform, quarantines=True))
     assert platform.row.value is not None
     entry = ["00000000000000aa", platform.row.value["entries"][0][1], 1]
     platform.row = Row(key=ROW_KEY, version=7, value={"entries": [entry]})
-    curio.run(partial(keep, platform, decides=True))
+    curio.run(partial(run_store, platform, quarantines=True))
     assert [each[0] for each in platform.row.value["entries"]] == [
         "00000000000000aa",
         f"{REQUEST:016x}",
     ]
 
 
-def test_one_that_is_cut_off_learns_of_it_where_an_upstream_ends() -> None:
+def test_partitioned_vm_rereads_the_row_when_an_upstream_crashes() -> None:
     platform = FakePlatform()
-    curio.run(keep_cut_off, platform)
+    curio.run(run_partitioned, platform)
 
 
-async def keep_cut_off(platform: FakePlatform) -> None:
-    """Let the others decide while this VM runs and hears nothing of them."""
+async def run_partitioned(platform: FakePlatform) -> None:
+    """Let other VMs quarantine a request while this one gets no messages."""
     quarantine = Quarantine.create("a", "ba-1", build_membership("a"))
     store = QuarantineStore(
         quarantine=quarantine,
@@ -129,7 +129,7 @@
     )
     task = await curio.spawn(store.run, daemon=True)
     await curio.sleep(SETTLED_S)
-    await keep(platform, decides=True)
+    await run_store(platform, quarantines=True)
     store._read_at -= quarantine_store.MIN_REREAD_INTERVAL_S
     for _ in range(3):
         now = quarantine_store.monotonic()
@@ -156,8 +156,8 @@
         {"entries": [["aa", 1e308, 1]]},
     ],
 )
-def test_a_row_that_was_damaged_holds_nothing_back(value: dict[str, Any]) -> None:
+def test_damaged_row_is_ignored_and_overwritten(value: dict[str, Any]) -> None:
     platform = FakePlatform(row=Row(key=ROW_KEY, version=3, value=value))
-    found = curio.run(partial(keep, platform, decides=True))
+    found = curio.run(partial(run_store, platform, quarantines=True))
     assert list(found.quarantine_list.entries_by_identity) == [REQUEST]
     assert platform.writes == 1
--- a/packages/daemon/tests/quarantine/test_request_identity.py
+++ b/packages/daemon/tests/quarantine/test_request_identity.py
@@ -1,4 +1,4 @@
-"""Tests of what makes two tries the same request."""
+"""Tests of the identity shared by all attempts of a request."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 def build(**fields: Any) -> RequestIdentity:
-    given = {"caller": "dealer", "method": "POST", "target": "/a?b=1", "body": b"ok"}
-    return RequestIdentity(**{"headers": HEADERS, **given, **fields})
+    defaults = {"caller": "dealer", "method": "POST", "target": "/a?b=1", "body": b"ok"}
+    return RequestIdentity(**{"headers": HEADERS, **defaults, **fields})
 
 
-def test_tries_with_other_ids_are_the_same_request() -> None:
+def test_attempts_with_different_ids_have_the_same_identity() -> None:
     other = [(b"host", b"Desk.Example"), (b"x-id", b"2"), (b"x-deadline", b"7")]
     assert build(headers=other).value == build().value
     assert len(build().text) == 16
@@ -34,17 +34,17 @@
         {"headers": [(b"host", b"other.example")]},
     ],
 )
-def test_other_requests_differ(field: dict[str, Any]) -> None:
+def test_different_requests_have_different_identities(field: dict[str, Any]) -> None:
     assert build(**field).value != build().value
 
 
-def test_a_request_that_another_entry_vm_passed_on_is_the_same() -> None:
+def test_forwarded_request_has_the_same_identity() -> None:
     first = build(names_service=True)
-    passed_on = build(names_service=True, headers=[(b"host", b"10.0.0.1:8100")])
-    assert passed_on.value == first.value
+    forwarded = build(names_service=True, headers=[(b"host", b"10.0.0.1:8100")])
+    assert forwarded.value == first.value
 
 
-def test_of_a_body_that_is_passed_on_as_it_arrives_the_length_counts() -> None:
+def test_identity_of_streamed_body_depends_on_its_length() -> None:
     short = [(b"host", b"desk.example"), (b"content-length", b"3")]
     assert build(body=None).value == build(body=None).value
     assert build(body=None, headers=short).value != build(body=None).value
