--- a/packages/daemon/src/plankspindle_daemon/steering/__init__.py
+++ b/packages/daemon/src/plankspindle_daemon/steering/__init__.py
@@ -1,3 +1,3 @@
-"""Which entry VMs a caller should use."""
+"""Selection of the entry VMs that a caller should use."""
 
 from __future__ import annotations
--- a/packages/daemon/src/plankspindle_daemon/steering/block_table.py
+++ b/packages/daemon/src/plankspindle_daemon/steering/block_table.py
@@ -1,7 +1,7 @@
 """Longest-prefix table from client blocks to sites, in flat arrays.
 
-Nested blocks are flattened into disjoint ranges when the table is built, so a look-up
-is one binary search. IPv4 starts take 4 bytes, IPv6 starts 16, site numbers 2.
+Nested blocks are flattened into disjoint ranges when the table is built, so a lookup is
+one binary search. IPv4 range starts take 4 bytes, IPv6 starts 16, site numbers 2.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
 
     @property
     def nbytes(self) -> int:
-        """Bytes held."""
+        """Size in bytes."""
         return len(self._packed)
 
 
@@ -79,39 +79,39 @@
     def __init__(self, *, site_by_prefix: Mapping[str, str]) -> None:
         self.site_names = sorted(set(site_by_prefix.values()))
         if len(self.site_names) >= NO_SITE:
-            raise ValueError(f"at most {NO_SITE - 1} sites fit the table")
+            raise ValueError(f"at most {NO_SITE - 1} sites are supported")
         number_by_site = {name: index for index, name in enumerate(self.site_names)}
-        narrow: list[tuple[int, int, int]] = []
-        wide: list[tuple[int, int, int]] = []
+        ipv4: list[tuple[int, int, int]] = []
+        ipv6: list[tuple[int, int, int]] = []
         for prefix, site in site_by_prefix.items():
             network = ip_network(prefix)
-            target = narrow if network.version == 4 else wide
+            target = ipv4 if network.version == 4 else ipv6
             target.append(_block(network, number_by_site[site]))
         self.blocks = len(site_by_prefix)
-        narrow_starts, narrow_sites = _flatten(narrow, IPV4_BITS)
-        wide_starts, wide_sites = _flatten(wide, IPV6_BITS)
+        ipv4_starts, ipv4_sites = _flatten(ipv4, IPV4_BITS)
+        ipv6_starts, ipv6_sites = _flatten(ipv6, IPV6_BITS)
         self._ipv4 = _Ranges(
-            array("L" if _LONG_IS_32 else "I", narrow_starts), narrow_sites
+            array("L" if _LONG_IS_32 else "I", ipv4_starts), ipv4_sites
         )
-        self._ipv6 = _Ranges(PackedIpv6Starts(wide_starts), wide_sites)
+        self._ipv6 = _Ranges(PackedIpv6Starts(ipv6_starts), ipv6_sites)
 
     def site_of(self, address: str) -> str | None:
-        """Find the site of an address by its longest matching block.
+        """Return the site of an address by its longest matching block.
 
         Parameters
         ----------
         address : str
-            IPv4 or IPv6 number.
+            IPv4 or IPv6 address.
 
         Returns
         -------
         str or None
-            Name of the site, or None if no block holds the address.
+            Name of the site, or None if no block contains the address.
 
         Raises
         ------
         ValueError
-            If the text is not an IP number.
+            If the text is not an IP address.
         """
         parsed = ip_address(address)
         ranges = self._ipv4 if parsed.version == 4 else self._ipv6
@@ -120,16 +120,16 @@
 
     @property
     def nbytes(self) -> int:
-        """Bytes held by the arrays."""
+        """Size of the arrays in bytes."""
         total = 0
         for ranges in (self._ipv4, self._ipv6):
             sites = ranges.sites
             total += sites.itemsize * len(sites)
-        narrow = self._ipv4.starts
-        wide = self._ipv6.starts
-        assert isinstance(narrow, array)
-        assert isinstance(wide, PackedIpv6Starts)
-        return total + narrow.itemsize * len(narrow) + wide.nbytes
+        ipv4 = self._ipv4.starts
+        ipv6 = self._ipv6.starts
+        assert isinstance(ipv4, array)
+        assert isinstance(ipv6, PackedIpv6Starts)
+        return total + ipv4.itemsize * len(ipv4) + ipv6.nbytes
 
 
 _LONG_IS_32 = array("I").itemsize != 4
@@ -143,7 +143,7 @@
 def _flatten(
     blocks: list[tuple[int, int, int]], bits: int
 ) -> tuple[list[int], array[int]]:
-    """Turn nested blocks into disjoint ranges that cover the whole address space."""
+    """Convert nested blocks into disjoint ranges that cover the whole address space."""
     starts: list[int] = []
     sites = array("H")
     open_blocks: list[tuple[int, int]] = []
--- a/packages/daemon/src/plankspindle_daemon/steering/hash_ring.py
+++ b/packages/daemon/src/plankspindle_daemon/steering/hash_ring.py
@@ -23,8 +23,8 @@
 
     Notes
     -----
-    When a VM joins or leaves, only its own part of the callers moves, so caches of the
-    others stay warm.
+    When a VM joins or leaves, only its own part of the callers moves, so the caches of
+    the other VMs stay warm.
     """
 
     def __init__(self, *, names: Iterable[str]) -> None:
@@ -37,14 +37,14 @@
         self._names = [name for _, name in points]
 
     def first(self, key: str, count: int) -> list[str]:
-        """Give the first distinct VMs after a key.
+        """Return the first distinct VMs after a key.
 
         Parameters
         ----------
         key : str
-            What to place on the ring.
+            The key to be placed on the ring.
         count : int
-            VMs wanted; fewer are given if there are fewer.
+            Maximum number of VMs; fewer are returned if there are fewer.
         """
         found: list[str] = []
         size = len(self._names)
--- a/packages/daemon/src/plankspindle_daemon/steering/known_entry_vms.py
+++ b/packages/daemon/src/plankspindle_daemon/steering/known_entry_vms.py
@@ -1,4 +1,4 @@
-"""The entry VMs that look-ups may name."""
+"""The entry VMs that lookups may name."""
 
 from __future__ import annotations
 
@@ -22,25 +22,25 @@
 
 @define(kw_only=True)
 class KnownEntryVms:
-    """All entry VMs but the own one, as look-ups may name them.
+    """All entry VMs except this one, as lookups may name them.
 
     Parameters
     ----------
     membership : Membership
-        Members and the platform's list; what members say of themselves goes first.
+        Members and the platform's list; the state that members report takes precedence.
 
     Notes
     -----
-    They are looked through four times a second. What is as before stays the same
-    object, so that nothing is made and little is compared: at 195 entry VMs that is
-    0.25 ms a time, and 1.1 ms where each is made anew.
+    They are examined four times a second. An unchanged entry VM keeps its object, so
+    that nothing is built and little is compared: at 195 entry VMs a pass takes 0.25 ms,
+    and 1.1 ms if each object is built anew.
     """
 
     membership: Membership
     _by_name: dict[str, EntryVm] = Factory(dict)
 
     def snapshot(self, *, drained: AbstractSet[str], now: float) -> dict[str, EntryVm]:
-        """Give them by name.
+        """Return the entry VMs by name.
 
         Parameters
         ----------
@@ -99,7 +99,7 @@
 
 
 def _has_caller_endpoint(member: Member | None) -> bool:
-    """Tell whether a member has said where callers reach it."""
+    """Return whether a member has reported its listener for callers."""
     return member is not None and member.caller_endpoint is not None
 
 
--- a/packages/daemon/src/plankspindle_daemon/steering/steering.py
+++ b/packages/daemon/src/plankspindle_daemon/steering/steering.py
@@ -1,4 +1,4 @@
-"""Answers to the question which entry VMs a caller should use."""
+"""Selects the entry VMs that a caller should use."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 VMS_PER_DOMAIN = 2
 MAX_VMS_PER_ANSWER = 6
 SUFFICIENT_VMS_IN_DOMAIN = 2
-"""Usable entry VMs of a failure domain from which on no others are named."""
+"""Usable entry VMs of a failure domain from which on those of no other are named."""
 CALLER_BUCKETS = 256
-"""Groups of callers that get the same VMs in the same order."""
+"""Number of groups of callers that get the same VMs in the same order."""
 
 
 class SelectionReason(Enum):
@@ -46,7 +46,7 @@
     name : str
         Name of the VM.
     failure_domain : str
-        Where it stands.
+        Failure domain that it is located in.
     endpoint : Endpoint
         Its caller listener.
     usable : bool
@@ -61,7 +61,7 @@
 
 @frozen(kw_only=True)
 class SelectedVm:
-    """One line of the answer to a look-up."""
+    """An entry VM in the answer to a lookup, and why it is named."""
 
     vm: EntryVm
     reason: SelectionReason
@@ -74,9 +74,9 @@
     Parameters
     ----------
     site : str, optional
-        Site of the caller's block; None if no block holds it.
+        Site of the caller's block; None if no block contains its address.
     ttl_s : int
-        Time for which the answer may be kept, in seconds.
+        Time for which the answer may be cached, in seconds.
     vms : tuple of SelectedVm
         Never empty while any entry VM is known.
     """
@@ -88,14 +88,14 @@
 
 @define(kw_only=True)
 class Steering:
-    """Look-ups on one version of the configuration and one set of entry VMs.
+    """Lookups on one version of the configuration and one set of entry VMs.
 
     Parameters
     ----------
     configuration : Configuration
         The version.
     home_domain : str
-        Failure domain taken for callers whose block is not known.
+        Failure domain that is assumed for callers whose block is unknown.
     """
 
     configuration: Configuration
@@ -115,7 +115,7 @@
         return BlockTable(site_by_prefix=self.configuration.site_by_prefix)
 
     def update_vms(self, vms: Iterable[EntryVm]) -> None:
-        """Take the present set of entry VMs."""
+        """Replace the set of entry VMs, and invalidate cached answers if it changed."""
         by_name = {each.name: each for each in vms}
         if by_name == self._vms_by_name:
             return
@@ -129,10 +129,10 @@
                 self._names_by_domain.setdefault(vm.failure_domain, []).append(vm.name)
 
     def _ring_of(self, domain: str) -> HashRing | None:
-        """Give the ring of a failure domain; None if no VM of it is usable.
+        """Return the ring of a failure domain, or None if no VM of it is usable.
 
-        A ring of 22 VMs takes 0.5 ms to make, and a VM that starts hears of all others
-        one by one: it is made when a caller asks for it.
+        A ring of 22 VMs takes 0.5 ms to build, and a VM that starts learns of all
+        others one by one, so a ring is built only when a caller needs it.
         """
         ring = self._rings_by_domain.get(domain)
         if ring is None and domain in self._names_by_domain:
@@ -141,67 +141,70 @@
         return ring
 
     def look_up(self, *, service: str, address: str) -> LookupAnswer:
-        """Name the entry VMs for a service and a caller's address.
+        """Return the entry VMs for a service and a caller's address.
 
         Parameters
         ----------
         service : str
             Name of a declared service.
         address : str
-            IP number of the caller.
+            IP address of the caller.
 
         Returns
         -------
         LookupAnswer
             The VMs of the home domain first, then those of the next nearest domains
-            that run the service, then whatever else is known.
+            that run the service; if there are none, any known VM.
 
         Raises
         ------
         ValueError
-            If ``address`` is not an IP number.
+            If ``address`` is not an IP address.
         """
         site = self.table.site_of(address)
         home = self.home_domain
         if site is not None:
             home = self.configuration.sites_by_name[site].failure_domain
         bucket = crc32(address.encode()) % CALLER_BUCKETS
-        named = self._select_cached(service, home, bucket)
-        return LookupAnswer(site=site, ttl_s=LOOKUP_TTL_S, vms=named)
+        selected = self._select_cached(service, home, bucket)
+        return LookupAnswer(site=site, ttl_s=LOOKUP_TTL_S, vms=selected)
 
     def nearest_vms(self, domain: str) -> tuple[EntryVm, ...]:
-        """Name the usable entry VMs for callers in a failure domain.
+        """Return the usable entry VMs for callers in a failure domain.
 
         Parameters
         ----------
         domain : str
-            Where the callers are; the home domain is taken for an unknown one.
+            Failure domain of the callers; the home domain is assumed for an unknown
+            one.
 
         Returns
         -------
         tuple of EntryVm
-            Those of the domain, completed from its region if they are few; those of
-            the nearest region with any if it has none; the last resort if nothing is
-            usable. Never empty while any entry VM is known.
+            The VMs of the domain, with others of its region if they are few; those of
+            the nearest region that has any if its own has none; the last resort if no
+            VM is usable. Never empty while any entry VM is known.
         """
         known = domain in self.configuration.failure_domains_by_name
         home = domain if known else self.home_domain
-        named = self._nearest_by_domain.get(home)
-        if named is None:
-            named = self._nearest_by_domain[home] = self._find_nearest(home)
-        return named
+        selected = self._nearest_by_domain.get(home)
+        if selected is None:
+            selected = self._nearest_by_domain[home] = self._find_nearest(home)
+        return selected
 
     def _find_nearest(self, home: str) -> tuple[EntryVm, ...]:
         usable = [vm for vm in self._vms_by_name.values() if vm.usable]
         if not usable:
-            return tuple(named.vm for named in self._last_resort(home))
+            return tuple(selected.vm for selected in self._last_resort(home))
         own = [vm for vm in usable if vm.failure_domain == home]
         if len(own) >= SUFFICIENT_VMS_IN_DOMAIN:
             return tuple(own)
         distances = {vm.name: self._distance_ms(home, vm) for vm in usable}
-        least = min(distances.values())
-        widest = max(least, self.configuration.distances.between_failure_domains_ms)
-        return tuple(vm for vm in usable if distances[vm.name] <= widest)
+        nearest_ms = min(distances.values())
+        limit_ms = max(
+            nearest_ms, self.configuration.distances.between_failure_domains_ms
+        )
+        return tuple(vm for vm in usable if distances[vm.name] <= limit_ms)
 
     def _distance_ms(self, home: str, vm: EntryVm) -> float:
         return self.configuration.distance_ms(home, vm.failure_domain)
@@ -210,26 +213,26 @@
         self, service: str, home: str, bucket: int
     ) -> tuple[SelectedVm, ...]:
         query = (service, home, bucket)
-        named = self._selected_by_query.get(query)
-        if named is None:
-            named = tuple(self._select(service, home, str(bucket)))
-            self._selected_by_query[query] = named
-        return named
+        selected = self._selected_by_query.get(query)
+        if selected is None:
+            selected = tuple(self._select(service, home, str(bucket)))
+            self._selected_by_query[query] = selected
+        return selected
 
     def _select(self, service: str, home: str, key: str) -> list[SelectedVm]:
-        named: list[SelectedVm] = []
+        selected: list[SelectedVm] = []
         for domain in self._domains_for(service, home):
             ring = self._ring_of(domain)
             if ring is None:
                 continue
-            because = (
+            reason = (
                 SelectionReason.HOME if domain == home else SelectionReason.NEXT_NEAREST
             )
             for name in ring.first(key, VMS_PER_DOMAIN):
-                named.append(SelectedVm(vm=self._vms_by_name[name], reason=because))
-            if len(named) >= MAX_VMS_PER_ANSWER:
-                return named[:MAX_VMS_PER_ANSWER]
-        return named or self._last_resort(home)
+                selected.append(SelectedVm(vm=self._vms_by_name[name], reason=reason))
+            if len(selected) >= MAX_VMS_PER_ANSWER:
+                return selected[:MAX_VMS_PER_ANSWER]
+        return selected or self._last_resort(home)
 
     def _last_resort(self, home: str) -> list[SelectedVm]:
         ordered = sorted(
--- a/packages/daemon/tests/steering/test_block_table.py
+++ b/packages/daemon/tests/steering/test_block_table.py
@@ -1,4 +1,4 @@
-"""Tests of the block table against a plain longest-prefix search."""
+"""Tests of the block table against a linear longest-prefix search."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
     return st.builds(build, st.integers(0, (1 << bits) - 1), st.integers(0, bits))
 
 
-def plain_search(site_by_prefix: dict[str, str], address: str) -> str | None:
+def linear_search(site_by_prefix: dict[str, str], address: str) -> str | None:
     parsed = ip_address(address)
-    fitting = [
+    matching = [
         ip_network(prefix)
         for prefix in site_by_prefix
         if ip_network(prefix).version == parsed.version and parsed in ip_network(prefix)
     ]
-    if not fitting:
+    if not matching:
         return None
-    longest = max(fitting, key=lambda network: network.prefixlen)
+    longest = max(matching, key=lambda network: network.prefixlen)
     return site_by_prefix[str(longest)]
 
 
@@ -43,7 +43,7 @@
     ),
     offsets=st.lists(st.integers(-1, 1), min_size=3, max_size=3),
 )
-def test_finds_the_longest_block(
+def test_lookup_finds_longest_matching_block(
     site_by_prefix: dict[str, str], offsets: list[int]
 ) -> None:
     table = BlockTable(site_by_prefix=site_by_prefix)
@@ -55,13 +55,13 @@
                 number = (int(edge) + offset) % (1 << network.max_prefixlen)
                 address = str(type(edge)(number))
                 found = table.site_of(address)
-                assert found == plain_search(site_by_prefix, address)
+                assert found == linear_search(site_by_prefix, address)
 
 
-def test_an_empty_table_knows_no_site() -> None:
+def test_empty_table_has_no_site() -> None:
     assert BlockTable(site_by_prefix={}).site_of("10.0.0.1") is None
 
 
-def test_what_is_no_address_is_an_error() -> None:
+def test_invalid_address_raises_value_error() -> None:
     with pytest.raises(ValueError, match="does not appear to be"):
         BlockTable(site_by_prefix={}).site_of("example")
--- a/packages/daemon/tests/steering/test_steering.py
+++ b/packages/daemon/tests/steering/test_steering.py
@@ -1,4 +1,4 @@
-"""Tests of look-ups."""
+"""Tests of lookups."""
 
 from __future__ import annotations
 
@@ -30,51 +30,51 @@
     return steering
 
 
-def names(steering: Steering, address: str) -> list[tuple[str, SelectionReason]]:
+def lookup(steering: Steering, address: str) -> list[tuple[str, SelectionReason]]:
     answer = steering.look_up(service="registry", address=address)
-    return [(named.vm.name, named.reason) for named in answer.vms]
+    return [(selected.vm.name, selected.reason) for selected in answer.vms]
 
 
-def test_the_home_domain_is_named_first() -> None:
+def test_vms_of_home_domain_come_first() -> None:
     steering = build_steering(ba_a=True, ba_b=True, ke_a=True)
-    in_bratislava = names(steering, "127.0.0.1")
+    in_bratislava = lookup(steering, "127.0.0.1")
     assert {name for name, _ in in_bratislava[:2]} == {"ba_a", "ba_b"}
     assert in_bratislava[2] == ("ke_a", SelectionReason.NEXT_NEAREST)
-    assert names(steering, "10.2.3.4")[0] == ("ke_a", SelectionReason.HOME)
+    assert lookup(steering, "10.2.3.4")[0] == ("ke_a", SelectionReason.HOME)
 
 
-def test_an_unusable_vm_is_not_named_while_another_is_usable() -> None:
+def test_unusable_vm_is_not_named_while_another_is_usable() -> None:
     steering = build_steering(ba_a=False, ba_b=True)
-    assert [name for name, _ in names(steering, "127.0.0.1")] == ["ba_b"]
+    assert [name for name, _ in lookup(steering, "127.0.0.1")] == ["ba_b"]
 
 
-def test_the_answer_is_never_empty_while_a_vm_is_known() -> None:
+def test_unusable_vms_are_named_as_last_resort() -> None:
     steering = build_steering(ba_a=False, ke_a=False)
-    assert names(steering, "127.0.0.1") == [
+    assert lookup(steering, "127.0.0.1") == [
         ("ba_a", SelectionReason.LAST_RESORT),
         ("ke_a", SelectionReason.LAST_RESORT),
     ]
 
 
-def test_when_a_vm_joins_few_callers_change_their_first_vm() -> None:
+def test_joining_vm_changes_first_vm_of_few_callers() -> None:
     before = build_steering(ba_a=True, ba_b=True, ba_c=True)
     after = build_steering(ba_a=True, ba_b=True, ba_c=True, ba_d=True)
     addresses = [f"127.0.{number}.1" for number in range(256)]
     moved = [
         address
         for address in addresses
-        if names(before, address)[0] != names(after, address)[0]
+        if lookup(before, address)[0] != lookup(after, address)[0]
     ]
-    assert all(names(after, address)[0][0] == "ba_d" for address in moved)
+    assert all(lookup(after, address)[0][0] == "ba_d" for address in moved)
     assert len(moved) < 128
 
 
-def near(steering: Steering, domain: str) -> list[str]:
+def nearest(steering: Steering, domain: str) -> list[str]:
     return sorted(vm.name for vm in steering.nearest_vms(domain))
 
 
-def build_near(**usable_by_name: bool) -> Steering:
-    """Build look-ups over VMs named after their failure domain, as ``ba1_a``."""
+def build_domain_steering(**usable_by_name: bool) -> Steering:
+    """Build lookups over VMs named after their failure domain, as ``ba1_a``."""
     steering = Steering(configuration=build_configuration(), home_domain="ba-1")
     steering.update_vms(
         EntryVm(
@@ -88,26 +88,26 @@
     return steering
 
 
-def test_a_domain_with_enough_vms_names_its_own() -> None:
-    steering = build_near(ba1_a=True, ba1_b=True, ba2_a=True, ke1_a=True)
-    assert near(steering, "ba-1") == ["ba1_a", "ba1_b"]
+def test_domain_with_enough_vms_names_only_its_own() -> None:
+    steering = build_domain_steering(ba1_a=True, ba1_b=True, ba2_a=True, ke1_a=True)
+    assert nearest(steering, "ba-1") == ["ba1_a", "ba1_b"]
 
 
-def test_a_domain_with_one_vm_is_completed_from_its_region() -> None:
-    steering = build_near(ba1_a=True, ba1_b=False, ba2_a=True, ke1_a=True)
-    assert near(steering, "ba-1") == ["ba1_a", "ba2_a"]
+def test_domain_with_one_vm_names_others_of_its_region() -> None:
+    steering = build_domain_steering(ba1_a=True, ba1_b=False, ba2_a=True, ke1_a=True)
+    assert nearest(steering, "ba-1") == ["ba1_a", "ba2_a"]
 
 
-def test_a_region_without_vms_is_served_by_the_nearest_one() -> None:
-    steering = build_near(ba1_a=True, ba2_a=True, ke1_a=False)
-    assert near(steering, "ke-1") == ["ba1_a", "ba2_a"]
+def test_region_without_usable_vms_gets_those_of_nearest_region() -> None:
+    steering = build_domain_steering(ba1_a=True, ba2_a=True, ke1_a=False)
+    assert nearest(steering, "ke-1") == ["ba1_a", "ba2_a"]
 
 
-def test_callers_of_an_unknown_domain_get_the_vms_of_this_one() -> None:
-    steering = build_near(ba1_a=True, ba1_b=True, ke1_a=True)
-    assert near(steering, "nowhere") == ["ba1_a", "ba1_b"]
+def test_unknown_domain_gets_vms_of_home_domain() -> None:
+    steering = build_domain_steering(ba1_a=True, ba1_b=True, ke1_a=True)
+    assert nearest(steering, "nowhere") == ["ba1_a", "ba1_b"]
 
 
-def test_somebody_is_named_while_any_vm_is_known() -> None:
-    steering = build_near(ba1_a=False, ke1_a=False)
-    assert near(steering, "ke-1")
+def test_nearest_vms_are_never_empty_while_any_vm_is_known() -> None:
+    steering = build_domain_steering(ba1_a=False, ke1_a=False)
+    assert nearest(steering, "ke-1")
