--- a/packages/daemon/src/plankspindle_daemon/headroom/grant_table.py
+++ b/packages/daemon/src/plankspindle_daemon/headroom/grant_table.py
@@ -18,20 +18,20 @@
 
 @define(kw_only=True)
 class HeldGrant:
-    """A grant as its holder keeps it.
+    """A grant as stored by its holder.
 
     Parameters
     ----------
     request_id : int
-        Its number, sent along with each request moved under it.
+        Its number, sent along with each request that is moved under it.
     endpoint : Endpoint
-        Caller listener of the VM that granted it.
+        Caller listener of the VM that issued it.
     count : int
         Requests that may run there at once.
     valid_until : float
-        Monotonic seconds, counted from the own request.
+        Monotonic seconds, counted from the time of this VM's request for it.
     running : int
-        Requests moved under it that still run.
+        Running requests that were moved under it.
     """
 
     request_id: int
@@ -56,7 +56,7 @@
     Parameters
     ----------
     incarnation : int
-        Number of this process; grants to another one are dropped.
+        Incarnation of this process; grants to another one are ignored.
     """
 
     incarnation: int
@@ -68,39 +68,39 @@
     def record_request(
         self, request: HeadroomRequest, *, region: str, endpoint: Endpoint, now: float
     ) -> None:
-        """Remember a request, so that only its answer is believed."""
-        horizon = now - request.duration_ms / 1000
+        """Record a headroom request; grants without one are ignored."""
+        oldest_valid_at = now - request.duration_ms / 1000
         self._pending_by_id = {
-            number: asked
-            for number, asked in self._pending_by_id.items()
-            if asked.at > horizon
+            number: pending
+            for number, pending in self._pending_by_id.items()
+            if pending.at > oldest_valid_at
         }
         self._pending_by_id[request.request_id] = _PendingRequest(
             service=request.service, region=region, endpoint=endpoint, at=now
         )
 
     def accept_grant(self, grant: HeadroomGrant, now: float) -> None:
-        """Keep a grant, each request once."""
-        asked = self._pending_by_id.pop(grant.request_id, None)
-        if asked is None or grant.holder_incarnation != self.incarnation:
+        """Store a grant, at most one for each request."""
+        pending = self._pending_by_id.pop(grant.request_id, None)
+        if pending is None or grant.holder_incarnation != self.incarnation:
             return
         held = HeldGrant(
             request_id=grant.request_id,
-            endpoint=asked.endpoint,
+            endpoint=pending.endpoint,
             count=grant.count,
-            valid_until=asked.at + grant.duration_ms / 1000,
+            valid_until=pending.at + grant.duration_ms / 1000,
         )
         if held.valid_until > now:
-            target = (asked.service, asked.region)
+            target = (pending.service, pending.region)
             self._held_by_target.setdefault(target, []).append(held)
 
     def acquire(self, *, service: str, region: str, now: float) -> HeldGrant | None:
-        """Count a moved request under a grant that has room.
+        """Count a moved request under a grant that has spare capacity.
 
         Returns
         -------
         HeldGrant or None
-            None if there is no room; the request stays here.
+            None if no grant has spare capacity; the request then stays on this VM.
         """
         target = (service, region)
         held = [
@@ -118,29 +118,29 @@
         return None
 
     def release(self, held: HeldGrant) -> None:
-        """Count the end of a moved request."""
+        """Count the completion of a moved request."""
         held.running = max(0, held.running - 1)
 
     def take_demand(self, *, service: str, region: str, now: float) -> int:
-        """Give how many more requests at once there is use for, and count anew.
+        """Return how many more requests could be moved at once, and reset the count.
 
         Parameters
         ----------
         service, region : str
-            What the grants are for.
+            Service and target region of the grants.
         now : float
             Monotonic seconds.
 
         Returns
         -------
         int
-            Requests that found no room since the last call; if there were none, the
-            used part of the grants that end soon.
+            Requests that found no spare capacity since the last call; if there were
+            none, the running requests under grants that expire soon.
         """
         target = (service, region)
-        missed = self._misses_by_target.pop(target, 0)
-        if missed:
-            return missed
+        misses = self._misses_by_target.pop(target, 0)
+        if misses:
+            return misses
         return sum(
             each.running
             for each in self._held_by_target.get(target, [])
@@ -148,6 +148,6 @@
         )
 
     def discard_all(self) -> None:
-        """Distrust all grants, as after a pause."""
+        """Discard all grants, which are unreliable after a pause of the process."""
         self._pending_by_id.clear()
         self._held_by_target.clear()
--- a/packages/daemon/src/plankspindle_daemon/headroom/headroom_ledger.py
+++ b/packages/daemon/src/plankspindle_daemon/headroom/headroom_ledger.py
@@ -1,4 +1,4 @@
-"""Headroom that this entry VM has promised to VMs of other failure domains."""
+"""Headroom that this entry VM has granted to VMs of other failure domains."""
 
 from __future__ import annotations
 
@@ -8,20 +8,22 @@
 from plankspindle_core.invariants import check_invariant
 
 RESERVE_SHARE = 0.25
-"""Share of the capacity that is never granted, so that own callers of a higher class
-find slots at once."""
+"""Share of the capacity that is never granted.
+
+Requests of a higher class from local callers find free slots at once there.
+"""
 
 
 @define(kw_only=True)
 class IssuedGrant:
-    """A grant as the granting side keeps it.
+    """A grant as stored by the VM that issued it.
 
     Parameters
     ----------
     count : int
         Requests that may run at once.
     valid_until : float
-        Monotonic seconds after which none may start.
+        Monotonic seconds after which no request may start.
     running : int
         Requests that run under it.
     """
@@ -31,18 +33,18 @@
     running: int = 0
 
     def unused(self, now: float) -> int:
-        """Requests that may still start."""
+        """Return the number of requests that may still start."""
         return self.count - self.running if now < self.valid_until else 0
 
 
 @define(kw_only=True)
 class HeadroomLedger:
-    """Promises of one service on this VM, by request id.
+    """Issued grants of one service on this VM, by request id.
 
     Notes
     -----
-    Only own counts are used. The promises that are not used yet and all running
-    requests together never pass the capacity less the reserve, at the time of a grant.
+    Only counts of this VM are used. At the time of a grant, the unused parts of all
+    grants and all running requests together never exceed the capacity less the reserve.
     """
 
     issued_by_id: dict[int, IssuedGrant] = Factory(dict)
@@ -59,30 +61,30 @@
         now: float,
         valid_until: float,
     ) -> int:
-        """Promise headroom.
+        """Grant headroom.
 
         Parameters
         ----------
         request_id : int
-            Request of the other side; a repeated one gets nothing more.
+            Id of the headroom request; a repeated one is granted nothing more.
         requested : int
-            Requests asked for.
+            Requests that the holder wants to move.
         capacity, in_flight : int
-            Slots usable on this VM, and requests running on them.
+            Usable slots on this VM, and requests running on them.
         now, valid_until : float
             Monotonic seconds.
 
         Returns
         -------
         int
-            Requests promised, maybe zero.
+            Requests granted, possibly zero.
         """
         self._expire(now)
         if request_id in self.issued_by_id:
             return 0
         grantable = int(capacity * (1.0 - RESERVE_SHARE))
-        promised = sum(each.unused(now) for each in self.issued_by_id.values())
-        count = max(0, min(requested, grantable - in_flight - promised))
+        unused = sum(each.unused(now) for each in self.issued_by_id.values())
+        count = max(0, min(requested, grantable - in_flight - unused))
         if count == 0:
             self.refused += 1
             return 0
@@ -92,28 +94,28 @@
         self.granted += count
         check_invariant(
             "grants-within-headroom",
-            in_flight + promised + count <= grantable,
-            f"{in_flight} run, {promised} + {count} promised of {grantable}",
+            in_flight + unused + count <= grantable,
+            f"{in_flight} in flight + {unused} unused + {count} granted of {grantable}",
         )
         return count
 
     def begin(self, request_id: int, now: float) -> bool:
-        """Start a moved request under a promise; False if none allows it."""
-        promise = self.issued_by_id.get(request_id)
-        if promise is None or promise.unused(now) < 1:
+        """Start a moved request under a grant; return False if no grant allows it."""
+        issued = self.issued_by_id.get(request_id)
+        if issued is None or issued.unused(now) < 1:
             return False
-        promise.running += 1
+        issued.running += 1
         return True
 
     def end(self, request_id: int) -> None:
-        """End a moved request."""
-        promise = self.issued_by_id.get(request_id)
-        if promise is not None:
-            promise.running = max(0, promise.running - 1)
+        """Count the completion of a moved request."""
+        issued = self.issued_by_id.get(request_id)
+        if issued is not None:
+            issued.running = max(0, issued.running - 1)
 
     def _expire(self, now: float) -> None:
         self.issued_by_id = {
-            number: promise
-            for number, promise in self.issued_by_id.items()
-            if now < promise.valid_until or promise.running
+            number: issued
+            for number, issued in self.issued_by_id.items()
+            if now < issued.valid_until or issued.running
         }
--- a/packages/daemon/src/plankspindle_daemon/headroom/headroom_manager.py
+++ b/packages/daemon/src/plankspindle_daemon/headroom/headroom_manager.py
@@ -1,4 +1,4 @@
-"""Asking for headroom in other regions, and granting one's own."""
+"""Requests headroom in other regions, and grants headroom of this VM."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 @frozen(kw_only=True)
 class HeadroomTarget:
-    """An entry VM of another region that may be asked.
+    """An entry VM of another region that headroom may be requested from.
 
     Parameters
     ----------
     service, region : str
-        What is to be moved, and where to.
+        Service whose requests are to be moved, and the region to move them to.
     caller_endpoint, peer_endpoint : Endpoint
         Listeners of the entry VM.
     """
@@ -45,14 +45,14 @@
 
 @define(kw_only=True)
 class HeadroomManager:
-    """Both sides of the grants of one entry VM.
+    """Manage the held and issued grants of one entry VM.
 
     Parameters
     ----------
     vm : str
         Name of this VM.
     incarnation : int
-        Number of this process.
+        Incarnation of this process.
     random : Random
         Source of request ids.
     """
@@ -68,24 +68,24 @@
         self.grants = GrantTable(incarnation=self.incarnation)
 
     def is_request_due(self, now: float) -> bool:
-        """Tell whether it is time to ask, at most once a period."""
+        """Return whether headroom may be requested now, at most once a period."""
         if now < self._next_round:
             return False
         self._next_round = now + REQUEST_PERIOD_S
         return True
 
     def request_headroom(self, target: HeadroomTarget, now: float) -> list[SendToPeer]:
-        """Ask for as much headroom as there is use for, maybe for nothing."""
-        wanted = self.grants.take_demand(
+        """Request as much headroom as there is demand for, if there is any."""
+        demand = self.grants.take_demand(
             service=target.service, region=target.region, now=now
         )
-        if wanted == 0:
+        if demand == 0:
             return []
         request = HeadroomRequest(
             sender=self.vm,
             request_id=self.random.getrandbits(63),
             service=target.service,
-            count=min(wanted, MAX_REQUESTED),
+            count=min(demand, MAX_REQUESTED),
             duration_ms=GRANT_DURATION_MS,
             incarnation=self.incarnation,
         )
@@ -101,7 +101,7 @@
         reply_to: Endpoint,
         now: float,
     ) -> list[SendToPeer]:
-        """Promise headroom from the counts of the own dispatcher, or say nothing."""
+        """Grant headroom from this VM's dispatcher counts, or send no answer."""
         if dispatcher.queue:
             return []
         ledger = self.ledgers_by_service.setdefault(request.service, HeadroomLedger())
@@ -127,10 +127,10 @@
         return [SendToPeer(message=grant, to=reply_to)]
 
     def begin_moved(self, service: str, request_id: int, now: float) -> bool:
-        """Start a request that was moved here, if a promise allows it."""
+        """Start a request that was moved here, if a grant allows it."""
         ledger = self.ledgers_by_service.get(service)
         return ledger is not None and ledger.begin(request_id, now)
 
     def end_moved(self, service: str, request_id: int) -> None:
-        """End a request that was moved here."""
+        """Count the completion of a request that was moved here."""
         self.ledgers_by_service[service].end(request_id)
--- a/packages/daemon/src/plankspindle_daemon/headroom/headroom_targets.py
+++ b/packages/daemon/src/plankspindle_daemon/headroom/headroom_targets.py
@@ -1,4 +1,4 @@
-"""Entry VMs of other regions that may be asked for headroom."""
+"""Selects entry VMs of other regions that headroom may be requested from."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     listed : iterable of ListedVm
         The platform's list.
     drained : set of str
-        Entry VMs that are not asked.
+        Entry VMs that must not be chosen.
     random : Random
         Source of choices.
     """
@@ -43,7 +43,7 @@
     targets = []
     for shift in shifts:
         domains = configuration.domains_of(shift.to_region)
-        fitting = [
+        candidates = [
             HeadroomTarget(
                 service=shift.service,
                 region=shift.to_region,
@@ -57,6 +57,6 @@
             and each.caller_endpoint is not None
             and each.peer_endpoint is not None
         ]
-        if fitting:
-            targets.append(random.choice(fitting))
+        if candidates:
+            targets.append(random.choice(candidates))
     return targets
--- a/packages/daemon/tests/headroom/test_headroom.py
+++ b/packages/daemon/tests/headroom/test_headroom.py
@@ -1,4 +1,4 @@
-"""Tests of headroom between failure domains: promises, their use and their end."""
+"""Tests of headroom between failure domains: issuing, use and expiry of grants."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
 
 
 class HeadroomMachine(RuleBasedStateMachine):
-    """Two holders and one granting VM, with lost, late and repeated messages."""
+    """Two holders and one granting VM; messages are lost, delayed and repeated."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
         self.number = 0
         self.ledger = HeadroomLedger()
-        self.books = [GrantTable(incarnation=1), GrantTable(incarnation=2)]
-        self.own = 0
-        self.on_way: list[tuple[int, HeadroomGrant]] = []
+        self.tables = [GrantTable(incarnation=1), GrantTable(incarnation=2)]
+        self.local_in_flight = 0
+        self.in_transit: list[tuple[int, HeadroomGrant]] = []
         self.moved: list[tuple[int, HeldGrant, bool]] = []
 
     @property
-    def foreign(self) -> int:
+    def moved_in_flight(self) -> int:
         return sum(1 for _, _, admitted in self.moved if admitted)
 
     @rule(holder=st.integers(0, 1), count=st.integers(1, 8))
-    def ask(self, holder: int, count: int) -> None:
+    def request_headroom(self, holder: int, count: int) -> None:
         self.number += 1
         request = HeadroomRequest(
             sender=f"h{holder}",
@@ -49,13 +49,13 @@
             duration_ms=2000,
             incarnation=holder + 1,
         )
-        book = self.books[holder]
-        book.record_request(request, region="kosice", endpoint=PEER, now=self.now)
+        table = self.tables[holder]
+        table.record_request(request, region="kosice", endpoint=PEER, now=self.now)
         granted = self.ledger.grant(
             request_id=request.request_id,
             requested=count,
             capacity=CAPACITY,
-            in_flight=self.own + self.foreign,
+            in_flight=self.local_in_flight + self.moved_in_flight,
             now=self.now,
             valid_until=self.now + 2.0,
         )
@@ -68,18 +68,18 @@
                 duration_ms=2000,
                 holder_incarnation=request.incarnation,
             )
-            self.on_way.append((holder, grant))
+            self.in_transit.append((holder, grant))
 
-    @precondition(lambda self: self.on_way)
-    @rule(again=st.booleans(), astray=st.booleans())
-    def grant_arrives(self, again: bool, astray: bool) -> None:
-        holder, grant = self.on_way[-1] if again else self.on_way.pop()
-        target = 1 - holder if astray else holder
-        self.books[target].accept_grant(grant, self.now)
+    @precondition(lambda self: self.in_transit)
+    @rule(repeated=st.booleans(), misdirected=st.booleans())
+    def grant_arrives(self, repeated: bool, misdirected: bool) -> None:
+        holder, grant = self.in_transit[-1] if repeated else self.in_transit.pop()
+        target = 1 - holder if misdirected else holder
+        self.tables[target].accept_grant(grant, self.now)
 
     @rule(holder=st.integers(0, 1))
-    def move(self, holder: int) -> None:
-        held = self.books[holder].acquire(**TARGET, now=self.now)
+    def move_request(self, holder: int) -> None:
+        held = self.tables[holder].acquire(**TARGET, now=self.now)
         if held is not None:
             admitted = self.ledger.begin(held.request_id, self.now)
             self.moved.append((holder, held, admitted))
@@ -90,11 +90,11 @@
         holder, held, admitted = self.moved.pop(0)
         if admitted:
             self.ledger.end(held.request_id)
-        self.books[holder].release(held)
+        self.tables[holder].release(held)
 
     @rule(change=st.integers(-3, 3))
-    def own_load_changes(self, change: int) -> None:
-        self.own = max(0, min(CAPACITY, self.own + change))
+    def local_load_changes(self, change: int) -> None:
+        self.local_in_flight = max(0, min(CAPACITY, self.local_in_flight + change))
 
     @rule(seconds=st.floats(0.1, 3.0))
     def time_passes(self, seconds: float) -> None:
@@ -103,17 +103,17 @@
     @rule(holder=st.integers(0, 1))
     def holder_pauses(self, holder: int) -> None:
         self.now += 5.0
-        self.books[holder].discard_all()
+        self.tables[holder].discard_all()
 
     @invariant()
-    def moved_requests_stay_within_what_was_ever_grantable(self) -> None:
-        assert self.foreign <= CAPACITY * (1 - RESERVE_SHARE)
+    def moved_requests_stay_within_grantable_capacity(self) -> None:
+        assert self.moved_in_flight <= CAPACITY * (1 - RESERVE_SHARE)
 
 
 TestHeadroom = HeadroomMachine.TestCase
 
 
-def test_a_request_without_a_promise_is_not_admitted() -> None:
+def test_moved_request_is_admitted_only_under_valid_grant() -> None:
     ledger = HeadroomLedger()
     assert not ledger.begin(5, 0.0)
     ledger.grant(
@@ -125,7 +125,7 @@
     assert not ledger.begin(5, 2.0)
 
 
-def test_a_full_vm_promises_nothing_and_keeps_a_reserve() -> None:
+def test_grants_never_use_the_reserve() -> None:
     ledger = HeadroomLedger()
     fields = {"capacity": 8, "now": 0.0, "valid_until": 2.0}
     assert ledger.grant(request_id=1, requested=9, in_flight=6, **fields) == 0
@@ -133,10 +133,10 @@
     assert ledger.grant(request_id=3, requested=9, in_flight=4, **fields) == 0
 
 
-def test_grants_are_renewed_while_they_are_used() -> None:
-    book = GrantTable(incarnation=1)
-    assert book.acquire(**TARGET, now=0.0) is None
-    assert book.take_demand(**TARGET, now=0.0) == 1
+def test_used_grant_is_renewed_before_it_expires() -> None:
+    table = GrantTable(incarnation=1)
+    assert table.acquire(**TARGET, now=0.0) is None
+    assert table.take_demand(**TARGET, now=0.0) == 1
     request = HeadroomRequest(
         sender="h",
         request_id=1,
@@ -145,7 +145,7 @@
         duration_ms=2000,
         incarnation=1,
     )
-    book.record_request(request, region="kosice", endpoint=PEER, now=0.0)
+    table.record_request(request, region="kosice", endpoint=PEER, now=0.0)
     grant = HeadroomGrant(
         sender="g",
         request_id=1,
@@ -154,9 +154,9 @@
         duration_ms=2000,
         holder_incarnation=1,
     )
-    book.accept_grant(grant, 0.1)
-    held = book.acquire(**TARGET, now=0.2)
+    table.accept_grant(grant, 0.1)
+    held = table.acquire(**TARGET, now=0.2)
     assert held is not None
-    assert book.take_demand(**TARGET, now=0.3) == 0
-    assert book.take_demand(**TARGET, now=1.5) == 1
-    assert book.acquire(**TARGET, now=2.1) is None
+    assert table.take_demand(**TARGET, now=0.3) == 0
+    assert table.take_demand(**TARGET, now=1.5) == 1
+    assert table.acquire(**TARGET, now=2.1) is None
