--- a/packages/daemon/src/plankspindle_daemon/exchange/__init__.py
+++ b/packages/daemon/src/plankspindle_daemon/exchange/__init__.py
@@ -1,3 +1,3 @@
-"""The life of one request between its caller and an upstream."""
+"""Handling of one request between its caller and an upstream."""
 
 from __future__ import annotations
--- a/packages/daemon/src/plankspindle_daemon/exchange/answers.py
+++ b/packages/daemon/src/plankspindle_daemon/exchange/answers.py
@@ -1,4 +1,4 @@
-"""Answers of this program's own to callers."""
+"""Answers that this daemon itself sends to callers."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
 _UNAUTHORIZED = 401
 _TOO_MANY = 429
 _UNAVAILABLE = 503
-_COME_BACK = (_TOO_MANY, _UNAVAILABLE)
+_STATUSES_WITH_RETRY_AFTER = (_TOO_MANY, _UNAVAILABLE)
 _TEXT = (b"content-type", b"text/plain")
 
 
 async def answer_with_outcome(
     source: ServerExchange, answer: AnswerCaller, dialect: Dialect, trace: RequestTrace
 ) -> None:
-    """Tell a caller what is known of its request.
+    """Answer a caller with the outcome of its request, as far as it is known.
 
     Parameters
     ----------
     source : ServerExchange
-        The caller's side.
+        HTTP exchange with the caller.
     answer : AnswerCaller
-        What is known.
+        Status, outcome and reason to send.
     dialect : Dialect
-        Form of the time to come back.
+        Authentication scheme, and format of ``Retry-After``.
     trace : RequestTrace
-        What happened to the request.
+        Trace of the request.
     """
     headers = [
         (header_names.OUTCOME, answer.outcome.value.encode()),
@@ -50,15 +50,17 @@
     retry_after_s = None
     if answer.status == _UNAUTHORIZED:
         headers.append((b"www-authenticate", dialect.key_scheme.encode()))
-    if answer.status in _COME_BACK:
+    if answer.status in _STATUSES_WITH_RETRY_AFTER:
         retry_after_s = answer.retry_after_s or DEFAULT_RETRY_AFTER_S
-        whole = not dialect.fractional_retry_after
-        seconds = f"{math.ceil(retry_after_s) if whole else retry_after_s:.3g}".encode()
+        rounds_up = not dialect.fractional_retry_after
+        seconds = (
+            f"{math.ceil(retry_after_s) if rounds_up else retry_after_s:.3g}".encode()
+        )
         headers.append((header_names.RETRY_AFTER, seconds))
-        exact = str(math.ceil(retry_after_s * 1000)).encode()
-        headers.append((b"plankspindle-retry-after-ms", exact))
+        exact_ms = str(math.ceil(retry_after_s * 1000)).encode()
+        headers.append((b"plankspindle-retry-after-ms", exact_ms))
     trace.complete(
-        _ENDINGS[answer.outcome],
+        _COMPLETION_BY_OUTCOME[answer.outcome],
         status=answer.status,
         reason=answer.reason,
         retry_after_s=retry_after_s,
@@ -67,7 +69,7 @@
     await source.answer(status=answer.status, headers=headers, body=body)
 
 
-_ENDINGS = {
+_COMPLETION_BY_OUTCOME = {
     Outcome.DONE: Completion.SERVED,
     Outcome.NOT_RUN: Completion.NOT_RUN,
     Outcome.UNKNOWN: Completion.UNKNOWN,
@@ -81,18 +83,18 @@
     *,
     key_scheme: str = "Bearer",
 ) -> None:
-    """Tell a caller what to change; its request was not run.
+    """Reject a request that was not run, with what the caller must change.
 
     Parameters
     ----------
     source : ServerExchange
-        The caller's side.
+        HTTP exchange with the caller.
     error : BadRequest
-        What is wrong.
+        Status, and what is wrong with the request.
     trace : RequestTrace, optional
-        What happened to the request, if it is one for a service.
+        Trace of the request, if it is for a service.
     key_scheme : str
-        Scheme by which a key is to be sent.
+        Authentication scheme under which callers send API keys.
     """
     headers: HeaderList = [
         _TEXT,
@@ -104,17 +106,17 @@
         headers.append((header_names.RETRY_AFTER, b"1"))
     if trace is not None:
         headers += _log_id(trace)
-        ending = (
+        completion = (
             Completion.NOT_RUN if error.status == _UNAVAILABLE else Completion.REFUSED
         )
-        trace.complete(ending, status=error.status, reason=error.reason)
+        trace.complete(completion, status=error.status, reason=error.reason)
     await source.answer(
         status=error.status, headers=headers, body=(error.reason + "\n").encode()
     )
 
 
 def _log_id(trace: RequestTrace) -> HeaderList:
-    """Name the id by which logs tell of the request, unless the caller chose it."""
+    """Return a header with the id of the request in logs, unless the caller set it."""
     if trace.id_is_from_caller:
         return []
     return [(header_names.LOG_ID, trace.request_id.encode("latin-1", "replace"))]
--- a/packages/daemon/src/plankspindle_daemon/exchange/attempt.py
+++ b/packages/daemon/src/plankspindle_daemon/exchange/attempt.py
@@ -47,34 +47,35 @@
 if TYPE_CHECKING:
     from plankspindle_core.http.errors import ConnectionLost
 
-_NEVER_SENT = "nothing was sent"
+_NOTHING_SENT = "nothing was sent"
 
 
 @frozen(kw_only=True)
 class OutgoingRequest:
-    """What goes on of a caller's request.
+    """What is forwarded of a caller's request.
 
     Parameters
     ----------
     source : ServerExchange
-        The caller's side.
+        HTTP exchange with the caller.
     path : str
         Path and query below the service.
     upstream_headers, peer_headers : list of (bytes, bytes)
-        Headers that go on, without framing and deadline.
+        Headers for an upstream and for another entry VM, without framing and deadline.
     body : RequestBody
-        Its body.
+        Request body.
     deadline : float
-        Latest end, monotonic seconds.
+        Deadline of the request, monotonic seconds.
     deadline_ms : int
-        The same, milliseconds since the Unix epoch.
+        The same deadline, milliseconds since the Unix epoch.
     dialect : Dialect
         Names of headers.
     max_idle_non_idempotent_s : float
-        Longest rest of a connection that may carry a request which must not run twice.
+        Longest idle time, in seconds, of a reused connection for a request that must
+        not run twice.
     max_buffered_answer_bytes : int
-        Answers of up to this length are held until they are whole, so that a broken one
-        can still be replaced.
+        Answers of up to this many bytes are buffered until they are complete, so that
+        another attempt can be made if one is truncated.
     """
 
     source: ServerExchange
@@ -91,33 +92,33 @@
 
 @define(kw_only=True)
 class Attempt:
-    """One attempt.
+    """Send a request once, and read the answer.
 
     Parameters
     ----------
     number : int
-        Its number, from 1 on.
+        Number of the attempt, from 1 on.
     outgoing : OutgoingRequest
-        What is sent.
+        The request to send.
     ticket : Ticket
         The request as admission sees it.
     assigned : Assign, optional
-        The upstream that it got; None if it goes to another entry VM.
+        The assigned upstream; None if the request goes to another entry VM.
     timeout : AttemptTimeout
-        How long a silent upstream is waited for.
+        Decides when to abandon an unresponsive upstream.
     pool : ConnectionPool
-        Connections.
+        Pool of connections to upstreams and other entry VMs.
     record : RequestRecord
-        What must learn whether the request may have run.
+        Idempotency record, updated with whether the request may have run.
     trace : RequestTrace
-        What happened to the request.
+        Trace of the request.
 
     Attributes
     ----------
     head : h11.Response or None
         Head of the answer.
     statement : UpstreamStatement
-        What the upstream said of itself in its answer.
+        Statement of the upstream about itself in its answer.
     sent_at : float
         When the request was sent, monotonic seconds.
     connection_was_lost : bool
@@ -142,7 +143,7 @@
     _connect_s: float | None = None
     _reported_load: int | None = None
     _head_s: float = 0.0
-    _observed: str = _NEVER_SENT
+    _observed: str = _NOTHING_SENT
     _executed: Executed = Executed.NO
 
     @property
@@ -151,18 +152,18 @@
         return self._executed is not Executed.NO
 
     async def open(self, effect: OpenConnection) -> ExchangeEvent:
-        """Get a connection."""
+        """Acquire a connection from the pool, or open one."""
         max_idle_s = math.inf
         if effect.fresh:
             max_idle_s = self.outgoing.max_idle_non_idempotent_s
-        began = self.sent_at = monotonic()
+        started_at = self.sent_at = monotonic()
         acquired = await self.pool.acquire(effect.endpoint, max_idle_s=max_idle_s)
         if acquired.is_err():
             self._observed = f"no connection: {acquired.unwrap_err()}"
             return ConnectFailed()
         self._connection = acquired.unwrap()
         is_new = self._connection.exchanges == 0
-        self._connect_s = monotonic() - began if is_new else None
+        self._connect_s = monotonic() - started_at if is_new else None
         return Connected()
 
     async def send(self) -> ExchangeEvent:
@@ -175,7 +176,7 @@
             return ConnectionBroken(bytes_handed_over=False)
         self.record.record_started()
         self.sent_at = now
-        self._note_sent(connection, now)
+        self._record_sent(connection, now)
         source = self.outgoing.source
         to_peer = self.assigned is None
         sent = await connection.send_request(
@@ -185,19 +186,21 @@
         )
         self._observed, self._executed = "no answer", Executed.MAYBE
         if sent.is_err():
-            return self._broke(connection, str(sent.unwrap_err()))
+            return self._handle_break(connection, str(sent.unwrap_err()))
         if not await self.outgoing.body.send(source, connection):
-            return self._broke(connection, "the body could not be sent whole")
+            return self._handle_break(
+                connection, "the body could not be sent completely"
+            )
         head = await self._read_head(connection)
         if head is None:
-            silent_ms = round((monotonic() - self.sent_at) * 1000)
-            self._observed = f"silent to all requests for {silent_ms} ms"
+            waited_ms = round((monotonic() - self.sent_at) * 1000)
+            self._observed = f"no answer to any request for {waited_ms} ms"
             return UpstreamUnresponsive()
         if head.is_err():
-            return self._broke(connection, str(head.unwrap_err()))
-        return await self._take_head(head.unwrap(), connection)
+            return self._handle_break(connection, str(head.unwrap_err()))
+        return await self._handle_head(head.unwrap(), connection)
 
-    def _note_sent(self, connection: ClientConnection, now: float) -> None:
+    def _record_sent(self, connection: ClientConnection, now: float) -> None:
         is_new = connection.exchanges == 0
         connect_s = self._connect_s
         step = Sent(
@@ -213,23 +216,23 @@
     async def _read_head(
         self, connection: ClientConnection
     ) -> Result[h11.Response, ConnectionLost] | None:
-        """Read the head; None once the upstream seems to answer nobody any more."""
+        """Read the head of the answer; None if the upstream is to be abandoned."""
         assigned = self.assigned
-        patience_s = None if assigned is None else self.timeout.timeout_s(self.ticket)
-        while patience_s is not None and assigned is not None:
+        timeout_s = None if assigned is None else self.timeout.timeout_s(self.ticket)
+        while timeout_s is not None and assigned is not None:
             try:
                 return await within(  # type: ignore[no-any-return]
-                    patience_s, connection.read_head
+                    timeout_s, connection.read_head
                 )
             except TaskTimeout:
-                if self._may_leave(assigned.upstream):
+                if self._may_abandon(assigned.upstream):
                     return None
         return await connection.read_head()
 
-    def _may_leave(self, upstream: str) -> bool:
+    def _may_abandon(self, upstream: str) -> bool:
         return self.timeout.may_abandon(self.ticket, upstream, self.sent_at)
 
-    async def _take_head(
+    async def _handle_head(
         self, head: h11.Response, connection: ClientConnection
     ) -> ExchangeEvent:
         self.head = head
@@ -237,17 +240,17 @@
         self._observed = f"status {head.status_code}"
         headers = as_header_list(head.headers)
         if self.assigned is None:
-            proves = _peer_proves_not_run(headers)
+            proves_not_run = _peer_proves_not_run(headers)
         else:
             dialect = self.outgoing.dialect
             self._reported_load = dialect.reported_load(headers)
-            proves = dialect.proves_not_run(head.status_code, headers)
+            proves_not_run = dialect.proves_not_run(head.status_code, headers)
             if not dialect.answer_matches(self.outgoing.source.headers, headers):
-                self._observed = "the answer to another request"
+                self._observed = "the answer belongs to another request"
                 return ConnectionBroken(bytes_handed_over=True)
             if not dialect.is_misdirected(head.status_code):
                 self.statement = dialect.read_statement(head.status_code, headers)
-        if proves:
+        if proves_not_run:
             self._executed = Executed.NO
             self._observed = f"status {head.status_code}, stating that it was not run"
             self.record.record_not_run()
@@ -258,25 +261,27 @@
             return HeadReceived(proves_not_run=True, is_misdirected=is_misdirected)
         self._executed = Executed.YES
         self._buffered_body = None
-        if self._may_hold(headers):
+        if self._can_buffer(headers):
             limit = self.outgoing.max_buffered_answer_bytes
-            whole = await connection.read_body(max_bytes=limit)
-            if whole.is_err():
-                self._observed = f"an answer that was cut off: {whole.unwrap_err()}"
+            body = await connection.read_body(max_bytes=limit)
+            if body.is_err():
+                self._observed = f"answer truncated: {body.unwrap_err()}"
                 self.connection_was_lost = True
                 return ConnectionBroken(bytes_handed_over=True)
-            self._buffered_body = whole.unwrap()
+            self._buffered_body = body.unwrap()
         return HeadReceived()
 
-    def _may_hold(self, headers: HeaderList) -> bool:
-        """Tell whether the answer is short enough to be held until it is whole."""
+    def _can_buffer(self, headers: HeaderList) -> bool:
+        """Return whether the answer is short enough to be buffered until complete."""
         length = find_header(headers, b"content-length")
         is_head = self.outgoing.source.method == "HEAD"
         if self.assigned is None or length is None or is_head:
             return False
         return int(length) <= self.outgoing.max_buffered_answer_bytes
 
-    def _broke(self, connection: ClientConnection, detail: str) -> ConnectionBroken:
+    def _handle_break(
+        self, connection: ClientConnection, detail: str
+    ) -> ConnectionBroken:
         self._observed = f"connection lost: {detail}"
         self.connection_was_lost = connection.bytes_handed_over
         if not connection.bytes_handed_over:
@@ -285,16 +290,16 @@
         return ConnectionBroken(bytes_handed_over=connection.bytes_handed_over)
 
     async def next_chunk(self) -> Result[bytes | None, ConnectionLost]:
-        """Read more of the answer; None at its end."""
+        """Read the next chunk of the answer's body; None at its end."""
         if self._buffered_body is None:
             assert self._connection is not None
             chunk = await self._connection.read_chunk()
             if chunk.is_err():
-                self._observed = f"an answer that was cut off: {chunk.unwrap_err()}"
+                self._observed = f"answer truncated: {chunk.unwrap_err()}"
                 self.connection_was_lost = True
             return chunk
-        held, self._buffered_body = self._buffered_body, b""
-        return Ok(held or None)
+        buffered, self._buffered_body = self._buffered_body, b""
+        return Ok(buffered or None)
 
     def _headers(self, connection: ClientConnection) -> HeaderList:
         outgoing = self.outgoing
@@ -322,24 +327,29 @@
     def _left_ms(self) -> int:
         return max(1, int((self.outgoing.deadline - monotonic()) * 1000))
 
-    async def end(self, verdict: AttemptOutcome) -> AttemptCompleted | None:
-        """End the attempt, and give what the dispatcher must learn.
+    async def end(self, outcome: AttemptOutcome) -> AttemptCompleted | None:
+        """Complete the attempt, and return its completion for the dispatcher.
 
         Parameters
         ----------
-        verdict : AttemptOutcome
-            How it ended; anything but ``ANSWERED`` closes the connection.
+        outcome : AttemptOutcome
+            Outcome of the attempt; any other than ``ANSWERED`` closes the connection.
+
+        Returns
+        -------
+        AttemptCompleted or None
+            None if the request was sent to another entry VM.
         """
         now = monotonic()
-        self._note_end(verdict, now)
-        await self._give_connection_back(keep=verdict is AttemptOutcome.ANSWERED)
+        self._record_completion(outcome, now)
+        await self._return_connection(keep=outcome is AttemptOutcome.ANSWERED)
         if self.assigned is None:
             return None
-        answered = verdict is AttemptOutcome.ANSWERED
+        answered = outcome is AttemptOutcome.ANSWERED
         return AttemptCompleted(
             ticket=self.ticket,
             upstream=self.assigned.upstream,
-            outcome=verdict,
+            outcome=outcome,
             head_s=self._head_s if answered else None,
             total_s=now - self.sent_at if answered else None,
             connect_s=self._connect_s,
@@ -349,14 +359,14 @@
             cause=self._observed,
         )
 
-    def _note_end(self, verdict: AttemptOutcome, now: float) -> None:
+    def _record_completion(self, outcome: AttemptOutcome, now: float) -> None:
         upstream = "other entry VM"
         if self.assigned is not None:
             upstream = self.trace.upstream = self.assigned.upstream
         step = AttemptEnded(
             attempt=self.number,
             upstream=upstream,
-            verdict=verdict.value,
+            verdict=outcome.value,
             came=self._observed,
             ran=self._executed,
             took_ms=round((now - self.sent_at) * 1000),
@@ -364,10 +374,10 @@
         self.trace.record(step, now)
 
     async def close(self) -> None:
-        """Close the connection if the attempt was never ended."""
-        await self._give_connection_back(keep=False)
+        """Close the connection if the attempt was never completed."""
+        await self._return_connection(keep=False)
 
-    async def _give_connection_back(self, *, keep: bool) -> None:
+    async def _return_connection(self, *, keep: bool) -> None:
         connection, self._connection = self._connection, None
         if connection is None:
             return
--- a/packages/daemon/src/plankspindle_daemon/exchange/attempt_timeout.py
+++ b/packages/daemon/src/plankspindle_daemon/exchange/attempt_timeout.py
@@ -1,4 +1,4 @@
-"""How long one upstream is waited for before another is tried."""
+"""Timeout after which a request abandons an upstream and tries another one."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
     from plankspindle_daemon.admission.ticket import Ticket
 
 ATTEMPT_TIMEOUT_FACTOR = 4.0
-"""Usual durations after which a silent upstream is given up for another."""
+"""Multiple of the expected duration after which another upstream may be tried."""
 MIN_ATTEMPT_TIMEOUT_S = 0.6
 
 
 @define(kw_only=True)
 class AttemptTimeout:
-    """Decide whether a request leaves an upstream that seems to answer nobody.
+    """Decide whether a request abandons an upstream that answers no request.
 
     Parameters
     ----------
     service : str
-        The service asked for.
+        Name of the requested service.
     exchange : Exchange
-        The decisions on the request.
+        State machine of the request.
     dispatch : DispatchRunner
-        Keeper of durations and of what upstreams answered.
+        Source of expected durations and of the times of upstreams' last answers.
     """
 
     service: str
@@ -35,24 +35,32 @@
     dispatch: DispatchRunner
 
     def timeout_s(self, ticket: Ticket) -> float | None:
-        """Give the time after which another upstream may be tried; None for never."""
-        terms = self.exchange.policy
-        if not (terms.idempotent and terms.resendable):
+        """Return the seconds until another upstream may be tried; None for never.
+
+        Only an idempotent request whose body can be sent again may be tried elsewhere.
+        """
+        policy = self.exchange.policy
+        if not (policy.idempotent and policy.resendable):
             return None
-        usual_s = self.dispatch.expected_duration_s(self.service, ticket)
-        return max(MIN_ATTEMPT_TIMEOUT_S, ATTEMPT_TIMEOUT_FACTOR * usual_s)
+        expected_s = self.dispatch.expected_duration_s(self.service, ticket)
+        return max(MIN_ATTEMPT_TIMEOUT_S, ATTEMPT_TIMEOUT_FACTOR * expected_s)
 
     def may_abandon(self, ticket: Ticket, upstream: str, sent_at: float) -> bool:
-        """Tell whether to try another upstream; a planned stop breaks nothing off.
+        """Return whether to abandon an upstream and try another one.
 
         Parameters
         ----------
         ticket : Ticket
             The request as admission sees it.
         upstream : str
-            The upstream that is silent to this request.
+            The upstream that has not answered this request.
         sent_at : float
             When the request was sent there, monotonic seconds.
+
+        Notes
+        -----
+        While this VM is leaving, no attempt is abandoned: a planned stop must not
+        interrupt running requests.
         """
         return (
             not self.dispatch.node.leave.is_leaving
--- a/packages/daemon/src/plankspindle_daemon/exchange/caller_request.py
+++ b/packages/daemon/src/plankspindle_daemon/exchange/caller_request.py
@@ -1,4 +1,4 @@
-"""A caller's request, read from its head."""
+"""Parse the head of a caller's request, and build the headers to forward."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 
 @frozen
 class BadRequest:
-    """A request that cannot be served as it is.
+    """Error of a request that cannot be served as it was sent.
 
     Parameters
     ----------
     status : int
         Status code.
     reason : str
-        What the caller has to change.
+        What the caller must change.
     """
 
     status: int
@@ -45,7 +45,7 @@
 
 @frozen(kw_only=True)
 class CallerRequest:
-    """What a caller asks for.
+    """Request of a caller, as its head states it.
 
     Parameters
     ----------
@@ -54,15 +54,15 @@
     path : str
         Path and query below the service, with its leading slash.
     timeout_ms : int, optional
-        Time that the caller gives, in milliseconds.
+        Timeout set by the caller, in milliseconds.
     deadline_ms : int, optional
-        Latest end, milliseconds since the Unix epoch.
+        Deadline, milliseconds since the Unix epoch.
     idempotency_key, request_id : str, optional
-        What marks the request as one that must not repeat.
+        Key or issued id with which the request must run at most once.
     forwarded : bool
-        Whether another entry VM passed it on.
+        Whether another entry VM forwarded it.
     grant : int, optional
-        Grant of headroom under which it was moved here.
+        Headroom grant under which it was forwarded to this VM.
     """
 
     service: str
@@ -78,7 +78,7 @@
 def parse_caller_request(
     target: str, headers: HeaderList
 ) -> Result[CallerRequest, BadRequest]:
-    """Read the head of a request for a service.
+    """Parse the head of a request for a service.
 
     Parameters
     ----------
@@ -90,7 +90,7 @@
     Returns
     -------
     Result
-        The request, or what is wrong with it.
+        The parsed request, or the error to answer with.
     """
     service, slash, rest = target.removeprefix(SERVICES_PREFIX).partition("/")
     timeout = read_integer_header(headers, header_names.TIMEOUT)
@@ -99,8 +99,8 @@
     for number in (timeout, deadline, grant):
         if number.is_err():
             return Err(number.unwrap_err())
-    key = _text(headers, header_names.IDEMPOTENCY_KEY)
-    request_id = _text(headers, header_names.REQUEST_ID)
+    key = _decoded_header(headers, header_names.IDEMPOTENCY_KEY)
+    request_id = _decoded_header(headers, header_names.REQUEST_ID)
     if key is not None and request_id is not None:
         return Err(BadRequest(400, "send Idempotency-Key or a request id, not both"))
     if key is not None and not 0 < len(key) <= MAX_KEY_CHARACTERS:
@@ -124,7 +124,7 @@
 def read_integer_header(
     headers: HeaderList, name: bytes
 ) -> Result[int | None, BadRequest]:
-    """Read a header that is a whole number; None if it is not there."""
+    """Parse a header that must be a whole number; None if it is absent."""
     text = find_header(headers, name)
     if text is None:
         return Ok(None)
@@ -133,7 +133,7 @@
     return Ok(int(text))
 
 
-def _text(headers: HeaderList, name: bytes) -> str | None:
+def _decoded_header(headers: HeaderList, name: bytes) -> str | None:
     value = find_header(headers, name)
     return None if value is None else value.decode("latin-1")
 
@@ -145,18 +145,18 @@
     workspace: str | None,
     peer_host: str,
 ) -> HeaderList:
-    """Give the headers that go on to an upstream, without framing and deadline.
+    """Return the headers to forward to an upstream, without framing and deadline.
 
     Parameters
     ----------
     headers : list of (bytes, bytes)
         Headers of the caller.
     caller : str, optional
-        Name of the caller, if it has an API key. The key itself stays here.
+        Name of the caller, if it has an API key. The key itself is not forwarded.
     workspace : str, optional
-        Name of its workspace.
+        Name of the caller's workspace.
     peer_host : str
-        IP number of the caller.
+        IP address of the caller.
     """
     kept = [
         (key, value)
@@ -174,21 +174,24 @@
 def passthrough_headers(
     headers: HeaderList, *, dialect: Dialect, workspace: str | None
 ) -> HeaderList:
-    """Give the headers of a caller but those of one connection, framing and deadline.
+    """Return a caller's headers to forward unchanged, ``Host`` included.
+
+    Hop-by-hop headers, framing, the deadline, the API key, and any target upstream or
+    workspace that the caller named are left out.
 
     Parameters
     ----------
     headers : list of (bytes, bytes)
         Headers of the caller.
     dialect : Dialect
-        Names of those that are set anew.
+        Names of the headers that this daemon sets itself.
     workspace : str, optional
-        Name of the caller's workspace, which replaces what the caller says it is. Its
-        API key stays here.
+        Name of the caller's workspace. It replaces any workspace header of the caller,
+        which could be forged. The API key is not forwarded.
     """
-    set_anew = {*_FRAMING, dialect.deadline, dialect.target_upstream}
-    set_anew |= {header_names.AUTHORIZATION, dialect.workspace}
-    kept = [each for each in without_hop_by_hop(headers) if each[0] not in set_anew]
+    replaced = {*_FRAMING, dialect.deadline, dialect.target_upstream}
+    replaced |= {header_names.AUTHORIZATION, dialect.workspace}
+    kept = [each for each in without_hop_by_hop(headers) if each[0] not in replaced]
     if workspace is not None:
         kept.append((dialect.workspace, workspace.encode()))
     return kept
@@ -197,16 +200,16 @@
 def headers_for_peer(
     headers: HeaderList, *, grant: int | None, sealed_identity: bytes | None
 ) -> HeaderList:
-    """Give the headers that go on to another entry VM, without framing and deadline.
+    """Return the headers to forward to another entry VM, without framing and deadline.
 
     Parameters
     ----------
     headers : list of (bytes, bytes)
         Headers of the caller.
     grant : int, optional
-        Grant of headroom under which the request is moved.
+        Headroom grant under which the request is forwarded.
     sealed_identity : bytes, optional
-        Who the caller is, instead of its API key, which stays here.
+        Sealed identity of the caller. It replaces the API key, which is not forwarded.
     """
     dropped = {b"host", b"expect", b"content-length", header_names.DEADLINE}
     dropped |= {header_names.TIMEOUT, header_names.FORWARDED, header_names.GRANT}
--- a/packages/daemon/src/plankspindle_daemon/exchange/dialect.py
+++ b/packages/daemon/src/plankspindle_daemon/exchange/dialect.py
@@ -1,4 +1,4 @@
-"""Names and forms of what is said to callers and upstreams by HTTP headers."""
+"""Names and formats of the HTTP headers towards callers and upstreams."""
 
 from __future__ import annotations
 
@@ -17,41 +17,43 @@
 
 @frozen(kw_only=True)
 class Dialect:
-    """Header names towards callers and upstreams; the defaults are the product's own.
+    """Header names and formats; the defaults are those of this product.
 
     Parameters
     ----------
     timeout : bytes
-        Time that a caller gives, in milliseconds.
+        Header with the timeout that a caller sets, in milliseconds.
     deadline : bytes
-        End of the work as told to an upstream.
+        Header with the deadline that is sent to an upstream.
     deadline_is_time_left : bool
-        Whether that is the time left in milliseconds; otherwise it is milliseconds
-        since the Unix epoch.
+        Whether the deadline is sent as the time left in milliseconds; otherwise it is
+        in milliseconds since the Unix epoch.
     not_run : bytes
         Header by which an upstream states that it did not run a request.
     not_run_statuses : frozenset of int
-        Statuses with which that statement counts; any status if empty.
+        Statuses with which that header is accepted; any status if empty.
     misdirected_status : int, optional
-        Status by which another than the wanted upstream refuses.
+        Status with which an upstream rejects a request meant for another upstream.
     target_upstream : bytes, optional
-        Header that names the wanted upstream.
+        Header that names the upstream for which the request is meant.
     echo : bytes, optional
         Header of a request that its answer must repeat.
     load : bytes, optional
-        Header in which answers tell the load: running, waiting, slots.
+        Header in which answers report the load: running, waiting, slots.
     affinity_cookie : str, optional
-        Cookie that carries the affinity key.
+        Name of the cookie that carries the affinity key.
     passes_headers_through : bool
-        Whether the head goes on to the upstream as it came, ``Host`` included.
+        Whether the caller's headers are forwarded to the upstream unchanged, ``Host``
+        included.
     fractional_retry_after : bool
-        Whether callers read fractions of seconds in ``Retry-After``.
+        Whether callers accept fractions of a second in ``Retry-After``.
     key_scheme : str
-        Authentication scheme by which callers send API keys.
+        Authentication scheme under which callers send API keys.
     workspace : bytes
-        Header that tells an upstream the caller's workspace.
+        Header with the caller's workspace that is sent to an upstream.
     read_statement : callable
-        Reads what an upstream says of itself from the status and headers of an answer.
+        Reads an upstream's statement about itself from the status and headers of an
+        answer.
     """
 
     timeout: bytes = header_names.TIMEOUT
@@ -73,11 +75,11 @@
     )
 
     def is_misdirected(self, status: int) -> bool:
-        """Tell whether another than the wanted upstream answered."""
+        """Return whether an upstream rejected a request meant for another one."""
         return status == self.misdirected_status
 
     def proves_not_run(self, status: int, headers: HeaderList) -> bool:
-        """Tell whether an upstream states that it did not run the request."""
+        """Return whether an upstream states that it did not run the request."""
         if self.is_misdirected(status):
             return True
         if self.not_run_statuses and status not in self.not_run_statuses:
@@ -86,7 +88,7 @@
         return value is not None and value != b"0"
 
     def reported_load(self, headers: HeaderList) -> int | None:
-        """Read how many requests run and wait, or None if nothing readable is told."""
+        """Return the number of running and waiting requests; None if not readable."""
         value = None if self.load is None else find_header(headers, self.load)
         if value is None:
             return None
@@ -96,14 +98,14 @@
         return int(numbers[0]) + int(numbers[1])
 
     def answer_matches(self, request: HeaderList, answer: HeaderList) -> bool:
-        """Tell whether an answer belongs to a request, as far as headers show."""
+        """Return whether an answer repeats the echo header of its request, if any."""
         if self.echo is None:
             return True
-        wanted = find_header(request, self.echo)
-        return wanted is None or find_header(answer, self.echo) == wanted
+        expected = find_header(request, self.echo)
+        return expected is None or find_header(answer, self.echo) == expected
 
     def affinity_key(self, headers: HeaderList) -> str | None:
-        """Read the affinity key of a request, or None."""
+        """Return the affinity key of a request, or None."""
         if self.affinity_cookie is None:
             return None
         for name, value in headers:
--- a/packages/daemon/src/plankspindle_daemon/exchange/exchange.py
+++ b/packages/daemon/src/plankspindle_daemon/exchange/exchange.py
@@ -38,7 +38,7 @@
 from plankspindle_daemon.traces.steps import RetryDecided
 
 MAX_FREE_CONNECT_FAILURES = 3
-"""Upstreams that may be unreachable before other ones cost budget."""
+"""Unreachable upstreams after which each further one uses the retry budget."""
 _UNAVAILABLE = 503
 _BAD_GATEWAY = 502
 _GATEWAY_TIMEOUT = 504
@@ -51,28 +51,28 @@
 
 @frozen
 class Connecting:
-    """A connection is being made."""
+    """A connection is being acquired."""
 
     upstream: str | None
 
 
 @frozen
 class AwaitingAnswer:
-    """The request is being sent or its answer awaited."""
+    """The request is being sent, or its answer is awaited."""
 
     upstream: str | None
 
 
 @frozen
 class Relaying:
-    """The head of the answer was given to the caller."""
+    """The answer is being relayed to the caller."""
 
     upstream: str | None
 
 
 @frozen
 class Completed:
-    """Nothing more happens."""
+    """The exchange is over; no further steps follow."""
 
 
 ExchangeState = Waiting | Connecting | AwaitingAnswer | Relaying | Completed
@@ -80,28 +80,28 @@
 
 @define(kw_only=True)
 class Exchange:
-    """Decide every step of one request.
+    """Decide the next step of one request after each event.
 
     Parameters
     ----------
     policy : ExecutionPolicy
-        What the request allows.
+        Whether and how often the request may be run.
     route : Route
-        Where it goes first.
+        Destination of the first attempt.
     budget : RetryBudget
-        Bound on retries of its service.
+        Retry budget of the service.
 
     Attributes
     ----------
     retry_decisions : list of RetryDecided
-        Every retry that was taken or withheld, for the log.
+        Retries that were allowed or denied, for the request trace.
 
     Notes
     -----
     ``may_have_run`` is set when a byte of the request is handed to a socket and cleared
     only by an explicit statement of the other side that it did not run this attempt.
-    While it is set the caller is never told ``not-run``, and a request that must not
-    repeat is never sent again.
+    While it is set, the caller never gets the outcome ``not-run``, and a non-idempotent
+    request is never sent again.
     """
 
     policy: ExecutionPolicy
@@ -115,7 +115,7 @@
     _may_have_run_before: bool = False
 
     def begin(self) -> list[ExchangeEffect]:
-        """Give the first step."""
+        """Return the first step."""
         self.budget.note_fresh()
         match self.route:
             case ToUpstream():
@@ -125,7 +125,7 @@
                 return [OpenConnection(endpoint=endpoint, fresh=True)]
 
     def handle(self, event: ExchangeEvent) -> list[ExchangeEffect]:
-        """Take one event and give the next steps, in order.
+        """Handle one event and return the next steps, in order.
 
         Parameters
         ----------
@@ -135,7 +135,7 @@
         Returns
         -------
         list of ExchangeEffect
-            Only the last one can lead to a further event.
+            Steps to perform; only the last one can lead to a further event.
         """
         match event:
             case Assigned(upstream=upstream, endpoint=endpoint):
@@ -151,17 +151,17 @@
             case Connected():
                 return self._send()
             case ConnectFailed() | UpstreamUnresponsive():
-                return self._take_silence(event)
+                return self._handle_no_answer(event)
             case HeadReceived():
-                return self._take_head(event)
+                return self._handle_head(event)
             case ConnectionBroken(bytes_handed_over=handed_over):
-                return self._take_break(handed_over)
+                return self._handle_break(handed_over)
             case AnswerRelayed():
-                return self._end_upstream(AttemptOutcome.ANSWERED, Completed())
+                return self._release(AttemptOutcome.ANSWERED, Completed())
             case CallerDisconnected():
-                return self._take_caller_gone()
+                return self._handle_disconnect()
             case DeadlineExceeded():
-                return self._take_deadline()
+                return self._handle_deadline()
 
     def _send(self) -> list[ExchangeEffect]:
         check_invariant(
@@ -174,37 +174,37 @@
         self.state = AwaitingAnswer(self._upstream())
         return [SendRequest()]
 
-    def _take_head(self, head: HeadReceived) -> list[ExchangeEffect]:
+    def _handle_head(self, head: HeadReceived) -> list[ExchangeEffect]:
         if not head.proves_not_run:
             self.state = Relaying(self._upstream())
             return [RelayAnswer()]
         self.may_have_run = self._may_have_run_before
         if head.is_misdirected:
-            return self._after_failure("upstream-gone", AttemptOutcome.MISDIRECTED)
-        return self._after_failure("upstream-shed", AttemptOutcome.SHED)
+            return self._handle_failure("upstream-gone", AttemptOutcome.MISDIRECTED)
+        return self._handle_failure("upstream-shed", AttemptOutcome.SHED)
 
-    def _take_silence(
+    def _handle_no_answer(
         self, event: ConnectFailed | UpstreamUnresponsive
     ) -> list[ExchangeEffect]:
         if isinstance(event, UpstreamUnresponsive):
-            return self._after_failure("upstream-silent", AttemptOutcome.TIMED_OUT)
-        return self._after_failure("upstream-unreachable", AttemptOutcome.UNREACHABLE)
+            return self._handle_failure("upstream-silent", AttemptOutcome.TIMED_OUT)
+        return self._handle_failure("upstream-unreachable", AttemptOutcome.UNREACHABLE)
 
-    def _take_break(self, handed_over: bool) -> list[ExchangeEffect]:
+    def _handle_break(self, handed_over: bool) -> list[ExchangeEffect]:
         if isinstance(self.state, Relaying):
             return [
-                *self._end_upstream(AttemptOutcome.FAILED, Completed()),
+                *self._release(AttemptOutcome.FAILED, Completed()),
                 AbortCaller(),
             ]
         if not handed_over:
             self.may_have_run = self._may_have_run_before
-        return self._after_failure("upstream-lost", AttemptOutcome.FAILED)
+        return self._handle_failure("upstream-lost", AttemptOutcome.FAILED)
 
-    def _after_failure(
-        self, reason: str, verdict: AttemptOutcome
+    def _handle_failure(
+        self, reason: str, outcome: AttemptOutcome
     ) -> list[ExchangeEffect]:
         upstream = self._upstream()
-        effects = self._end_upstream(verdict, Waiting())
+        effects = self._release(outcome, Waiting())
         if upstream is not None:
             self.excluded |= {upstream}
         if not self._decide_retry(reason):
@@ -213,29 +213,33 @@
         return [*effects, FindUpstream(self.excluded)]
 
     def _decide_retry(self, reason: str) -> bool:
-        withheld = self._why_no_retry()
-        if withheld is None and not self._take_budget():
-            withheld = "retry budget is used up"
-        decided = RetryDecided(
-            taken=withheld is None,
-            because=withheld or reason,
+        denial = self._retry_denial()
+        if denial is None and not self._use_budget():
+            denial = "retry budget is used up"
+        decision = RetryDecided(
+            taken=denial is None,
+            because=denial or reason,
             budget_left=self.budget.left,
         )
-        self.retry_decisions.append(decided)
-        return decided.taken
+        self.retry_decisions.append(decision)
+        return decision.taken
 
     def can_retry(self) -> bool:
-        """Tell whether another attempt would be made if this one failed now."""
-        return self._why_no_retry() is None and self.budget.has_room()
+        """Return whether another attempt would be made if this one failed now."""
+        return self._retry_denial() is None and self.budget.has_room()
 
-    def _take_budget(self) -> bool:
-        """Use the budget, unless no attempt has reached an upstream yet."""
-        reached = self.attempts > 0
-        bounded = len(self.excluded) <= MAX_FREE_CONNECT_FAILURES
-        return self.budget.take() if reached or not bounded else True
+    def _use_budget(self) -> bool:
+        """Use the retry budget, if needed; return whether a retry is within it.
 
-    def _why_no_retry(self) -> str | None:
-        """Say why there may be no other attempt; None if there may be one."""
+        A retry is free if nothing was sent yet and at most
+        ``MAX_FREE_CONNECT_FAILURES`` upstreams failed.
+        """
+        was_sent = self.attempts > 0
+        has_few_failures = len(self.excluded) <= MAX_FREE_CONNECT_FAILURES
+        return self.budget.take() if was_sent or not has_few_failures else True
+
+    def _retry_denial(self) -> str | None:
+        """Return why no other attempt may be made; None if one may."""
         if self.attempts >= self.policy.max_attempts:
             return "all attempts are used"
         if isinstance(self.route, ToPeer) and not self.route.may_run_locally:
@@ -246,27 +250,27 @@
             return "its body is not at hand any more"
         return None
 
-    def _take_caller_gone(self) -> list[ExchangeEffect]:
+    def _handle_disconnect(self) -> list[ExchangeEffect]:
         if isinstance(self.state, Waiting):
             self.state = Completed()
             return [WithdrawTicket()]
-        return self._end_upstream(AttemptOutcome.CANCELLED, Completed())
+        return self._release(AttemptOutcome.CANCELLED, Completed())
 
-    def _take_deadline(self) -> list[ExchangeEffect]:
+    def _handle_deadline(self) -> list[ExchangeEffect]:
         match self.state:
             case Waiting():
                 return [WithdrawTicket(), *self._give_up("too-late", late=True)]
             case Relaying():
                 return [
-                    *self._end_upstream(AttemptOutcome.CANCELLED, Completed()),
+                    *self._release(AttemptOutcome.CANCELLED, Completed()),
                     AbortCaller(),
                 ]
             case Completed():
                 return []
             case Connecting() | AwaitingAnswer():
                 sent = isinstance(self.state, AwaitingAnswer)
-                verdict = AttemptOutcome.TIMED_OUT if sent else AttemptOutcome.CANCELLED
-                effects = self._end_upstream(verdict, Completed())
+                outcome = AttemptOutcome.TIMED_OUT if sent else AttemptOutcome.CANCELLED
+                effects = self._release(outcome, Completed())
                 return [*effects, *self._give_up("too-late", late=True)]
 
     def _give_up(
@@ -292,16 +296,16 @@
         )
         return [not_run]
 
-    def _end_upstream(
-        self, verdict: AttemptOutcome, state: ExchangeState
+    def _release(
+        self, outcome: AttemptOutcome, state: ExchangeState
     ) -> list[ExchangeEffect]:
         upstream = self._upstream()
-        was_over = isinstance(self.state, Completed | Waiting)
+        has_no_upstream = isinstance(self.state, Completed | Waiting)
         self.state = state
-        if was_over:
+        if has_no_upstream:
             return []
         return (
-            [ClosePeerConnection()] if upstream is None else [ReleaseUpstream(verdict)]
+            [ClosePeerConnection()] if upstream is None else [ReleaseUpstream(outcome)]
         )
 
     def _upstream(self) -> str | None:
--- a/packages/daemon/src/plankspindle_daemon/exchange/messages.py
+++ b/packages/daemon/src/plankspindle_daemon/exchange/messages.py
@@ -1,4 +1,4 @@
-"""Events and effects of one exchange."""
+"""Events and effects of the state machine of one exchange."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 from plankspindle_daemon.dispatch.messages import AttemptOutcome
 
 MAX_ATTEMPTS = 1_000
-"""Bound where nothing else is declared; the retry budget ends retries long before."""
+"""Default maximum; the retry budget stops retries long before it is reached."""
 
 
 @frozen(kw_only=True)
 class ExecutionPolicy:
-    """What the request allows.
+    """Whether and how often a request may be run.
 
     Parameters
     ----------
     idempotent : bool
         Whether it may run more than once.
     resendable : bool
-        Whether its body is at hand for another attempt.
+        Whether its body is kept for another attempt.
     recorded : bool
-        Whether it carries an id or key, so that its answer is kept for repeats and it
-        goes on when its caller is gone.
+        Whether it carries an id or key, so that its answer is kept for repeats, and it
+        is completed even if its caller disconnects.
     may_have_run_elsewhere : bool
-        Whether a copy of the request may have run under another process, so that this
-        one can never say that it was not run.
+        Whether another process may have run a copy of the request, so that this one can
+        never answer that it was not run.
     max_attempts : int
-        Most upstreams that it may be sent to.
+        Maximum number of times that it is sent.
     """
 
     idempotent: bool
@@ -40,19 +40,19 @@
 
 @frozen
 class ToUpstream:
-    """The request is for an upstream of this failure domain."""
+    """Send the request to an upstream from this VM."""
 
 
 @frozen(kw_only=True)
 class ToPeer:
-    """The request is for another entry VM.
+    """Forward the request to another entry VM.
 
     Parameters
     ----------
     endpoint : Endpoint
-        Its caller listener.
+        Caller listener of that VM.
     may_run_locally : bool
-        Whether this VM may run the request if the other provably did not.
+        Whether this VM may run the request if the other VM provably did not.
     """
 
     endpoint: Endpoint
@@ -64,7 +64,7 @@
 
 @frozen(kw_only=True)
 class Assigned:
-    """An upstream was found."""
+    """An upstream was assigned."""
 
     upstream: str
     endpoint: Endpoint
@@ -72,16 +72,16 @@
 
 @frozen(kw_only=True)
 class Refused:
-    """No upstream was found, or none may be asked.
+    """No upstream was assigned, or the request may not be sent to one.
 
     Parameters
     ----------
     reason : str
-        Why, in a word.
+        Reason code.
     retry_after_s : float
-        When to come back, in seconds from now.
+        Seconds after which the caller may retry.
     status : int
-        Status with which the caller is told, if the request has not run.
+        HTTP status of the answer, if the request has not run.
     """
 
     reason: str
@@ -91,24 +91,24 @@
 
 @frozen
 class Connected:
-    """A connection is ready; nothing was sent on it."""
+    """A connection is open; nothing of the request was sent on it."""
 
 
 @frozen
 class ConnectFailed:
-    """No connection was made, so nothing was sent."""
+    """No connection could be opened, so nothing was sent."""
 
 
 @frozen(kw_only=True)
 class HeadReceived:
-    """The head of an answer came.
+    """The head of an answer was received.
 
     Parameters
     ----------
     proves_not_run : bool
-        Whether the other side says explicitly that it did not run the request.
+        Whether the other side states explicitly that it did not run the request.
     is_misdirected : bool
-        Whether it is another one than the wanted upstream.
+        Whether another upstream than the assigned one answered.
     """
 
     proves_not_run: bool = False
@@ -117,7 +117,7 @@
 
 @frozen(kw_only=True)
 class ConnectionBroken:
-    """The connection ended before the answer was complete.
+    """The connection was lost before the answer was complete.
 
     Parameters
     ----------
@@ -130,12 +130,12 @@
 
 @frozen
 class UpstreamUnresponsive:
-    """Neither this request nor any other got an answer from the upstream for long."""
+    """The upstream has answered no request since this one was sent."""
 
 
 @frozen
 class AnswerRelayed:
-    """The whole answer was relayed."""
+    """The complete answer was relayed."""
 
 
 @frozen
@@ -145,7 +145,7 @@
 
 @frozen
 class DeadlineExceeded:
-    """The time of the request is over."""
+    """The deadline of the request has passed."""
 
 
 ExchangeEvent = (
@@ -164,7 +164,7 @@
 
 @frozen
 class FindUpstream:
-    """Ask the dispatcher for an upstream; leads to Assigned or Refused."""
+    """Get an upstream from the dispatcher; leads to Assigned or Refused."""
 
     excluded: frozenset[str]
 
@@ -176,15 +176,16 @@
 
 @frozen(kw_only=True)
 class OpenConnection:
-    """Get a connection; leads to Connected or ConnectFailed.
+    """Acquire a connection; leads to Connected or ConnectFailed.
 
     Parameters
     ----------
     endpoint : Endpoint
-        Where to.
+        Address to connect to.
     fresh : bool
-        Whether it must be a new one. A kept-alive connection may be closed by the other
-        side at the moment of writing, which leaves in doubt whether the request ran.
+        Whether the connection must be new, or idle only for a short time. The other
+        side may close a kept-alive connection at the moment of writing, which leaves it
+        unknown whether the request ran.
     """
 
     endpoint: Endpoint
@@ -193,17 +194,17 @@
 
 @frozen
 class SendRequest:
-    """Send the request; leads to HeadReceived or Broke."""
+    """Send the request; leads to HeadReceived or a loss of connection."""
 
 
 @frozen
 class RelayAnswer:
-    """Relay the answer to the caller; leads to AnswerRelayed, a break or a close."""
+    """Relay the answer; leads to AnswerRelayed or the loss of either connection."""
 
 
 @frozen
 class ReleaseUpstream:
-    """Give the slot back; anything but ANSWERED closes the connection."""
+    """Release the slot; any outcome but ANSWERED closes the connection."""
 
     verdict: AttemptOutcome
 
@@ -215,18 +216,18 @@
 
 @frozen(kw_only=True)
 class AnswerCaller:
-    """Answer with what is known of the request.
+    """Answer the caller with the outcome of the request.
 
     Parameters
     ----------
     status : int
         Status code.
     outcome : Outcome
-        Truth about the execution.
+        Whether the request was run, as far as it is known.
     reason : str
-        Why, in one token.
+        Reason code.
     retry_after_s : float, optional
-        When to come back, in seconds.
+        Seconds after which the caller may retry.
     """
 
     status: int
--- a/packages/daemon/src/plankspindle_daemon/exchange/request_admission.py
+++ b/packages/daemon/src/plankspindle_daemon/exchange/request_admission.py
@@ -1,4 +1,4 @@
-"""What a request needs each time before it is sent to an upstream."""
+"""Checks before each sending of a request: its API key and its quota."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 
 @define(kw_only=True)
 class RequestAdmission:
-    """Hold a request against its key and the quota of its workspace.
+    """Check a request against its API key and the quota of its workspace.
 
     Parameters
     ----------
     identity : Identity
-        Who sends it.
+        Identity of the caller.
     node : Node
-        Keeper of the configuration in force.
+        Source of the configuration in force.
     quotas : QuotaRunner
-        Where tokens come from.
+        Source of quota tokens.
     trace : RequestTrace
-        What happened to the request.
+        Trace of the request.
     """
 
     identity: Identity
@@ -45,21 +45,21 @@
     _sent_with_token: bool = False
 
     async def admit(self) -> Refused | None:
-        """Take a token, unless the request has one that it did not use.
+        """Acquire a quota token, unless the request still has an unused one.
 
         Returns
         -------
         Refused or None
-            None if the request may go on.
+            None if the request may be sent.
         """
         refused = self.refuse_if_revoked()
         if refused is not None or self._has_token or self.identity.workspace is None:
             return refused
-        began = monotonic()
-        decided = await self.quotas.acquire(self.identity.workspace)
-        refusal = decided if isinstance(decided, TokenRefused) else None
+        started_at = monotonic()
+        decision = await self.quotas.acquire(self.identity.workspace)
+        refusal = decision if isinstance(decision, TokenRefused) else None
         self._has_token = refusal is None
-        self._note(refusal, began)
+        self._record_decision(refusal, started_at)
         if refusal is None:
             return None
         return Refused(
@@ -76,25 +76,25 @@
         return Refused(reason=KEY_REVOKED, retry_after_s=0.0, status=_UNAUTHORIZED)
 
     def record_sent(self) -> None:
-        """Use up the token: the request may run now."""
+        """Spend the token, since the request may run from now on."""
         self._sent_with_token, self._has_token = self._has_token, False
 
     def record_not_run(self) -> None:
-        """Keep the token for another attempt: this one provably did not run."""
+        """Keep the token for another attempt, since this one provably did not run."""
         self._has_token = self._sent_with_token
 
     def close(self) -> None:
-        """Return a token that was not used."""
+        """Return an unused token to the quota."""
         if self._has_token and self.identity.workspace is not None:
             self._has_token = False
             self.quotas.return_token(self.identity.workspace)
 
-    def _note(self, refusal: TokenRefused | None, began: float) -> None:
+    def _record_decision(self, refusal: TokenRefused | None, started_at: float) -> None:
         now = monotonic()
         step = QuotaTokenDecided(
             workspace=self.identity.workspace or "",
             taken=refusal is None,
-            waited_ms=round(1000 * (now - began)),
+            waited_ms=round(1000 * (now - started_at)),
             over_quota=None if refusal is None else refusal.is_over_quota,
         )
         self.trace.record(step, now)
--- a/packages/daemon/src/plankspindle_daemon/exchange/request_body.py
+++ b/packages/daemon/src/plankspindle_daemon/exchange/request_body.py
@@ -1,4 +1,4 @@
-"""The body of a caller's request, kept whole if it is short."""
+"""Body of a caller's request: buffered if it is short, streamed otherwise."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 @define(kw_only=True)
 class RequestBody:
-    """A body that is at hand, or still arrives.
+    """Body that is buffered, or streamed from the caller.
 
     Parameters
     ----------
     content : bytes, optional
-        The whole body; None if it is passed on as it arrives.
+        The complete body; None if it is streamed as it arrives.
     framing : list of (bytes, bytes)
-        Header that frames it towards the next hop.
+        Header that frames the body for the next hop.
     """
 
     content: bytes | None
@@ -34,9 +34,9 @@
         Parameters
         ----------
         source : ServerExchange
-            Where a body that still arrives is read.
+            Exchange with the caller, from which a streamed body is read.
         connection : ClientConnection
-            Where it goes.
+            Connection to send the body on.
 
         Returns
         -------
@@ -56,29 +56,29 @@
 async def read_request_body(
     source: ServerExchange, *, max_bytes: int
 ) -> RequestBody | None:
-    """Read a short body whole; leave a long one to be passed on as it arrives.
+    """Buffer a short body; leave a long one to be streamed as it arrives.
 
     Parameters
     ----------
     source : ServerExchange
-        The request.
+        HTTP exchange with the caller.
     max_bytes : int
-        Longest body to keep whole.
+        Maximum length of a buffered body, in bytes.
 
     Returns
     -------
     RequestBody or None
-        The body; None if one without declared length is longer than allowed.
+        The body; None if it is chunked and longer than ``max_bytes``.
     """
     length = find_header(source.headers, b"content-length")
     if length is not None and int(length) > max_bytes:
         return RequestBody(content=None, framing=[(b"content-length", length)])
     has_body = length is not None or _is_chunked(source)
-    whole = await source.read_body(max_bytes=max_bytes)
-    if whole is None:
+    body = await source.read_body(max_bytes=max_bytes)
+    if body is None:
         return None
-    framing = [(b"content-length", str(len(whole)).encode())] if has_body else []
-    return RequestBody(content=whole, framing=framing)
+    framing = [(b"content-length", str(len(body)).encode())] if has_body else []
+    return RequestBody(content=body, framing=framing)
 
 
 def _is_chunked(source: ServerExchange) -> bool:
--- a/packages/daemon/src/plankspindle_daemon/exchange/request_runner.py
+++ b/packages/daemon/src/plankspindle_daemon/exchange/request_runner.py
@@ -1,4 +1,4 @@
-"""Carries out the effects of one exchange over real connections."""
+"""Performs the effects of one exchange over real connections."""
 
 from __future__ import annotations
 
@@ -65,39 +65,39 @@
 QUARANTINED = "quarantined"
 SUSPECTED = "suspected"
 MIN_QUARANTINE_RETRY_AFTER_S = 1.0
-"""Least time to come back that a request is told which is held back, in seconds."""
+"""Minimum ``Retry-After`` of a quarantined request, in seconds."""
 
 
 @define(kw_only=True)
 class RequestRunner:
-    """One request on its way.
+    """Run one request from its dispatch to the end of its answer.
 
     Parameters
     ----------
     vm, service : str
-        This VM and the service asked for.
+        Names of this VM and of the requested service.
     outgoing : OutgoingRequest
-        What goes on of the request.
+        The request to send.
     exchange : Exchange
-        The decisions.
+        State machine of the request.
     ticket : Ticket
         The request as admission sees it.
     record : RequestRecord
-        What must learn how it ended.
+        Idempotency record, updated with the outcome.
     dispatch : DispatchRunner
-        Finder of upstreams.
+        Assigns upstreams.
     pool : ConnectionPool
-        Connections.
+        Pool of connections to upstreams and other entry VMs.
     trace : RequestTrace
-        What happened to the request.
+        Trace of the request.
     max_recorded_bytes : int
-        Longest answer that is kept for replay.
+        Maximum length of an answer that is kept for replay, in bytes.
     identity : RequestIdentity
-        What tells the request from others, whatever id this try carries.
+        Identity of the request, the same for retries of the caller under other ids.
     crash_detector : CrashDetector
-        What learns of upstreams that end under requests.
+        Counts upstreams that crash while they run a request.
     admission : RequestAdmission
-        What holds it against its key and quota.
+        Checks API key and quota before each sending.
     """
 
     vm: str
@@ -118,12 +118,12 @@
     _caller_gone: bool = False
 
     async def run(self) -> None:
-        """Carry the request to its end.
+        """Run the request until it is completed.
 
         Notes
         -----
-        A request that carries an id or key goes on when its caller is gone, so that a
-        repeat finds its answer.
+        A request that carries an id or key is completed even if its caller disconnects,
+        so that a repeat gets the recorded answer.
         """
         watcher = None
         source = self.outgoing.source
@@ -134,12 +134,12 @@
         except CallerGoneError:
             await self._perform_all(self.exchange.handle(CallerDisconnected()))
         finally:
-            await self._free()
+            await self._release()
             if watcher is not None:
                 await watcher.cancel()
 
-    async def _free(self) -> None:
-        """Give back what an unexpected error, or a caller's going, left taken."""
+    async def _release(self) -> None:
+        """Release what an unexpected error or a disconnected caller left acquired."""
         self.admission.close()
         if self._attempt is not None:
             await self._attempt.close()
@@ -160,20 +160,20 @@
         event = None
         for effect in effects:
             if not isinstance(effect, ReleaseUpstream | ClosePeerConnection):
-                self._note_retries()
+                self._record_retry_decisions()
             event = await self._perform(effect)
         return event
 
-    def _note_retries(self) -> None:
-        """Keep what was decided on retries, after the end that led to it."""
-        decided = self.exchange.retry_decisions
-        while decided:
-            self.trace.record(decided.pop(0), monotonic())
+    def _record_retry_decisions(self) -> None:
+        """Record retry decisions, after the completed attempt that led to them."""
+        decisions = self.exchange.retry_decisions
+        while decisions:
+            self.trace.record(decisions.pop(0), monotonic())
 
     async def _perform(self, effect: ExchangeEffect) -> ExchangeEvent | None:
         match effect:
             case FindUpstream(excluded=excluded):
-                return await self._find(excluded)
+                return await self._find_upstream(excluded)
             case OpenConnection():
                 return await self._open(effect)
             case SendRequest():
@@ -183,8 +183,8 @@
                 return await self._relay(self._attempt)
             case WithdrawTicket():
                 await self.dispatch.withdraw(self.service, self.ticket)
-            case ReleaseUpstream(verdict=verdict):
-                await self._end_attempt(verdict)
+            case ReleaseUpstream(verdict=outcome):
+                await self._end_attempt(outcome)
             case ClosePeerConnection():
                 await self._end_attempt(AttemptOutcome.CANCELLED)
             case AnswerCaller():
@@ -201,10 +201,10 @@
         if not self._attempt.may_have_run:
             self.admission.record_not_run()
         if self._assigned is not None and self._attempt.head is not None:
-            await self._take_statement(self._attempt, self._assigned)
+            await self._apply_statement(self._attempt, self._assigned)
         return event
 
-    async def _take_statement(self, attempt: Attempt, assigned: Assign) -> None:
+    async def _apply_statement(self, attempt: Attempt, assigned: Assign) -> None:
         stated = StatementReceived(
             upstream=assigned.upstream,
             incarnation=assigned.incarnation,
@@ -213,32 +213,40 @@
         )
         await self.dispatch.apply_statement(self.service, stated)
 
-    async def _find(self, excluded: frozenset[str]) -> ExchangeEvent:
-        held = self._held_back(self.crash_detector.quarantine.blocking_entry)
-        refused = held or await self.admission.admit()
+    async def _find_upstream(self, excluded: frozenset[str]) -> ExchangeEvent:
+        quarantined = self._refuse_quarantined(
+            self.crash_detector.quarantine.blocking_entry
+        )
+        refused = quarantined or await self.admission.admit()
         if refused is not None:
             return refused
         self.ticket = self.ticket.excluding(excluded)
-        found = await self.dispatch.await_upstream(
+        decision = await self.dispatch.await_upstream(
             self.service, self.ticket, self.trace
         )
-        if isinstance(found, Assign):
-            self._assigned = found
-            # Others may have learned of it while it waited here.
-            held = self._held_back(
+        if isinstance(decision, Assign):
+            self._assigned = decision
+            # It may have been quarantined while it waited for an upstream.
+            quarantined = self._refuse_quarantined(
                 self.crash_detector.quarantine.blocking_entry_on_send
             )
-            refused = held or self.admission.refuse_if_revoked()
+            refused = quarantined or self.admission.refuse_if_revoked()
             if refused is not None:
-                await self._free()
+                await self._release()
                 return refused
-            return Assigned(upstream=found.upstream, endpoint=found.endpoint)
-        return Refused(reason=found.reason.value, retry_after_s=found.retry_after_s)
+            return Assigned(upstream=decision.upstream, endpoint=decision.endpoint)
+        return Refused(
+            reason=decision.reason.value, retry_after_s=decision.retry_after_s
+        )
 
-    def _held_back(
-        self, holding: Callable[[int, float], QuarantineEntry | None]
+    def _refuse_quarantined(
+        self, find_entry: Callable[[int, float], QuarantineEntry | None]
     ) -> Refused | None:
-        """Refuse a request under which upstreams end, at once and as not run now."""
+        """Refuse a quarantined request; return None if it may be sent.
+
+        A request that may have run is refused as soon as it is suspected of crashing
+        upstreams.
+        """
         quarantine = self.crash_detector.quarantine
         if not quarantine.is_active:
             return None
@@ -246,7 +254,7 @@
         if self.exchange.may_have_run and quarantine.is_suspected(self.identity.value):
             self.trace.record(Suspected(identity=self.identity.text), now)
             return Refused(reason=SUSPECTED, retry_after_s=MIN_QUARANTINE_RETRY_AFTER_S)
-        entry = holding(self.identity.value, now)
+        entry = find_entry(self.identity.value, now)
         if entry is None:
             return None
         retry_after_s = max(MIN_QUARANTINE_RETRY_AFTER_S, entry.next_probe_at - now)
@@ -259,9 +267,9 @@
         self.trace.record(step, now)
         return Refused(reason=QUARANTINED, retry_after_s=retry_after_s)
 
-    async def _open(self, wanted: OpenConnection) -> ExchangeEvent:
+    async def _open(self, effect: OpenConnection) -> ExchangeEvent:
         if self._assigned is None:
-            self.trace.record(Forwarded(to=str(wanted.endpoint)), monotonic())
+            self.trace.record(Forwarded(to=str(effect.endpoint)), monotonic())
         self.trace.attempts += 1
         self._attempt = Attempt(
             number=self.trace.attempts,
@@ -275,18 +283,19 @@
             record=self.record,
             trace=self.trace,
         )
-        return await self._attempt.open(wanted)
+        return await self._attempt.open(effect)
 
-    async def _end_attempt(self, verdict: AttemptOutcome) -> None:
+    async def _end_attempt(self, outcome: AttemptOutcome) -> None:
         if self._attempt is None:
             return
-        # Both stay known until the slot is given back, for an end in between.
+        # Both stay set until attempt.end returns, so that the slot is still released
+        # if that is interrupted.
         attempt, assigned = self._attempt, self._assigned
-        ended = await attempt.end(verdict)
+        completed = await attempt.end(outcome)
         self._attempt = self._assigned = None
-        if ended is not None:
-            await self.dispatch.handle(self.service, ended)
-        if assigned is not None and verdict is AttemptOutcome.ANSWERED:
+        if completed is not None:
+            await self.dispatch.handle(self.service, completed)
+        if assigned is not None and outcome is AttemptOutcome.ANSWERED:
             await self.crash_detector.handle_completion(self.identity)
         elif assigned is not None and attempt.connection_was_lost:
             await self.crash_detector.handle_connection_loss(self.identity, assigned)
@@ -295,8 +304,10 @@
         assert attempt.head is not None
         source, status = self.outgoing.source, attempt.head.status_code
         headers = self._answer_headers(attempt)
-        await self._to_caller(partial(source.send_head, status=status, headers=headers))
-        kept: list[bytes] | None = [] if self.exchange.policy.recorded else None
+        await self._send_to_caller(
+            partial(source.send_head, status=status, headers=headers)
+        )
+        recorded: list[bytes] | None = [] if self.exchange.policy.recorded else None
         size = 0
         while True:
             chunk = await attempt.next_chunk()
@@ -306,16 +317,16 @@
             if data is None:
                 break
             size += len(data)
-            kept = kept if size <= self.max_recorded_bytes else None
-            if kept is not None:
-                kept.append(data)
-            await self._to_caller(partial(source.send_data, data))
-        self.record.finish(_recorded(status, headers, kept))
-        await self._to_caller(source.finish)
+            recorded = recorded if size <= self.max_recorded_bytes else None
+            if recorded is not None:
+                recorded.append(data)
+            await self._send_to_caller(partial(source.send_data, data))
+        self.record.finish(_build_recorded_answer(status, headers, recorded))
+        await self._send_to_caller(source.finish)
         self.trace.complete(Completion.SERVED, status=status)
         return AnswerRelayed()
 
-    async def _to_caller(self, send: Callable[[], Awaitable[None]]) -> None:
+    async def _send_to_caller(self, send: Callable[[], Awaitable[None]]) -> None:
         if self._caller_gone:
             return
         try:
@@ -328,7 +339,7 @@
 
     def _answer_headers(self, attempt: Attempt) -> HeaderList:
         assert attempt.head is not None
-        kept = [
+        headers = [
             each
             for each in as_header_list(without_hop_by_hop(attempt.head.headers))
             if each[0] != header_names.OUTCOME
@@ -336,11 +347,11 @@
         outcome = find_header(attempt.head.headers, header_names.OUTCOME)
         if attempt.assigned is not None or outcome is None:
             outcome = Outcome.DONE.value.encode()
-        kept.append((header_names.OUTCOME, outcome))
+        headers.append((header_names.OUTCOME, outcome))
         if attempt.assigned is not None:
             served_by = f"{self.vm}/{attempt.assigned.upstream}"
-            kept.append((header_names.SERVED_BY, served_by.encode()))
-        return kept
+            headers.append((header_names.SERVED_BY, served_by.encode()))
+        return headers
 
     async def _answer(self, answer: AnswerCaller) -> None:
         if answer.outcome is Outcome.NOT_RUN:
@@ -353,10 +364,12 @@
         await answer_with_outcome(source, answer, self.outgoing.dialect, self.trace)
 
 
-def _recorded(
-    status: int, headers: HeaderList, kept: list[bytes] | None
+def _build_recorded_answer(
+    status: int, headers: HeaderList, chunks: list[bytes] | None
 ) -> RecordedAnswer | None:
-    if kept is None:
+    if chunks is None:
         return None
-    content = [each for each in headers if each[0] not in (b"content-length", b"date")]
-    return RecordedAnswer(status=status, headers=content, body=b"".join(kept))
+    kept_headers = [
+        each for each in headers if each[0] not in (b"content-length", b"date")
+    ]
+    return RecordedAnswer(status=status, headers=kept_headers, body=b"".join(chunks))
--- a/packages/daemon/tests/exchange/test_caller_request.py
+++ b/packages/daemon/tests/exchange/test_caller_request.py
@@ -1,4 +1,4 @@
-"""Tests of the headers that go on with a request."""
+"""Tests of the headers that are forwarded with a request."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     key_scheme="Token", workspace=b"x-tenant", passes_headers_through=True
 )
 KEY = b"ymh2rrytapjsujqurtyi"
-SENT: HeaderList = [
+RECEIVED: HeaderList = [
     (b"host", b"desk.example"),
     (header_names.AUTHORIZATION, b"Token " + KEY),
     (b"x-tenant", b"forged"),
@@ -34,29 +34,29 @@
 
 
 @pytest.mark.parametrize("workspace", [None, "huka270"])
-def test_an_upstream_is_told_the_workspace_and_never_the_key(
+def test_passthrough_headers_carry_the_workspace_but_not_the_key(
     workspace: str | None,
 ) -> None:
-    kept = passthrough_headers(SENT, dialect=DIALECT, workspace=workspace)
-    told = [] if workspace is None else [workspace.encode()]
-    assert values(kept, b"x-tenant") == told
-    assert values(kept, header_names.AUTHORIZATION) == []
-    assert values(kept, b"host") == [b"desk.example"]
-    assert KEY not in repr(kept).encode()
-
-
-def test_the_products_own_head_tells_caller_and_workspace() -> None:
-    sent = [*SENT, (header_names.WORKSPACE, b"forged")]
-    kept = headers_for_upstream(
-        sent, caller="huka270", workspace="huka270", peer_host="10.0.0.1"
+    forwarded = passthrough_headers(RECEIVED, dialect=DIALECT, workspace=workspace)
+    expected = [] if workspace is None else [workspace.encode()]
+    assert values(forwarded, b"x-tenant") == expected
+    assert values(forwarded, header_names.AUTHORIZATION) == []
+    assert values(forwarded, b"host") == [b"desk.example"]
+    assert KEY not in repr(forwarded).encode()
+
+
+def test_default_headers_carry_caller_and_workspace_but_not_the_key() -> None:
+    received = [*RECEIVED, (header_names.WORKSPACE, b"forged")]
+    forwarded = headers_for_upstream(
+        received, caller="huka270", workspace="huka270", peer_host="10.0.0.1"
     )
-    assert values(kept, header_names.WORKSPACE) == [b"huka270"]
-    assert values(kept, b"plankspindle-caller") == [b"huka270"]
-    assert KEY not in repr(kept).encode()
+    assert values(forwarded, header_names.WORKSPACE) == [b"huka270"]
+    assert values(forwarded, b"plankspindle-caller") == [b"huka270"]
+    assert KEY not in repr(forwarded).encode()
 
 
-def test_another_vm_is_told_who_the_caller_is_without_the_key() -> None:
-    sent = [*SENT, (header_names.IDENTITY, b"forged")]
-    kept = headers_for_peer(sent, grant=None, sealed_identity=b"sealed")
-    assert values(kept, header_names.IDENTITY) == [b"sealed"]
-    assert KEY not in repr(kept).encode()
+def test_peer_headers_carry_the_sealed_identity_but_not_the_key() -> None:
+    received = [*RECEIVED, (header_names.IDENTITY, b"forged")]
+    forwarded = headers_for_peer(received, grant=None, sealed_identity=b"sealed")
+    assert values(forwarded, header_names.IDENTITY) == [b"sealed"]
+    assert KEY not in repr(forwarded).encode()
--- a/packages/daemon/tests/exchange/test_event_loop_stall.py
+++ b/packages/daemon/tests/exchange/test_event_loop_stall.py
@@ -1,17 +1,16 @@
-"""An incident: one process ended by itself, and cut all requests that it had.
-
-Seen: fifteen requests on kept connections of one entry VM lost their upstream and their
-caller within 10 ms, some seconds after all entry VMs had started again and were fully
-loaded. Hunts had seen the like: exit status 70, cause not kept.
-How: a request waits for the head of an answer within two limits, its patience with the
-upstream inside its deadline. The loop is busy for some 50 ms. The patience runs out
-while the head has come but the request has not yet been given the processor, and the
-deadline passes before it is.
-Cause: the event loop's library keeps the inner limit's end for the next wait, after the
-inner limit was left, and finds no limit there that it belongs to: an error that no code
-expects. And an unexpected error of one request ended the process, with all the others.
-Proof: this order of events, made on purpose; that it was this on the day is likely, not
-proved, since no log of it was kept.
+"""Tests of requests whose time limits pass while the event loop is stalled.
+
+A request waits for the head of an answer within two time limits: the attempt timeout
+and, outside it, the deadline. If the loop stalls for some 50 ms, the attempt timeout
+may pass after the head has arrived but before the request's task runs, and the deadline
+may pass before that too. The event loop library then carries the end of the inner limit
+over to the next wait, finds no limit that it belongs to, and raises an error that no
+code expects.
+
+Such an error once ended the process (exit status 70) and with it all its requests:
+fifteen on kept connections lost upstream and caller within 10 ms, some seconds after
+all entry VMs had restarted under full load. That this order of events was the cause is
+likely but not proved, since no log was kept.
 """
 
 from __future__ import annotations
@@ -57,17 +56,17 @@
 
 _PORTS = count(18_980)
 HEAD = b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\n"
-PATIENCE_S = 0.6
-"""Shortest patience with an upstream."""
+ATTEMPT_TIMEOUT_S = 0.6
+"""Minimum attempt timeout, in seconds."""
 DEADLINE_S = 0.7
-UNTIL_HEAD_S = 0.5
-BUSY_S = 0.15
-"""Time that the loop is busy, twice: past the patience, and past the deadline."""
+HEAD_DELAY_S = 0.5
+STALL_S = 0.15
+"""Each of two stalls, in seconds: past the attempt timeout, past the deadline."""
 
 
 @define
 class FakeSource:
-    """The caller's side of a request without a body."""
+    """HTTP exchange with a caller whose request has no body."""
 
     method: str = "GET"
     target: str = "/plates/1"
@@ -82,11 +81,11 @@
 
 @define
 class FakeDispatch:
-    """Gives one upstream to every request."""
+    """Assigns the same upstream to every request."""
 
     endpoint: Endpoint
-    usually_s: float = 0.0
-    told: list[Any] = field(factory=list)
+    expected_s: float = 0.0
+    events: list[Any] = field(factory=list)
 
     async def await_upstream(
         self, service: str, ticket: Any, trace: RequestTrace
@@ -94,23 +93,23 @@
         return Assign(ticket=ticket, upstream="u", endpoint=self.endpoint)
 
     async def handle(self, service: str, event: Any) -> None:
-        self.told.append(event)
+        self.events.append(event)
 
     async def withdraw(self, service: str, ticket: Any) -> None:
         return None
 
     def expected_duration_s(self, service: str, ticket: Any) -> float:
-        return self.usually_s
+        return self.expected_s
 
 
-async def send_nothing(news: object) -> None:
+async def ignore_effect(effect: object) -> None:
     return None
 
 
 def build_runner(dispatch: FakeDispatch, source: FakeSource) -> RequestRunner:
     deadline = monotonic() + DEADLINE_S
     pool = ConnectionPool(max_per_endpoint=4, connect_timeout_s=5.0)
-    story = RequestTrace(
+    trace = RequestTrace(
         request_id="r", id_is_from_caller=False, started_at=0.0, started_at_unix=0.0
     )
     return RequestRunner(
@@ -136,61 +135,61 @@
         record=NoRecord(),
         dispatch=cast("Any", dispatch),
         pool=pool,
-        trace=story,
+        trace=trace,
         max_recorded_bytes=0,
         identity=RequestIdentity(caller=None, method="GET", target=source.target),
         crash_detector=CrashDetector(
             quarantine=Quarantine.create("a", "ba-1", build_membership("a")),
             pool=pool,
             supervisor=Supervisor(),
-            send_messages=send_nothing,
+            send_messages=ignore_effect,
         ),
         admission=RequestAdmission(
             identity=Identity(caller=None, rank=0),
             node=cast("Any", SimpleNamespace(directory=None)),
             quotas=cast("Any", None),
-            trace=story,
+            trace=trace,
         ),
     )
 
 
-async def run_busy() -> FakeSource:
-    """Let a head come while the loop is busy from the patience to the deadline."""
+async def run_during_stall() -> FakeSource:
+    """Receive a head while the loop is stalled from attempt timeout to deadline."""
     endpoint = Endpoint(host_of_run(7, 11), next(_PORTS))
-    busy = curio.Event()
+    stall_begins = curio.Event()
 
-    async def keep_busy() -> None:
-        await busy.wait()
-        time.sleep(BUSY_S)
+    async def stall_loop() -> None:
+        await stall_begins.wait()
+        time.sleep(STALL_S)
 
     with socket.create_server((endpoint.host, endpoint.port)) as listener:
         source = FakeSource()
         runner = build_runner(FakeDispatch(endpoint), source)
         request = await curio.spawn(runner.run)
-        other = await curio.spawn(keep_busy)
-        await curio.sleep(UNTIL_HEAD_S)
+        stall_task = await curio.spawn(stall_loop)
+        await curio.sleep(HEAD_DELAY_S)
         upstream, _ = listener.accept()
         with upstream:
-            await busy.set()
+            await stall_begins.set()
             upstream.sendall(HEAD)
-            time.sleep(BUSY_S)
+            time.sleep(STALL_S)
             await request.join()
-            await other.join()
+            await stall_task.join()
     return source
 
 
 class UnexpectedError(Exception):
-    """What no code expects."""
+    """Error that no code expects."""
 
 
-async def break_off(monkeypatch: pytest.MonkeyPatch, step: str) -> FakeDispatch:
-    async def raise_it(self: Attempt, *_: object) -> None:
+async def fail_step(monkeypatch: pytest.MonkeyPatch, step: str) -> FakeDispatch:
+    async def raise_unexpected(self: Attempt, *_: object) -> None:
         raise UnexpectedError
 
     endpoint = Endpoint(host_of_run(7, 11), next(_PORTS))
-    dispatch = FakeDispatch(endpoint, usually_s=DEADLINE_S)
+    dispatch = FakeDispatch(endpoint, expected_s=DEADLINE_S)
     with socket.create_server((endpoint.host, endpoint.port)):
-        monkeypatch.setattr(Attempt, step, raise_it)
+        monkeypatch.setattr(Attempt, step, raise_unexpected)
         runner = build_runner(dispatch, FakeSource())
         with pytest.raises(UnexpectedError):
             await runner.run()
@@ -199,15 +198,13 @@
 
 
 @pytest.mark.parametrize("step", ["open", "send", "end"])
-def test_an_unexpected_error_of_a_request_gives_its_slot_back(
+def test_unexpected_error_of_a_request_releases_its_slot(
     monkeypatch: pytest.MonkeyPatch, step: str
 ) -> None:
-    (ended,) = curio.run(break_off, monkeypatch, step).told
-    assert (ended.upstream, ended.outcome) == ("u", AttemptOutcome.CANCELLED)
+    (completed,) = curio.run(fail_step, monkeypatch, step).events
+    assert (completed.upstream, completed.outcome) == ("u", AttemptOutcome.CANCELLED)
 
 
-def test_a_request_whose_limits_pass_while_the_loop_is_busy_ends_at_its_deadline() -> (
-    None
-):
-    source = curio.run(run_busy)
+def test_request_is_answered_504_when_its_limits_pass_during_a_loop_stall() -> None:
+    source = curio.run(run_during_stall)
     assert source.statuses == [504]
--- a/packages/daemon/tests/exchange/test_exchange.py
+++ b/packages/daemon/tests/exchange/test_exchange.py
@@ -1,4 +1,4 @@
-"""State-machine test of one exchange against upstreams that know the truth."""
+"""Tests of the exchange state machine, against a count of the real runs."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ExchangeMachine(RuleBasedStateMachine):
-    """Drive an exchange through every fault at every step."""
+    """Run an exchange through every fault at every step."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -35,15 +35,15 @@
     @initialize(
         idempotent=st.booleans(),
         resendable=st.booleans(),
-        moved=st.booleans(),
+        is_forwarded=st.booleans(),
         max_attempts=st.integers(1, 4),
     )
     def begin(
-        self, idempotent: bool, resendable: bool, moved: bool, max_attempts: int
+        self, idempotent: bool, resendable: bool, is_forwarded: bool, max_attempts: int
     ) -> None:
         route = (
             m.ToPeer(endpoint=ENDPOINT, may_run_locally=True)
-            if moved
+            if is_forwarded
             else m.ToUpstream()
         )
         self.idempotent = idempotent
@@ -57,9 +57,9 @@
             route=route,
             budget=RetryBudget(percent=100),
         )
-        self._take(self.exchange.begin())
+        self._apply(self.exchange.begin())
 
-    def _take(self, effects: list[m.ExchangeEffect]) -> None:
+    def _apply(self, effects: list[m.ExchangeEffect]) -> None:
         self.effects = effects
         assert self.exchange.attempts <= self.exchange.policy.max_attempts
         for effect in effects:
@@ -70,13 +70,13 @@
             if isinstance(effect, m.AnswerCaller) and effect.outcome is Outcome.NOT_RUN:
                 assert self.runs == 0
 
-    def _awaits(self, kind: type[m.ExchangeEffect]) -> bool:
+    def _is_waiting_for(self, kind: type[m.ExchangeEffect]) -> bool:
         return bool(self.effects) and isinstance(self.effects[-1], kind)
 
     def _handle(self, event: m.ExchangeEvent) -> None:
-        self._take(self.exchange.handle(event))
+        self._apply(self.exchange.handle(event))
 
-    @precondition(lambda self: self._awaits(m.FindUpstream))
+    @precondition(lambda self: self._is_waiting_for(m.FindUpstream))
     @rule()
     def upstream_found(self) -> None:
         self.slots_taken += 1
@@ -84,20 +84,20 @@
         assert name not in self.exchange.excluded
         self._handle(m.Assigned(upstream=name, endpoint=ENDPOINT))
 
-    @precondition(lambda self: self._awaits(m.FindUpstream))
+    @precondition(lambda self: self._is_waiting_for(m.FindUpstream))
     @rule()
     def upstream_refused(self) -> None:
         self._handle(m.Refused(reason="queue-full", retry_after_s=1.0))
 
-    @precondition(lambda self: self._awaits(m.OpenConnection))
+    @precondition(lambda self: self._is_waiting_for(m.OpenConnection))
     @rule(succeeds=st.booleans())
     def connection_opened(self, succeeds: bool) -> None:
-        wanted = self.effects[-1]
-        assert isinstance(wanted, m.OpenConnection)
-        assert wanted.fresh or self.idempotent
+        effect = self.effects[-1]
+        assert isinstance(effect, m.OpenConnection)
+        assert effect.fresh or self.idempotent
         self._handle(m.Connected() if succeeds else m.ConnectFailed())
 
-    @precondition(lambda self: self._awaits(m.SendRequest))
+    @precondition(lambda self: self._is_waiting_for(m.SendRequest))
     @rule(ran=st.booleans(), handed_over=st.booleans())
     def upstream_lost(self, ran: bool, handed_over: bool) -> None:
         self.runs += int(ran and handed_over)
@@ -106,46 +106,48 @@
 
     @precondition(
         lambda self: (
-            self._awaits(m.SendRequest)
+            self._is_waiting_for(m.SendRequest)
             and self.idempotent
             and self.exchange.can_retry()
         )
     )
     @rule(ran=st.booleans())
-    def upstream_falls_silent(self, ran: bool) -> None:
+    def upstream_is_unresponsive(self, ran: bool) -> None:
         self.runs += int(ran)
         self._handle(m.UpstreamUnresponsive())
-        assert self._awaits(m.FindUpstream)
+        assert self._is_waiting_for(m.FindUpstream)
 
-    @precondition(lambda self: self._awaits(m.SendRequest))
+    @precondition(lambda self: self._is_waiting_for(m.SendRequest))
     @rule()
     def upstream_sheds(self) -> None:
         self._handle(m.HeadReceived(proves_not_run=True))
 
-    @precondition(lambda self: self._awaits(m.SendRequest))
+    @precondition(lambda self: self._is_waiting_for(m.SendRequest))
     @rule()
     def upstream_answers(self) -> None:
         self.runs += 1
         assert self.idempotent or self.runs <= 1
         self._handle(m.HeadReceived())
 
-    @precondition(lambda self: self._awaits(m.RelayAnswer))
-    @rule(whole=st.booleans())
-    def answer_relayed(self, whole: bool) -> None:
+    @precondition(lambda self: self._is_waiting_for(m.RelayAnswer))
+    @rule(is_complete=st.booleans())
+    def answer_relayed(self, is_complete: bool) -> None:
         self._handle(
-            m.AnswerRelayed() if whole else m.ConnectionBroken(bytes_handed_over=True)
+            m.AnswerRelayed()
+            if is_complete
+            else m.ConnectionBroken(bytes_handed_over=True)
         )
-        assert whole or isinstance(self.effects[-1], m.AbortCaller)
+        assert is_complete or isinstance(self.effects[-1], m.AbortCaller)
 
     @rule(ran=st.booleans())
     def deadline_passes(self, ran: bool) -> None:
-        self.runs += int(ran and self._awaits(m.SendRequest))
+        self.runs += int(ran and self._is_waiting_for(m.SendRequest))
         self._handle(m.DeadlineExceeded())
         assert isinstance(self.exchange.state, Completed)
 
     @precondition(lambda self: bool(self.effects))
     @rule()
-    def caller_goes(self) -> None:
+    def caller_disconnects(self) -> None:
         self._handle(m.CallerDisconnected())
         assert not any(
             isinstance(effect, m.ReleaseUpstream)
@@ -163,7 +165,7 @@
 TestExchange = ExchangeMachine.TestCase
 
 
-def test_a_request_that_may_repeat_is_tried_at_another_upstream() -> None:
+def test_idempotent_request_is_retried_at_another_upstream() -> None:
     exchange = Exchange(
         policy=m.ExecutionPolicy(idempotent=True, resendable=True, recorded=False),
         route=m.ToUpstream(),
@@ -179,7 +181,7 @@
     ]
 
 
-def test_a_transfer_whose_connection_broke_is_unknown_and_not_tried_again() -> None:
+def test_non_idempotent_request_is_answered_unknown_after_a_lost_connection() -> None:
     exchange = Exchange(
         policy=m.ExecutionPolicy(idempotent=False, resendable=True, recorded=True),
         route=m.ToUpstream(),
@@ -194,7 +196,7 @@
     assert answer.outcome is Outcome.UNKNOWN
 
 
-def test_a_foreign_id_is_never_answered_not_run() -> None:
+def test_request_with_an_id_of_another_process_is_never_answered_not_run() -> None:
     exchange = Exchange(
         policy=m.ExecutionPolicy(
             idempotent=False,
@@ -211,7 +213,7 @@
     assert answer.outcome is Outcome.UNKNOWN
 
 
-def build_repeatable(budget: RetryBudget, **terms: int) -> Exchange:
+def build_idempotent(budget: RetryBudget, **terms: int) -> Exchange:
     exchange = Exchange(
         policy=m.ExecutionPolicy(
             idempotent=True, resendable=True, recorded=False, **terms
@@ -223,10 +225,10 @@
     return exchange
 
 
-def test_upstreams_that_were_never_reached_use_no_budget() -> None:
+def test_first_unreachable_upstreams_use_no_retry_budget() -> None:
     budget = RetryBudget(percent=0, burst=0.0)
     budget.note_fresh()
-    exchange = build_repeatable(budget)
+    exchange = build_idempotent(budget)
     for number in range(3):
         exchange.handle(m.Assigned(upstream=f"u{number}", endpoint=ENDPOINT))
         assert isinstance(exchange.handle(m.ConnectFailed())[-1], m.FindUpstream)
@@ -237,8 +239,8 @@
     assert answer.outcome is Outcome.NOT_RUN
 
 
-def test_a_request_is_sent_to_no_more_upstreams_than_declared() -> None:
-    exchange = build_repeatable(RetryBudget(percent=100), max_attempts=2)
+def test_attempts_are_limited_to_the_declared_maximum() -> None:
+    exchange = build_idempotent(RetryBudget(percent=100), max_attempts=2)
     for number in range(2):
         exchange.handle(m.Assigned(upstream=f"u{number}", endpoint=ENDPOINT))
         exchange.handle(m.Connected())
@@ -247,9 +249,9 @@
     assert last.outcome is Outcome.UNKNOWN
 
 
-def test_a_silent_upstream_is_kept_when_no_retry_may_be_made() -> None:
+def test_no_retry_is_possible_when_the_budget_is_exhausted() -> None:
     budget = RetryBudget(percent=0, burst=0.0)
-    exchange = build_repeatable(budget)
+    exchange = build_idempotent(budget)
     exchange.handle(m.Assigned(upstream="u1", endpoint=ENDPOINT))
     exchange.handle(m.Connected())
     assert not exchange.can_retry()
@@ -275,35 +277,35 @@
     return exchange
 
 
-def test_a_retry_that_is_taken_is_told_with_what_led_to_it() -> None:
-    (decided,) = fail_first_attempt().retry_decisions
-    assert (decided.taken, decided.because) == (True, "upstream-lost")
+def test_allowed_retry_is_recorded_with_its_cause() -> None:
+    (decision,) = fail_first_attempt().retry_decisions
+    assert (decision.taken, decision.because) == (True, "upstream-lost")
 
 
-def test_a_retry_that_is_withheld_is_told_with_what_withheld_it() -> None:
-    def why(**terms: Any) -> str:
-        (decided,) = fail_first_attempt(**terms).retry_decisions
-        assert not decided.taken
-        return decided.because
+def test_denied_retry_is_recorded_with_the_reason() -> None:
+    def denial_reason(**terms: Any) -> str:
+        (decision,) = fail_first_attempt(**terms).retry_decisions
+        assert not decision.taken
+        return decision.because
 
-    assert why(max_attempts=1) == "all attempts are used"
-    assert why(idempotent=False) == "it may have run and must not run twice"
-    assert why(resendable=False) == "its body is not at hand any more"
+    assert denial_reason(max_attempts=1) == "all attempts are used"
+    assert denial_reason(idempotent=False) == "it may have run and must not run twice"
+    assert denial_reason(resendable=False) == "its body is not at hand any more"
 
 
-def test_a_budget_that_is_used_up_is_told() -> None:
+def test_retry_denied_by_an_exhausted_budget_is_recorded() -> None:
     exchange = fail_first_attempt()
     while exchange.budget.take():
         pass
     exchange.handle(m.Assigned(upstream="v", endpoint=ENDPOINT))
     exchange.handle(m.Connected())
     exchange.handle(m.ConnectionBroken(bytes_handed_over=True))
-    decided = exchange.retry_decisions[-1]
-    assert (decided.taken, decided.because) == (False, "retry budget is used up")
-    assert decided.budget_left < 1.0
+    decision = exchange.retry_decisions[-1]
+    assert (decision.taken, decision.because) == (False, "retry budget is used up")
+    assert decision.budget_left < 1.0
 
 
-def test_an_upstream_that_another_stands_in_for_is_given_up_as_gone() -> None:
+def test_misdirected_request_is_retried_at_another_upstream() -> None:
     exchange = Exchange(
         policy=m.ExecutionPolicy(idempotent=False, resendable=True, recorded=False),
         route=m.ToUpstream(),
