--- a/packages/daemon/src/plankspindle_daemon/idempotency/__init__.py
+++ b/packages/daemon/src/plankspindle_daemon/idempotency/__init__.py
@@ -1,3 +1,3 @@
-"""Requests that must not repeat run at most once."""
+"""Issued ids and idempotency keys, with which requests run at most once."""
 
 from __future__ import annotations
--- a/packages/daemon/src/plankspindle_daemon/idempotency/claim_attempt.py
+++ b/packages/daemon/src/plankspindle_daemon/idempotency/claim_attempt.py
@@ -28,7 +28,7 @@
 
 @frozen
 class WriteUnanswered:
-    """No answer came; the write may have taken effect."""
+    """The write was not answered; it may have taken effect."""
 
 
 @frozen
@@ -45,7 +45,7 @@
 
 @frozen
 class DeadlineExceeded:
-    """The time of the request is used up."""
+    """The deadline of the request has passed."""
 
 
 ClaimEvent = (
@@ -55,7 +55,7 @@
 
 @frozen
 class WriteRow:
-    """Make a conditional write."""
+    """Write the row conditionally."""
 
     write: RowWrite
 
@@ -69,7 +69,7 @@
 
 @frozen
 class Settled:
-    """The attempt is over."""
+    """The attempt is completed."""
 
     verdict: ClaimVerdict
 
@@ -79,20 +79,20 @@
 
 @define(kw_only=True)
 class ClaimAttempt:
-    """Claim a key by a conditional insert, settling lost answers by reading back.
+    """Claim a key by a conditional insert; read the row if the answer is lost.
 
     Parameters
     ----------
     key : str
-        Row to claim.
+        Key of the row to claim.
     claim_row : ClaimRow
-        Row to write, with a nonce of this attempt.
+        Row to write, with the nonce of this attempt.
 
     Notes
     -----
-    The write is repeated only after a read has shown that it did not take effect, and
-    with the same condition and nonce, so a delayed first write that still lands makes
-    the repeat fail and the next read find the nonce.
+    The write is repeated only after a read has shown that it did not take effect. The
+    repeat has the same condition and nonce: if a delayed first write takes effect after
+    all, the repeat fails and the next read finds the nonce.
     """
 
     key: str
@@ -101,18 +101,18 @@
     done: bool = False
 
     def begin(self) -> list[ClaimEffect]:
-        """Start with the write, assuming that the key is new."""
+        """Return the first step: an insert, on the assumption that the key is new."""
         return [self._write()]
 
     def handle(self, event: ClaimEvent) -> list[ClaimEffect]:
-        """Take one event and give the next step."""
+        """Handle one event and return the next step."""
         match event:
             case WriteAnswered(took_effect=True):
                 return self._settle(RunIt())
             case WriteAnswered() | WriteUnanswered():
                 return [ReadRow(self.key)]
             case RowRead(row=row):
-                return self._take_row(row)
+                return self._handle_row(row)
             case ReadUnanswered():
                 return [ReadRow(self.key)]
             case DeadlineExceeded():
@@ -127,7 +127,7 @@
             )
         )
 
-    def _take_row(self, row: Row) -> list[ClaimEffect]:
+    def _handle_row(self, row: Row) -> list[ClaimEffect]:
         if row.version == ABSENT:
             self.expected_version = ABSENT
             return [self._write()]
@@ -139,9 +139,9 @@
             return self._settle(RunIt())
         if found.fingerprint != self.claim_row.fingerprint:
             return self._settle(Mismatch())
-        return self._take_other_attempt(row, found)
+        return self._handle_other_claim(row, found)
 
-    def _take_other_attempt(self, row: Row, found: ClaimRow) -> list[ClaimEffect]:
+    def _handle_other_claim(self, row: Row, found: ClaimRow) -> list[ClaimEffect]:
         match found.state:
             case ClaimState.CLAIMED:
                 return self._settle(InProgress())
--- a/packages/daemon/src/plankspindle_daemon/idempotency/claim_row.py
+++ b/packages/daemon/src/plankspindle_daemon/idempotency/claim_row.py
@@ -1,4 +1,4 @@
-"""The row of the table service that holds the claim of one idempotency key."""
+"""Row of the table service with the claim of one idempotency key."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from plankspindle_daemon.idempotency.recorded_answer import answer_from_mapping
 
 CLAIM_PREFIX = "claims/"
-"""Keys of claims go on with a digest, so that they are spread evenly."""
+"""Prefix of the keys of claim rows; a digest follows, which spreads them evenly."""
 
 
 class ClaimState(Enum):
-    """Where the request of a key stands."""
+    """State of the request with an idempotency key."""
 
     CLAIMED = "claimed"
     RELEASED = "released"
@@ -36,15 +36,15 @@
     Parameters
     ----------
     fingerprint : Fingerprint
-        Caller and request that the key belongs to.
+        Fingerprint of the caller and request that the key belongs to.
     nonce : str
-        Random text of the one attempt that claimed it.
+        Random text of the attempt that claimed the key.
     state : ClaimState
-        ``CLAIMED`` never lapses: only the holder may end it.
+        State of the claim. ``CLAIMED`` has no timeout: only the holder changes it.
     expires_at : float
         Earliest time of removal, seconds since the Unix epoch.
     answer : RecordedAnswer, optional
-        Answer of a finished request, if it was short enough.
+        Answer of a finished request, if it was short enough to record.
     """
 
     fingerprint: Fingerprint
@@ -54,15 +54,15 @@
     answer: RecordedAnswer | None = None
 
     def released(self) -> ClaimRow:
-        """Give the row of a request that was proven not run."""
+        """Return the row for a request that provably was not run."""
         return evolve(self, state=ClaimState.RELEASED)
 
     def finished(self, answer: RecordedAnswer | None) -> ClaimRow:
-        """Give the row of a request that was answered."""
+        """Return the row for a request that was answered."""
         return evolve(self, state=ClaimState.FINISHED, answer=answer)
 
     def to_mapping(self) -> dict[str, Any]:
-        """Give the form kept in the table service."""
+        """Return the mapping that is stored in the table service."""
         return {
             "caller": self.fingerprint.caller,
             "digest": self.fingerprint.digest,
@@ -74,7 +74,7 @@
 
 
 def claim_row_from_mapping(mapping: Any) -> Result[ClaimRow, Unreadable]:
-    """Read the form kept in the table service."""
+    """Decode a mapping from the table service."""
     try:
         recorded = mapping["answer"]
         answer = None
@@ -99,14 +99,14 @@
 
 
 def claim_key(*, service: str, idempotency_key: str) -> str:
-    """Name the row of an idempotency key.
+    """Return the key of the row for an idempotency key.
 
     Parameters
     ----------
     service : str
-        Service that the request is for.
+        Name of the requested service.
     idempotency_key : str
-        Key as chosen by the caller.
+        Key that the caller chose.
     """
-    named = f"{service}/{idempotency_key}".encode("latin-1", "replace")
-    return CLAIM_PREFIX + hashlib.sha256(named).hexdigest()
+    qualified_key = f"{service}/{idempotency_key}".encode("latin-1", "replace")
+    return CLAIM_PREFIX + hashlib.sha256(qualified_key).hexdigest()
--- a/packages/daemon/src/plankspindle_daemon/idempotency/claim_store.py
+++ b/packages/daemon/src/plankspindle_daemon/idempotency/claim_store.py
@@ -1,4 +1,4 @@
-"""Claims of idempotency keys at the table service, batched into transactions."""
+"""Claims of idempotency keys in the table service, written in batches."""
 
 from __future__ import annotations
 
@@ -54,14 +54,14 @@
 
 @frozen(kw_only=True)
 class UnclosedClaim:
-    """A claim whose request has ended, and the row that closes it.
+    """Claim whose request is completed, and the row that closes it.
 
     Parameters
     ----------
     key : str
-        Row of the key.
+        Key of the claim row.
     row : ClaimRow
-        Its last content: released or finished, with the nonce of the claim.
+        Final content: released or finished, with the nonce of the claim.
     """
 
     key: str
@@ -70,16 +70,23 @@
 
 @define(kw_only=True)
 class ClaimStore:
-    """Claim keys, and close claims once their requests have ended.
+    """Claim keys, and close the claims of completed requests.
 
     Parameters
     ----------
     platform : PlatformClient
-        The table service.
+        Client of the table service.
     random : Random
         Source of jitter.
     supervisor : Supervisor
-        Starter of tasks.
+        Supervisor of the background tasks.
+
+    Attributes
+    ----------
+    unclosed_by_nonce : dict of str to UnclosedClaim
+        Claims that are still to be closed.
+    dropped_closings : int
+        Claims that were left open because too many were waiting to be closed.
     """
 
     platform: PlatformClient
@@ -92,14 +99,14 @@
     _tasks: list[Any] = field(factory=list)
 
     async def start(self) -> None:
-        """Start writing batches and closing claims."""
+        """Start the tasks that write batches and close claims."""
         self._tasks = [
             await self.supervisor.spawn(self._write_batches),
             await self.supervisor.spawn(self._close_claims),
         ]
 
     async def close(self) -> None:
-        """Stop; claims that are not closed yet stay claimed."""
+        """Stop the tasks; claims that are not closed yet stay claimed."""
         for task in self._tasks:
             await task.cancel()
         self._tasks = []
@@ -112,7 +119,7 @@
         Parameters
         ----------
         key : str
-            Row of the key.
+            Key of the claim row.
         claim_row : ClaimRow
             Row to write.
         deadline : float
@@ -121,7 +128,7 @@
         Returns
         -------
         ClaimVerdict
-            ``RunIt`` if the claim is proven to be this attempt's.
+            ``RunIt`` if this attempt provably made the claim.
         """
         attempt = ClaimAttempt(key=key, claim_row=claim_row)
         effects = attempt.begin()
@@ -144,12 +151,12 @@
                 read = await self.platform.read_row(key)
                 if read.is_ok():
                     return RowRead(read.unwrap())
-                await self._pause()
+                await self._wait_before_retry()
                 return ReadUnanswered()
             case Settled():
                 raise AssertionError("a settled attempt has no further step")
 
-    async def _pause(self) -> None:
+    async def _wait_before_retry(self) -> None:
         await sleep(RETRY_DELAY_S * self.random.uniform(0.5, 1.5))
 
     async def _write(self, write: RowWrite) -> ClaimEvent:
@@ -169,9 +176,9 @@
             await self._wake.wait()
             self._wake.clear()
             while self._pending:
-                await self._write_batch(self._take_batch())
+                await self._write_batch(self._select_batch())
 
-    def _take_batch(self) -> list[_PendingWrite]:
+    def _select_batch(self) -> list[_PendingWrite]:
         by_key: dict[str, _PendingWrite] = {}
         for pending in self._pending:
             if pending.write.key not in by_key and len(by_key) < MAX_BATCH:
@@ -182,16 +189,18 @@
         transaction = Transaction(writes=[each.write for each in batch])
         committed = await self.platform.commit(transaction)
         if committed.is_ok():
-            await self._end_writes(batch, WriteAnswered(True))
+            await self._complete_writes(batch, WriteAnswered(True))
             return
         match committed.unwrap_err():
             case ConditionFailed(keys=keys):
                 failed = [each for each in batch if each.write.key in keys]
-                await self._end_writes(failed or batch, WriteAnswered(False))
+                await self._complete_writes(failed or batch, WriteAnswered(False))
             case _:
-                await self._end_writes(batch, WriteUnanswered())
+                await self._complete_writes(batch, WriteUnanswered())
 
-    async def _end_writes(self, batch: list[_PendingWrite], event: ClaimEvent) -> None:
+    async def _complete_writes(
+        self, batch: list[_PendingWrite], event: ClaimEvent
+    ) -> None:
         for pending in batch:
             if pending in self._pending:
                 self._pending.remove(pending)
@@ -199,19 +208,19 @@
             await pending.done.set()
 
     def close_claim(self, key: str, row: ClaimRow) -> None:
-        """Have a claim closed, now or when the platform answers again.
+        """Queue a claim to be closed as soon as the platform answers.
 
         Parameters
         ----------
         key : str
-            Row of the key.
+            Key of the claim row.
         row : ClaimRow
-            Its last content: released or finished, with the nonce of the claim.
+            Final content: released or finished, with the nonce of the claim.
         """
         if len(self.unclosed_by_nonce) >= MAX_UNCLOSED:
             self.dropped_closings += 1
             return
-        # Two attempts on one key may both wait: each closes only its own claim.
+        # Two attempts on one key may both be queued: each closes only its own claim.
         self.unclosed_by_nonce[row.nonce] = UnclosedClaim(key=key, row=row)
 
     async def _close_claims(self) -> None:
@@ -220,7 +229,7 @@
             await self.close_ended_claims()
 
     async def close_ended_claims(self) -> None:
-        """Make one attempt to close claims that have ended."""
+        """Try once to close a batch of queued claims."""
         claims_by_key: dict[str, UnclosedClaim] = {}
         for claim in self.unclosed_by_nonce.values():
             if len(claims_by_key) < MAX_BATCH:
@@ -236,24 +245,24 @@
         for key, claim in claims_by_key.items():
             row = read.unwrap()[key]
             if not needs_closing_write(row, claim.row):
-                self._forget(claim)
+                self._discard(claim)
                 continue
             value = claim.row.to_mapping()
             writes.append(RowWrite(key=key, expected_version=row.version, value=value))
         if writes:
             await self.platform.commit(Transaction(writes=writes))
 
-    def _forget(self, claim: UnclosedClaim) -> None:
+    def _discard(self, claim: UnclosedClaim) -> None:
         self.unclosed_by_nonce.pop(claim.row.nonce, None)
 
 
 def needs_closing_write(row: Row, closing_row: ClaimRow) -> bool:
-    """Tell whether the closing row must still be written.
+    """Return whether the closing row must still be written.
 
     Notes
     -----
-    An absent row does not show that the claim failed: its insert may take effect after
-    this read. Writing the closing row first makes the late insert fail its condition.
+    An absent row does not prove that the claim failed: its insert may take effect after
+    this read. Writing the closing row makes such a late insert fail its condition.
     """
     if row.version == ABSENT:
         return True
--- a/packages/daemon/src/plankspindle_daemon/idempotency/claim_sweeper.py
+++ b/packages/daemon/src/plankspindle_daemon/idempotency/claim_sweeper.py
@@ -1,4 +1,4 @@
-"""Removal of claim rows that have expired, so that the table stays bounded."""
+"""Removal of expired claim rows, which bounds the size of the table."""
 
 from __future__ import annotations
 
@@ -25,24 +25,25 @@
 
 @define(kw_only=True)
 class ClaimSweeper:
-    """Read pages of claims at random places and delete what has expired.
+    """Read pages of claims at random positions and delete expired rows.
 
     Parameters
     ----------
     platform : PlatformClient
-        The table service.
+        Client of the table service.
     membership : Membership
-        Its size sets how often this process takes its turn.
+        Membership, whose size determines how often this process sweeps.
     random : Random
-        Source of places and turns.
+        Source of positions and of the decision to sweep.
     supervisor : Supervisor
-        Starter of the task.
+        Supervisor of the background task.
 
     Notes
     -----
-    Nobody is elected. Each process sweeps with probability one over the number of
-    members, so a domain sweeps about one page a period whatever its size, and two that
-    meet do no harm: a delete demands the version that was read.
+    There is no leader election. In each period every process sweeps with probability
+    one over the number of members, so a failure domain sweeps about one page a period
+    whatever its size. Two sweeps of the same page do no harm: a delete is conditional
+    on the version that was read.
     """
 
     platform: PlatformClient
@@ -53,11 +54,11 @@
     _task: Any = None
 
     async def start(self) -> None:
-        """Start sweeping."""
+        """Start the background task."""
         self._task = await self.supervisor.spawn(self._run)
 
     async def close(self) -> None:
-        """Stop."""
+        """Stop the background task."""
         if self._task is not None:
             await self._task.cancel()
             self._task = None
@@ -74,11 +75,11 @@
         Parameters
         ----------
         wall : float
-            Seconds since the Unix epoch.
+            Current time, seconds since the Unix epoch.
         """
-        place = f"{self.random.getrandbits(4 * POSITION_DIGITS):0{POSITION_DIGITS}x}"
+        position = f"{self.random.getrandbits(4 * POSITION_DIGITS):0{POSITION_DIGITS}x}"
         page = await self.platform.read_range(
-            prefix=CLAIM_PREFIX, after=CLAIM_PREFIX + place, limit=PAGE_ROWS
+            prefix=CLAIM_PREFIX, after=CLAIM_PREFIX + position, limit=PAGE_ROWS
         )
         if page.is_err():
             return
--- a/packages/daemon/src/plankspindle_daemon/idempotency/fingerprint.py
+++ b/packages/daemon/src/plankspindle_daemon/idempotency/fingerprint.py
@@ -1,4 +1,4 @@
-"""Identity of a request, to tell a repeat from another request with the same key."""
+"""Fingerprint of a request, to detect another request with the same key."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @frozen(kw_only=True)
 class Fingerprint:
-    """Who sent what.
+    """Caller and digest of a request.
 
     Parameters
     ----------
     caller : str
-        Name of the caller; empty without an API key.
+        Name of the caller; empty if it has no API key.
     digest : str
         SHA-256 over service, method, path and body, in hexadecimal.
     """
@@ -26,21 +26,21 @@
 def fingerprint_of(
     *, caller: str | None, service: str, method: str, path: str, body: bytes
 ) -> Fingerprint:
-    """Digest a request.
+    """Compute the fingerprint of a request.
 
     Parameters
     ----------
     caller : str, optional
         Name of the caller, if it has an API key.
     service, method, path : str
-        What is asked for.
+        Requested service, method and path.
     body : bytes
-        Whole request body.
+        Complete request body.
 
     Returns
     -------
     Fingerprint
-        Equal for repeats of one request only.
+        Fingerprint, equal only for repeats of the same request.
     """
     hasher = hashlib.sha256()
     for part in (service.encode(), method.encode(), path.encode("latin-1"), body):
--- a/packages/daemon/src/plankspindle_daemon/idempotency/issued_ids.py
+++ b/packages/daemon/src/plankspindle_daemon/idempotency/issued_ids.py
@@ -1,9 +1,9 @@
-"""Request ids issued by this process, which alone runs requests that carry them.
+"""Request ids issued by this process, the only one that runs requests with them.
 
-An id names the VM and the incarnation of the process that issued it. No other process
-ever runs it, so the memory of this one is a complete filter of duplicates, and no write
-at the platform is needed. After a restart the incarnation is another one, and old ids
-are answered ``unknown``.
+An id contains the VM and the incarnation of the process that issued it. No other
+process runs a request with that id, so this process detects all duplicates in its own
+memory, without a write to the platform. A restart changes the incarnation, and requests
+with older ids are answered ``unknown``.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 from plankspindle_daemon.idempotency.verdicts import Replay
 from plankspindle_daemon.idempotency.verdicts import RunIt
 
-_ID_FORM = re.compile(
+_ID_PATTERN = re.compile(
     r"(?P<vm>[A-Za-z0-9_-]{1,64})\.(?P<incarnation>[0-9a-f]{16})"
     r"\.(?P<counter>[0-9a-f]{1,16})\.(?P<expiry>[0-9]{1,15})\.(?P<mac>[0-9a-f]{32})"
 )
@@ -36,7 +36,7 @@
 
 
 @frozen(kw_only=True)
-class _Parsed:
+class _ParsedId:
     vm: str
     incarnation: int
     counter: int
@@ -46,7 +46,7 @@
 
 
 @define(kw_only=True)
-class _Used:
+class _UsedId:
     fingerprint: Fingerprint
     expires: float
     finished: bool = False
@@ -55,7 +55,7 @@
 
 @define(kw_only=True)
 class IssuedIds:
-    """Ids of one process and what became of them.
+    """Ids issued by one process, and the state of their requests.
 
     Parameters
     ----------
@@ -64,14 +64,21 @@
     incarnation : int
         Random number of this process, 64 bits.
     secret : bytes
-        Random secret of this process; ids are never checked by another one.
+        Random secret of this process, which is the only one to verify its ids.
     ttl_s : float
-        Life of an id, in seconds.
+        Time from issue to expiry of an id, in seconds.
     retention_s : float
-        Time for which a used id is remembered after its expiry; longer than any
+        Seconds for which a used id is retained after its expiry; longer than any
         request can run.
     max_retained : int
-        Used ids remembered at once.
+        Maximum number of used ids that are retained.
+
+    Attributes
+    ----------
+    issued : int
+        Number of ids issued.
+    ran : int
+        Number of times that a request with an id was sent to an upstream.
     """
 
     vm: str
@@ -82,12 +89,12 @@
     max_retained: int
     issued: int = 0
     ran: int = 0
-    _used_by_counter: dict[int, _Used] = field(factory=dict)
+    _used_by_counter: dict[int, _UsedId] = field(factory=dict)
     _started: set[int] = field(factory=set)
 
     @property
     def retained(self) -> int:
-        """Used ids that are remembered."""
+        """Number of used ids that are retained."""
         return len(self._used_by_counter)
 
     def issue(self, now: float) -> str:
@@ -101,7 +108,7 @@
         Returns
         -------
         str
-            The id; it holds until its expiry in the clock of this process.
+            The id, valid until its expiry by the monotonic clock of this process.
         """
         self.issued += 1
         expiry_ms = int((now + self.ttl_s) * 1000)
@@ -117,18 +124,18 @@
         Parameters
         ----------
         request_id : str
-            The id as sent.
+            The id that the caller sent.
         fingerprint : Fingerprint
-            The request and its caller.
+            Fingerprint of the request and its caller.
         now : float
             Monotonic seconds.
 
         Returns
         -------
         IdVerdict
-            ``RunIt`` for the first request with a valid id of this process only.
+            ``RunIt`` only for the first request with a valid id of this process.
         """
-        parsed = _parse(request_id)
+        parsed = _parse_id(request_id)
         if parsed is None:
             return Invalid()
         if (parsed.vm, parsed.incarnation) != (self.vm, self.incarnation):
@@ -142,20 +149,20 @@
             return Invalid()
         return self._begin_first(parsed, fingerprint)
 
-    def _begin_first(self, parsed: _Parsed, fingerprint: Fingerprint) -> IdVerdict:
+    def _begin_first(self, parsed: _ParsedId, fingerprint: Fingerprint) -> IdVerdict:
         if len(self._used_by_counter) >= self.max_retained:
             return NoMemory()
         expires = parsed.expiry_ms / 1000 + self.retention_s
-        self._used_by_counter[parsed.counter] = _Used(
+        self._used_by_counter[parsed.counter] = _UsedId(
             fingerprint=fingerprint, expires=expires
         )
         return RunIt()
 
     def record_started(self, request_id: str) -> None:
-        """Assert that an id reaches an upstream for the first time.
+        """Record that a request is sent, and assert that it was not sent before.
 
-        A retry after a proof that the request was not run is announced by
-        :meth:`note_not_run` first.
+        Call :meth:`record_not_run` before a retry of a request that provably did not
+        run.
         """
         counter = _counter_of(request_id)
         check_invariant("at-most-once", counter not in self._started, request_id)
@@ -163,24 +170,24 @@
         self.ran += 1
 
     def record_not_run(self, request_id: str) -> None:
-        """Record a proof that what was started did not run."""
+        """Record that the request that was sent provably did not run."""
         self._started.discard(_counter_of(request_id))
 
     def release(self, request_id: str) -> None:
-        """Free an id whose request was answered ``not run``, for a later try."""
+        """Release an id whose request was answered ``not-run``, for a later retry."""
         counter = _counter_of(request_id)
         check_invariant("not-run-is-true", counter not in self._started, request_id)
         self._used_by_counter.pop(counter, None)
 
     def finish(self, request_id: str, answer: RecordedAnswer | None) -> None:
-        """Record the end of a request; without an answer it was too long to keep."""
+        """Record the completion of a request; None for an answer too long to keep."""
         used = self._used_by_counter.get(_counter_of(request_id))
         if used is not None:
             used.finished = True
             used.answer = answer
 
     def expire(self, now: float) -> None:
-        """Forget ids that no request can use any more."""
+        """Discard ids whose retention period is over."""
         expired = [
             counter
             for counter, used in self._used_by_counter.items()
@@ -191,7 +198,7 @@
             self._started.discard(counter)
 
 
-def _verdict_on_repeat(used: _Used, fingerprint: Fingerprint) -> IdVerdict:
+def _verdict_on_repeat(used: _UsedId, fingerprint: Fingerprint) -> IdVerdict:
     if used.fingerprint != fingerprint:
         return Mismatch()
     if not used.finished:
@@ -199,11 +206,11 @@
     return AnsweredUnrecorded() if used.answer is None else Replay(used.answer)
 
 
-def _parse(text: str) -> _Parsed | None:
-    found = _ID_FORM.fullmatch(text)
+def _parse_id(text: str) -> _ParsedId | None:
+    found = _ID_PATTERN.fullmatch(text)
     if found is None:
         return None
-    return _Parsed(
+    return _ParsedId(
         vm=found["vm"],
         incarnation=int(found["incarnation"], 16),
         counter=int(found["counter"], 16),
@@ -214,6 +221,6 @@
 
 
 def _counter_of(text: str) -> int:
-    parsed = _parse(text)
+    parsed = _parse_id(text)
     check_invariant("id-was-checked", parsed is not None, text)
     return parsed.counter if parsed else 0
--- a/packages/daemon/src/plankspindle_daemon/idempotency/recorded_answer.py
+++ b/packages/daemon/src/plankspindle_daemon/idempotency/recorded_answer.py
@@ -1,4 +1,4 @@
-"""An answer kept for the repeat of a request."""
+"""Recorded answer, replayed to repeats of its request."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 @frozen(kw_only=True)
 class RecordedAnswer:
-    """A complete answer of an upstream.
+    """Complete answer of an upstream.
 
     Parameters
     ----------
     status : int
-        Status code.
+        HTTP status code.
     headers : list of (bytes, bytes)
-        Headers without those of the connection.
+        Headers without the hop-by-hop ones.
     body : bytes
-        The whole body.
+        The complete body.
     """
 
     status: int
@@ -33,7 +33,7 @@
     body: bytes
 
     def to_mapping(self) -> dict[str, Any]:
-        """Give the form kept in the table service."""
+        """Return the mapping that is stored in the table service."""
         return {
             "status": self.status,
             "headers": [
@@ -45,7 +45,7 @@
 
 
 def answer_from_mapping(mapping: Any) -> Result[RecordedAnswer, Unreadable]:
-    """Read the form kept in the table service."""
+    """Decode a mapping from the table service."""
     try:
         return Ok(
             RecordedAnswer(
--- a/packages/daemon/src/plankspindle_daemon/idempotency/request_records.py
+++ b/packages/daemon/src/plankspindle_daemon/idempotency/request_records.py
@@ -1,4 +1,4 @@
-"""What must learn how a request ended: nothing, an issued id, or a claim."""
+"""Idempotency records of requests: none, an issued id, or a claimed key."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 
 
 class RequestRecord(Protocol):
-    """Learns the steps of one request."""
+    """Record of the progress of one request."""
 
     def record_started(self) -> None:
-        """Learn that the request is about to reach an upstream."""
+        """Record that the request is about to be sent."""
 
     def record_not_run(self) -> None:
-        """Learn of a proof that what was started did not run."""
+        """Record that the request that was sent provably did not run."""
 
     def release(self) -> None:
-        """Learn that the caller is told ``not-run``."""
+        """Release the id or key, since the caller is answered ``not-run``."""
 
     def finish(self, answer: RecordedAnswer | None) -> None:
-        """Learn that a complete answer came; None if it was too long to keep."""
+        """Record a complete answer; None if it was too long to keep."""
 
 
 class NoRecord:
-    """Record of a request without id or key."""
+    """Empty record, for a request without id or key."""
 
     def record_started(self) -> None:
         """Do nothing."""
@@ -48,12 +48,12 @@
 
 @define(kw_only=True)
 class IdRecord:
-    """Record of a request with an id issued here.
+    """Record of a request with an id that this process issued.
 
     Parameters
     ----------
     ids : IssuedIds
-        Memory of this process.
+        Ids issued by this process.
     request_id : str
         The id.
     """
@@ -62,34 +62,34 @@
     request_id: str
 
     def record_started(self) -> None:
-        """Assert that the id is not running yet."""
+        """Record the start, and assert that the request is not running yet."""
         self.ids.record_started(self.request_id)
 
     def record_not_run(self) -> None:
-        """Allow the id to be started once more."""
+        """Allow the request to be sent again."""
         self.ids.record_not_run(self.request_id)
 
     def release(self) -> None:
-        """Free the id for a later try of the caller."""
+        """Release the id for a later retry of the caller."""
         self.ids.release(self.request_id)
 
     def finish(self, answer: RecordedAnswer | None) -> None:
-        """Keep the answer for repeats."""
+        """Record the answer for repeats."""
         self.ids.finish(self.request_id, answer)
 
 
 @define(kw_only=True)
 class ClaimRecord:
-    """Record of a request with a key claimed at the table service.
+    """Record of a request with a key claimed in the table service.
 
     Parameters
     ----------
     store : ClaimStore
-        Writer of the claim's end.
+        Store that closes the claim.
     key : str
-        Row of the claim.
+        Key of the claim row.
     row : ClaimRow
-        Its content as claimed.
+        Content of the row when it was claimed.
     """
 
     store: ClaimStore
@@ -97,15 +97,15 @@
     row: ClaimRow
 
     def record_started(self) -> None:
-        """Do nothing: the claim stands before the request is sent."""
+        """Do nothing: the key is claimed before the request is sent."""
 
     def record_not_run(self) -> None:
-        """Do nothing: the claim stands until the request is given up."""
+        """Do nothing: the key stays claimed until the request is completed."""
 
     def release(self) -> None:
-        """Have the key freed for a later try of the caller."""
+        """Queue the release of the key, for a later retry of the caller."""
         self.store.close_claim(self.key, self.row.released())
 
     def finish(self, answer: RecordedAnswer | None) -> None:
-        """Have the answer kept for repeats."""
+        """Queue the recording of the answer for repeats."""
         self.store.close_claim(self.key, self.row.finished(answer))
--- a/packages/daemon/src/plankspindle_daemon/idempotency/verdicts.py
+++ b/packages/daemon/src/plankspindle_daemon/idempotency/verdicts.py
@@ -1,4 +1,4 @@
-"""What the memory of ids and keys says of a request."""
+"""Verdicts on a request with an id or key: run it, replay it, or reject it."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 @frozen
 class Replay:
-    """It ran before; the same caller gets the recorded answer."""
+    """The request ran before; the same caller gets the recorded answer."""
 
     answer: RecordedAnswer
 
 
 @frozen
 class AnsweredUnrecorded:
-    """It ran before, but its answer was too long to keep."""
+    """The request ran before, but its answer was too long to record."""
 
 
 @frozen
 class InProgress:
-    """It is running, or ran without a known end: unknown to the one who repeats it."""
+    """The request is running, or its outcome was lost; repeats are answered unknown."""
 
 
 @frozen
@@ -42,7 +42,7 @@
     vm : str
         Name of the VM that issued it.
     incarnation : int
-        Process that issued it.
+        Incarnation of the process that issued it.
     """
 
     vm: str
@@ -56,7 +56,7 @@
 
 @frozen
 class NoMemory:
-    """Nothing more can be remembered at the moment, so nothing may run."""
+    """No further used id can be retained at the moment, so the request may not run."""
 
 
 @frozen
--- a/packages/daemon/tests/idempotency/test_claim_attempt.py
+++ b/packages/daemon/tests/idempotency/test_claim_attempt.py
@@ -1,4 +1,4 @@
-"""State-machine test of claims: lost answers, late writes, racing attempts."""
+"""Tests of claims under lost answers, delayed writes and concurrent attempts."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Two entry VMs and a store that loses answers and delays writes."""
+    """Run concurrent attempts against a store that loses answers and delays writes."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -65,11 +65,11 @@
         index = data.draw(st.integers(0, len(self.attempts) - 1))
         attempt, effects = self.attempts.pop(index)
         event = self._event(effects[-1], fault)
-        following = attempt.handle(event)
+        next_effects = attempt.handle(event)
         if not attempt.done:
-            self.attempts.append((attempt, following))
+            self.attempts.append((attempt, next_effects))
             return
-        settled = following[-1]
+        settled = next_effects[-1]
         assert isinstance(settled, c.Settled)
         if settled.verdict == RunIt():
             self.runs += 1
@@ -97,7 +97,7 @@
 
     @precondition(lambda self: self.attempts)
     @rule()
-    def time_runs_out(self) -> None:
+    def deadline_passes(self) -> None:
         attempt, _ = self.attempts.pop()
         settled = attempt.handle(c.DeadlineExceeded())[-1]
         assert isinstance(settled, c.Settled)
@@ -105,21 +105,23 @@
 
     @precondition(lambda self: self.delayed)
     @rule()
-    def delayed_write_lands(self) -> None:
+    def delayed_write_takes_effect(self) -> None:
         self._commit(self.delayed.pop())
 
     @precondition(lambda self: self.running)
     @rule(not_run=st.booleans())
-    def request_ends(self, not_run: bool) -> None:
+    def request_completes(self, not_run: bool) -> None:
         row = self.running.pop()
         if not_run:
             self.runs -= 1
-        ended = row.released() if not_run else row.finished(ANSWER)
+        closed = row.released() if not_run else row.finished(ANSWER)
         stored = self.table.read(KEY)
         found = claim_row_from_mapping(stored.value).unwrap()
         assert found.nonce == row.nonce
         assert self._commit(
-            RowWrite(key=KEY, expected_version=stored.version, value=ended.to_mapping())
+            RowWrite(
+                key=KEY, expected_version=stored.version, value=closed.to_mapping()
+            )
         )
 
 
@@ -127,13 +129,13 @@
 
 
 def _settle(stored: ClaimRow, fingerprint: Fingerprint) -> c.ClaimEffect:
-    wanted = ClaimRow(
+    claim_row = ClaimRow(
         fingerprint=fingerprint,
         nonce="mine",
         state=ClaimState.CLAIMED,
         expires_at=1.0,
     )
-    attempt = c.ClaimAttempt(key=KEY, claim_row=wanted)
+    attempt = c.ClaimAttempt(key=KEY, claim_row=claim_row)
     attempt.begin()
     attempt.handle(c.WriteAnswered(False))
     return attempt.handle(
@@ -141,7 +143,7 @@
     )[-1]
 
 
-def test_a_finished_key_is_replayed_to_the_same_request_only() -> None:
+def test_answer_of_a_finished_key_is_replayed_only_to_the_same_request() -> None:
     same = Fingerprint(caller="dealer", digest="aa")
     stored = ClaimRow(
         fingerprint=same, nonce="first", state=ClaimState.CLAIMED, expires_at=1.0
--- a/packages/daemon/tests/idempotency/test_claim_store.py
+++ b/packages/daemon/tests/idempotency/test_claim_store.py
@@ -1,4 +1,4 @@
-"""Tests of the closing of claims whose request was given up."""
+"""Tests of closing the claims of completed requests."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 )
 
 
-def make_store(platform: FakePlatform) -> ClaimStore:
+def build_store(platform: FakePlatform) -> ClaimStore:
     return ClaimStore(
         platform=cast("PlatformClient", platform),
         random=Random(1),
@@ -50,9 +50,9 @@
     return claim_row_from_mapping(row.unwrap().value).unwrap().state
 
 
-def test_an_insert_that_lands_after_the_closing_read_does_not_hold_the_key() -> None:
+def test_claim_is_released_when_its_insert_arrives_after_the_closing_read() -> None:
     platform = FakePlatform(random=Random(1), fault_rate=0.0)
-    store = make_store(platform)
+    store = build_store(platform)
     store.close_claim(KEY, CLAIM.released())
     run_to_end(store.close_ended_claims())
     assert not insert_claim(platform)
@@ -61,9 +61,9 @@
     assert not store.unclosed_by_nonce
 
 
-def test_a_claim_that_was_written_is_released() -> None:
+def test_written_claim_is_released() -> None:
     platform = FakePlatform(random=Random(1), fault_rate=0.0)
-    store = make_store(platform)
+    store = build_store(platform)
     assert insert_claim(platform)
     store.close_claim(KEY, CLAIM.released())
     run_to_end(store.close_ended_claims())
@@ -72,9 +72,9 @@
     assert not store.unclosed_by_nonce
 
 
-def test_the_claim_of_another_attempt_is_left_alone() -> None:
+def test_claim_of_another_attempt_is_not_closed() -> None:
     platform = FakePlatform(random=Random(1), fault_rate=0.0)
-    store = make_store(platform)
+    store = build_store(platform)
     assert insert_claim(platform)
     store.close_claim(KEY, evolve(CLAIM, nonce="n2").released())
     run_to_end(store.close_ended_claims())
@@ -82,9 +82,9 @@
     assert not store.unclosed_by_nonce
 
 
-def test_a_second_attempt_that_is_given_up_does_not_hide_the_first() -> None:
+def test_claim_is_released_although_a_second_attempt_is_closed_too() -> None:
     platform = FakePlatform(random=Random(1), fault_rate=0.0)
-    store = make_store(platform)
+    store = build_store(platform)
     assert insert_claim(platform)
     store.close_claim(KEY, CLAIM.released())
     store.close_claim(KEY, evolve(CLAIM, nonce="n2").released())
--- a/packages/daemon/tests/idempotency/test_claim_sweeper.py
+++ b/packages/daemon/tests/idempotency/test_claim_sweeper.py
@@ -29,7 +29,7 @@
 
 
 class RangedPlatform(FakePlatform):
-    """A fake platform that reads all rows of a prefix."""
+    """Fake platform that reads rows from the start of a prefix."""
 
     async def read_range(
         self, *, prefix: str, after: str, limit: int
@@ -38,7 +38,7 @@
         return Ok([self._row(key) for key in keys[:limit]])
 
 
-def test_only_expired_claims_are_removed() -> None:
+def test_sweep_removes_only_expired_claims() -> None:
     platform = RangedPlatform(random=Random(1), fault_rate=0.0)
     writes = []
     for number, expires_at in enumerate((10.0, 99.0, 20.0)):
--- a/packages/daemon/tests/idempotency/test_issued_ids.py
+++ b/packages/daemon/tests/idempotency/test_issued_ids.py
@@ -21,18 +21,18 @@
 ANSWER = RecordedAnswer(status=200, headers=[], body=b"done")
 
 
-def build_ids(*, incarnation: int = 7, max_remembered: int = 10) -> IssuedIds:
+def build_ids(*, incarnation: int = 7, max_retained: int = 10) -> IssuedIds:
     return IssuedIds(
         vm="ba-1-a",
         incarnation=incarnation,
         secret=b"s" * 32,
         ttl_s=60.0,
         retention_s=100.0,
-        max_retained=max_remembered,
+        max_retained=max_retained,
     )
 
 
-def test_an_id_runs_once_and_is_replayed_to_its_caller_only() -> None:
+def test_request_with_an_id_runs_once_and_is_replayed_only_to_its_caller() -> None:
     ids = build_ids()
     text = ids.issue(0.0)
     assert ids.begin(text, TRANSFER, 1.0) == RunIt()
@@ -45,13 +45,13 @@
     assert ids.begin(text, changed, 2.0) == Mismatch()
 
 
-def test_another_incarnation_never_runs_an_id() -> None:
+def test_id_of_an_earlier_incarnation_is_foreign() -> None:
     text = build_ids(incarnation=7).issue(0.0)
     restarted = build_ids(incarnation=8)
     assert restarted.begin(text, TRANSFER, 1.0) == Foreign("ba-1-a", 7)
 
 
-def test_a_forged_or_expired_id_does_not_run() -> None:
+def test_forged_or_expired_id_is_invalid() -> None:
     ids = build_ids()
     text = ids.issue(0.0)
     forged = text[:-1] + ("0" if text[-1] != "0" else "1")
@@ -60,7 +60,7 @@
     assert ids.begin("nonsense", TRANSFER, 1.0) == Invalid()
 
 
-def test_a_used_id_is_remembered_past_its_expiry_and_then_invalid() -> None:
+def test_used_id_is_retained_past_its_expiry_and_then_invalid() -> None:
     ids = build_ids()
     text = ids.issue(0.0)
     ids.begin(text, TRANSFER, 59.0)
@@ -72,8 +72,8 @@
     assert ids.begin(text, TRANSFER, 161.0) == Invalid()
 
 
-def test_memory_is_bounded_and_a_full_one_runs_nothing() -> None:
-    ids = build_ids(max_remembered=1)
+def test_new_id_is_rejected_when_the_maximum_is_retained() -> None:
+    ids = build_ids(max_retained=1)
     first, second = ids.issue(0.0), ids.issue(0.0)
     assert ids.begin(first, TRANSFER, 0.0) == RunIt()
     assert ids.begin(second, TRANSFER, 0.0) == NoMemory()
@@ -82,5 +82,5 @@
 
 
 @given(text=st.text(max_size=120))
-def test_any_text_is_answered(text: str) -> None:
+def test_arbitrary_text_is_an_invalid_id(text: str) -> None:
     assert build_ids().begin(text, TRANSFER, 0.0) == Invalid()
