--- a/packages/client/src/plankspindle_client/console/commands/config.py
+++ b/packages/client/src/plankspindle_client/console/commands/config.py
@@ -10,9 +10,9 @@
 import click
 
 from plankspindle_client.console.context import EXIT_USAGE
-from plankspindle_client.console.context import api_of
-from plankspindle_client.console.context import show_json
-from plankspindle_client.console.context import show_plan
+from plankspindle_client.console.context import get_api
+from plankspindle_client.console.context import print_json
+from plankspindle_client.console.context import print_plan
 from plankspindle_client.console.context import unwrap_or_exit
 from plankspindle_core.configuration.codec import configuration_from_yaml
 from plankspindle_core.configuration.codec import configuration_to_mapping
@@ -42,7 +42,7 @@
 @click.pass_context
 def show(context: click.Context) -> None:
     """Show the configuration in force at a daemon, as JSON."""
-    show_json(unwrap_or_exit(api_of(context).get("/v1/configuration")))
+    print_json(unwrap_or_exit(get_api(context).get("/v1/configuration")))
 
 
 @config.command()
@@ -51,7 +51,7 @@
 def diff(context: click.Context, file: Path) -> None:
     """Show what differs between FILE and the configuration in force."""
     wanted = configuration_to_mapping(_read_or_exit(file))
-    found = unwrap_or_exit(api_of(context).get("/v1/configuration"))
+    found = unwrap_or_exit(get_api(context).get("/v1/configuration"))
     lines = diff_lines(found["configuration"], wanted)
     click.echo("\n".join(lines) or "nothing differs")
 
@@ -94,7 +94,7 @@
     """Plan to put the configuration FILE in force as a whole."""
     mapping = configuration_to_mapping(_read_or_exit(file))
     intent = {"kind": "apply", "configuration": mapping}
-    show_plan(context, unwrap_or_exit(api_of(context).post("/v1/plans", intent)))
+    print_plan(context, unwrap_or_exit(get_api(context).post("/v1/plans", intent)))
 
 
 def _read_or_exit(file: Path) -> Configuration:
--- a/packages/client/src/plankspindle_client/console/commands/confirm.py
+++ b/packages/client/src/plankspindle_client/console/commands/confirm.py
@@ -4,8 +4,8 @@
 
 import click
 
-from plankspindle_client.console.context import api_of
-from plankspindle_client.console.context import show_result
+from plankspindle_client.console.context import get_api
+from plankspindle_client.console.context import print_result
 from plankspindle_client.console.context import unwrap_or_exit
 
 
@@ -14,6 +14,6 @@
 @click.pass_context
 def confirm(context: click.Context, plan_id: str) -> None:
     """Confirm the plan PLAN_ID; doing it again is harmless and tells the outcome."""
-    plan = unwrap_or_exit(api_of(context).post(f"/v1/plans/{plan_id}/confirm", {}))
+    plan = unwrap_or_exit(get_api(context).post(f"/v1/plans/{plan_id}/confirm", {}))
     version = plan["base_version"] + 1
-    show_result(context, plan, [f"plan {plan['id']} is accepted as version {version}"])
+    print_result(context, plan, [f"plan {plan['id']} is accepted as version {version}"])
--- a/packages/client/src/plankspindle_client/console/commands/explain.py
+++ b/packages/client/src/plankspindle_client/console/commands/explain.py
@@ -9,9 +9,9 @@
 
 import click
 
-from plankspindle_client.console.context import show_result
-from plankspindle_client.explaining.cause import cause_of
-from plankspindle_client.explaining.request_story import RequestStory
+from plankspindle_client.console.context import print_result
+from plankspindle_client.explaining.cause import describe_cause
+from plankspindle_client.explaining.request_trace import RequestTrace
 
 if TYPE_CHECKING:
     from typing import TextIO
@@ -34,56 +34,58 @@
     given.
     """
     lines = chain.from_iterable(files or (sys.stdin,))
-    story = RequestStory.read(request_id, lines)
+    story = RequestTrace.from_lines(request_id, lines)
     if not story.steps:
         click.echo(_not_found(story), err=True)
         raise SystemExit(EXIT_NOT_FOUND)
-    show_result(context, _as_mapping(story), render_story(story))
+    print_result(context, _trace_mapping(story), render_trace(story))
 
 
-def render_story(story: RequestStory) -> list[str]:
+def render_trace(trace: RequestTrace) -> list[str]:
     """Write a story as lines of text.
 
     Parameters
     ----------
-    story : RequestStory
+    trace : RequestTrace
         A request of which at least one event is known.
     """
-    vms = sorted({each.vm for each in story.steps})
-    lines = [f"request {story.request} on {', '.join(vms)}"]
-    lines += [_render(story, each) for each in story.steps]
-    if story.around:
+    vms = sorted({each.vm for each in trace.steps})
+    lines = [f"request {trace.request} on {', '.join(vms)}"]
+    lines += [_render(trace, each) for each in trace.steps]
+    if trace.context_events:
         lines.append("at that time:")
-        lines += [_render(story, each) for each in story.around]
-    if story.lines_dropped:
-        lines.append(f"these logs lack {story.lines_dropped} lines that were dropped")
-    return [*lines, cause_of(story)]
+        lines += [_render(trace, each) for each in trace.context_events]
+    if trace.dropped_line_count:
+        lines.append(
+            f"these logs lack {trace.dropped_line_count} lines that were dropped"
+        )
+    return [*lines, describe_cause(trace)]
 
 
-def _render(story: RequestStory, event: LoggedEvent) -> str:
-    since_ms = (event.at - story.steps[0].at).total_seconds() * 1000
+def _render(trace: RequestTrace, event: LoggedEvent) -> str:
+    since_ms = (event.at - trace.steps[0].at).total_seconds() * 1000
     fields = " ".join(f"{key}={each}" for key, each in event.fields.items())
     when = event.at.strftime("%H:%M:%S.%f")[:-3]
     return f"  {when} {since_ms:+7.0f} ms  {event.vm}  {event.event}  {fields}".rstrip()
 
 
-def _not_found(story: RequestStory) -> str:
+def _not_found(trace: RequestTrace) -> str:
     text = (
-        f"none of {story.lines} lines names request {story.request!r}: give the logs of"
-        " all entry VMs; of requests that were served in time only some are logged"
+        f"none of {trace.line_count} lines names request {trace.request!r}: give the logs"
+        " of all entry VMs; of requests that were served in time only some are logged"
     )
-    if story.lines_dropped:
-        text += f"; {story.lines_dropped} lines were dropped"
+    if trace.dropped_line_count:
+        text += f"; {trace.dropped_line_count} lines were dropped"
     return text
 
 
-def _as_mapping(story: RequestStory) -> dict[str, Any]:
+def _trace_mapping(trace: RequestTrace) -> dict[str, Any]:
     return {
-        "request": story.request,
-        "cause": cause_of(story),
-        "steps": [_event_mapping(each) for each in story.steps],
-        "around": [_event_mapping(each) for each in story.around],
-        "lines_dropped": story.lines_dropped,
+        "request": trace.request,
+        "cause": describe_cause(trace),
+        "steps": [_event_mapping(each) for each in trace.steps],
+        "around": [_event_mapping(each) for each in trace.context_events],
+        "lines_dropped": trace.dropped_line_count,
     }
 
 
--- a/packages/client/src/plankspindle_client/console/commands/plan.py
+++ b/packages/client/src/plankspindle_client/console/commands/plan.py
@@ -4,9 +4,9 @@
 
 import click
 
-from plankspindle_client.console.context import api_of
-from plankspindle_client.console.context import show_plan
-from plankspindle_client.console.context import show_result
+from plankspindle_client.console.context import get_api
+from plankspindle_client.console.context import print_plan
+from plankspindle_client.console.context import print_result
 from plankspindle_client.console.context import unwrap_or_exit
 
 
@@ -49,7 +49,7 @@
             "ramp_s": ramp_s,
         },
     }
-    show_plan(context, unwrap_or_exit(api_of(context).post("/v1/plans", intent)))
+    print_plan(context, unwrap_or_exit(get_api(context).post("/v1/plans", intent)))
 
 
 @plan.command()
@@ -92,7 +92,7 @@
         "drain_id": drain_id or f"{kind}-{name}",
         "drain": {"kind": kind, "name": name, "at": at},
     }
-    show_plan(context, unwrap_or_exit(api_of(context).post("/v1/plans", intent)))
+    print_plan(context, unwrap_or_exit(get_api(context).post("/v1/plans", intent)))
 
 
 @plan.command("undo-drain")
@@ -101,7 +101,7 @@
 def undo_drain(context: click.Context, drain_id: str) -> None:
     """Plan to end the drain DRAIN_ID."""
     intent = {"kind": "undo-drain", "drain_id": drain_id}
-    show_plan(context, unwrap_or_exit(api_of(context).post("/v1/plans", intent)))
+    print_plan(context, unwrap_or_exit(get_api(context).post("/v1/plans", intent)))
 
 
 @plan.command()
@@ -110,7 +110,7 @@
 def undo(context: click.Context, version: int) -> None:
     """Plan to undo VERSION, which must be the newest one."""
     intent = {"kind": "undo", "version": version}
-    show_plan(context, unwrap_or_exit(api_of(context).post("/v1/plans", intent)))
+    print_plan(context, unwrap_or_exit(get_api(context).post("/v1/plans", intent)))
 
 
 @plan.command("class")
@@ -120,20 +120,20 @@
 def change_class(context: click.Context, caller: str, priority_class: str) -> None:
     """Plan to serve CALLER as PRIORITY_CLASS."""
     intent = {"kind": "class", "caller": caller, "priority_class": priority_class}
-    show_plan(context, unwrap_or_exit(api_of(context).post("/v1/plans", intent)))
+    print_plan(context, unwrap_or_exit(get_api(context).post("/v1/plans", intent)))
 
 
 @plan.command("list")
 @click.pass_context
 def list_plans(context: click.Context) -> None:
     """List the plans that are kept."""
-    found = unwrap_or_exit(api_of(context).get("/v1/plans"))["plans"]
+    found = unwrap_or_exit(get_api(context).get("/v1/plans"))["plans"]
     lines = (
         f"{each['id']} {each['state']} on version {each['base_version']}"
         f" by {each['operator']}: {each['effects'][0]}"
         for each in found
     )
-    show_result(context, found, lines)
+    print_result(context, found, lines)
 
 
 @plan.command("undo-shift")
@@ -142,7 +142,7 @@
 def undo_shift(context: click.Context, shift_id: str) -> None:
     """Plan to end the shift SHIFT_ID."""
     intent = {"kind": "undo-shift", "shift_id": shift_id}
-    show_plan(context, unwrap_or_exit(api_of(context).post("/v1/plans", intent)))
+    print_plan(context, unwrap_or_exit(get_api(context).post("/v1/plans", intent)))
 
 
 @plan.command()
@@ -150,4 +150,4 @@
 @click.pass_context
 def show(context: click.Context, plan_id: str) -> None:
     """Show the plan PLAN_ID and whether it was accepted."""
-    show_plan(context, unwrap_or_exit(api_of(context).get(f"/v1/plans/{plan_id}")))
+    print_plan(context, unwrap_or_exit(get_api(context).get(f"/v1/plans/{plan_id}")))
--- a/packages/client/src/plankspindle_client/console/commands/quarantine.py
+++ b/packages/client/src/plankspindle_client/console/commands/quarantine.py
@@ -7,14 +7,14 @@
 
 import click
 
-from plankspindle_client.console.context import api_of
-from plankspindle_client.console.context import show_result
+from plankspindle_client.console.context import get_api
+from plankspindle_client.console.context import print_result
 from plankspindle_client.console.context import unwrap_or_exit
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-NONE = "no request is held back"
+NO_QUARANTINED_REQUEST = "no request is held back"
 
 
 @click.command()
@@ -24,14 +24,16 @@
 @click.pass_context
 def quarantine(context: click.Context, identity: str | None) -> None:
     """List the requests that are held back since upstreams crashed under them."""
-    api = api_of(context)
+    api = get_api(context)
     if identity is not None:
         lifted = unwrap_or_exit(api.post("/v1/quarantine/lift", {"identity": identity}))
-        show_result(context, lifted, [f"{lifted['lifted']} is sent to upstreams again"])
+        print_result(
+            context, lifted, [f"{lifted['lifted']} is sent to upstreams again"]
+        )
         return
     found = unwrap_or_exit(api.get("/state"))["quarantine"]["requests"]
     lines = [_render(name, each) for name, each in found.items()]
-    show_result(context, found, lines or [NONE])
+    print_result(context, found, lines or [NO_QUARANTINED_REQUEST])
 
 
 def _render(name: str, held: Mapping[str, Any]) -> str:
--- a/packages/client/src/plankspindle_client/console/commands/routes.py
+++ b/packages/client/src/plankspindle_client/console/commands/routes.py
@@ -7,8 +7,8 @@
 
 import click
 
-from plankspindle_client.console.context import api_of
-from plankspindle_client.console.context import show_result
+from plankspindle_client.console.context import get_api
+from plankspindle_client.console.context import print_result
 from plankspindle_client.console.context import unwrap_or_exit
 
 if TYPE_CHECKING:
@@ -23,11 +23,11 @@
 @click.pass_context
 def routes(context: click.Context, host: str | None, path: str | None) -> None:
     """List the routes in force at a daemon."""
-    found = unwrap_or_exit(api_of(context).get("/v1/configuration"))
+    found = unwrap_or_exit(get_api(context).get("/v1/configuration"))
     declared = found["configuration"].get("routes", {})
     chosen = choose_routes(declared, host=host, path=path)
     lines = [render_route(name, route) for name, route in chosen.items()]
-    show_result(context, chosen, lines or [NO_ROUTE])
+    print_result(context, chosen, lines or [NO_ROUTE])
 
 
 def choose_routes(
--- a/packages/client/src/plankspindle_client/console/commands/state.py
+++ b/packages/client/src/plankspindle_client/console/commands/state.py
@@ -7,7 +7,7 @@
 import click
 
 from plankspindle_client.console.context import EndpointType
-from plankspindle_client.console.context import show_json
+from plankspindle_client.console.context import print_json
 from plankspindle_client.console.context import unwrap_or_exit
 from plankspindle_client.operator_api import OperatorApi
 
@@ -21,4 +21,4 @@
 def state(context: click.Context, address: Endpoint) -> None:
     """Dump the state of the daemon whose operator listener is ADDRESS, as JSON."""
     api = OperatorApi(endpoint=address, token=context.obj["token"])
-    show_json(unwrap_or_exit(api.get("/state")))
+    print_json(unwrap_or_exit(api.get("/state")))
--- a/packages/client/src/plankspindle_client/console/commands/status.py
+++ b/packages/client/src/plankspindle_client/console/commands/status.py
@@ -6,8 +6,8 @@
 
 import click
 
-from plankspindle_client.console.context import api_of
-from plankspindle_client.console.context import show_result
+from plankspindle_client.console.context import get_api
+from plankspindle_client.console.context import print_result
 from plankspindle_client.console.context import unwrap_or_exit
 
 
@@ -15,8 +15,8 @@
 @click.pass_context
 def status(context: click.Context) -> None:
     """Show version, members, services and shifts as one daemon sees them."""
-    found = unwrap_or_exit(api_of(context).get("/state"))
-    show_result(context, found, status_lines(found))
+    found = unwrap_or_exit(get_api(context).get("/state"))
+    print_result(context, found, status_lines(found))
 
 
 def status_lines(found: dict[str, Any]) -> list[str]:
--- a/packages/client/src/plankspindle_client/console/commands/watch.py
+++ b/packages/client/src/plankspindle_client/console/commands/watch.py
@@ -7,7 +7,7 @@
 import click
 
 from plankspindle_client.console.commands.status import status_lines
-from plankspindle_client.console.context import api_of
+from plankspindle_client.console.context import get_api
 from plankspindle_client.console.context import unwrap_or_exit
 
 MIN_INTERVAL_S = 0.2
@@ -26,7 +26,7 @@
     """Show the status of a daemon until interrupted."""
     looks = 0
     while True:
-        lines = status_lines(unwrap_or_exit(api_of(context).get("/state")))
+        lines = status_lines(unwrap_or_exit(get_api(context).get("/state")))
         click.clear()
         click.echo("\n".join(lines))
         looks += 1
--- a/packages/client/src/plankspindle_client/console/commands/workspaces.py
+++ b/packages/client/src/plankspindle_client/console/commands/workspaces.py
@@ -7,14 +7,14 @@
 
 import click
 
-from plankspindle_client.console.context import api_of
-from plankspindle_client.console.context import show_result
+from plankspindle_client.console.context import get_api
+from plankspindle_client.console.context import print_result
 from plankspindle_client.console.context import unwrap_or_exit
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-NONE = "no workspace; declare one under workspaces in the configuration"
+NO_WORKSPACE = "no workspace; declare one under workspaces in the configuration"
 
 
 @click.command()
@@ -22,12 +22,12 @@
 @click.pass_context
 def workspaces(context: click.Context, refused: bool) -> None:
     """List workspaces, what this daemon admitted of them and who hands out tokens."""
-    found = unwrap_or_exit(api_of(context).get("/state"))["workspaces"]
+    found = unwrap_or_exit(get_api(context).get("/state"))["workspaces"]
     shown = {
         name: each for name, each in found.items() if each["refused"] or not refused
     }
     lines = [_render(name, each) for name, each in sorted(shown.items())]
-    show_result(context, shown, lines or [NONE])
+    print_result(context, shown, lines or [NO_WORKSPACE])
 
 
 def _render(name: str, workspace: Mapping[str, Any]) -> str:
--- a/packages/client/src/plankspindle_client/console/context.py
+++ b/packages/client/src/plankspindle_client/console/context.py
@@ -52,7 +52,7 @@
             self.fail(str(error), param, ctx)
 
 
-def api_of(context: click.Context) -> OperatorApi:
+def get_api(context: click.Context) -> OperatorApi:
     """Give the client of the daemon named by ``--daemon``."""
     endpoint: Endpoint | None = context.obj["endpoint"]
     if endpoint is None:
@@ -77,12 +77,12 @@
     sys.exit(EXIT_BY_STATUS.get(error.status, EXIT_REFUSED))
 
 
-def show_json(content: Any) -> None:
+def print_json(content: Any) -> None:
     """Print a JSON document."""
     click.echo(json.dumps(content, indent=2, sort_keys=True))
 
 
-def show_result(context: click.Context, content: Any, lines: Iterable[str]) -> None:
+def print_result(context: click.Context, content: Any, lines: Iterable[str]) -> None:
     """Print content as JSON if ``--output`` asks for it, else as lines.
 
     Parameters
@@ -95,15 +95,15 @@
         The same for people; read only if it is printed.
     """
     if context.obj["output"] == "json":
-        show_json(content)
+        print_json(content)
         return
     for line in lines:
         click.echo(line)
 
 
-def show_plan(context: click.Context, plan: Any) -> None:
+def print_plan(context: click.Context, plan: Any) -> None:
     """Print a plan in the form that ``--output`` asks for."""
-    show_result(context, plan, _plan_lines(plan))
+    print_result(context, plan, _plan_lines(plan))
 
 
 def _plan_lines(plan: Any) -> Iterator[str]:
--- a/packages/client/src/plankspindle_client/explaining/cause.py
+++ b/packages/client/src/plankspindle_client/explaining/cause.py
@@ -7,22 +7,22 @@
 
 if TYPE_CHECKING:
     from plankspindle_client.explaining.logged_event import LoggedEvent
-    from plankspindle_client.explaining.request_story import RequestStory
+    from plankspindle_client.explaining.request_trace import RequestTrace
 
 
 KEY_REVOKED = "key-revoked"
 WITHHELD = "withheld"
 
 
-def cause_of(story: RequestStory) -> str:
+def describe_cause(trace: RequestTrace) -> str:
     """Say why a request ended as it did.
 
     Parameters
     ----------
-    story : RequestStory
+    trace : RequestTrace
         A request of which at least one event is known.
     """
-    end = story.end()
+    end = trace.completion()
     if end is None:
         return "Its end is not in these logs: read those of all entry VMs."
     ending = end.fields.get("ending")
@@ -31,36 +31,39 @@
     if ending == "not-run" and end.fields.get("reason") == KEY_REVOKED:
         return "Its API key was revoked while it waited, and it was not run."
     if ending == "caller-gone":
-        return f"Its caller went away after {end.number('took_ms')} ms."
-    held = story.last("request_held_back")
+        return f"Its caller went away after {end.int_field('took_ms')} ms."
+    held = trace.last_event("request_held_back")
     if held is not None:
-        return _of_quarantine(story, held)
-    token = story.last("quota_token_decided")
+        return _describe_quarantine(trace, held)
+    token = trace.last_event("quota_token_decided")
     if token is not None and token.fields.get("taken") == "false":
-        return _of_quota(token)
-    rejected = story.last("request_rejected")
-    attempted = story.last("attempt_ended")
-    if ending == "not-run" and rejected is not None and story.steps[-2] is rejected:
-        return _of_rejection(rejected, attempted)
+        return _describe_quota_refusal(token)
+    rejected = trace.last_event("request_rejected")
+    attempted = trace.last_event("attempt_ended")
+    if ending == "not-run" and rejected is not None and trace.steps[-2] is rejected:
+        return _describe_rejection(rejected, attempted)
     if ending in ("unknown", "broken-off", "not-run") and attempted is not None:
-        return _of_attempt(story, attempted)
+        return _describe_attempt(trace, attempted)
     if ending == "served":
-        return f"It was served after {end.number('took_ms')} ms; {_longest(story)}."
-    return f"It ended as {ending}: {_reason(end)}; {_longest(story)}."
+        return (
+            f"It was served after {end.int_field('took_ms')} ms;"
+            f" {_longest_interval(trace)}."
+        )
+    return f"It ended as {ending}: {_reason(end)}; {_longest_interval(trace)}."
 
 
-def _reason(end: LoggedEvent) -> str:
-    return end.fields.get("reason", "no reason was logged")
+def _reason(completion: LoggedEvent) -> str:
+    return completion.fields.get("reason", "no reason was logged")
 
 
-def _of_rejection(rejected: LoggedEvent, attempted: LoggedEvent | None) -> str:
+def _describe_rejection(rejected: LoggedEvent, attempted: LoggedEvent | None) -> str:
     text = (
         f"It was rejected as {rejected.fields.get('reason')}, and was not run:"
-        f" {rejected.number('queued')} requests waited,"
-        f" {rejected.number('in_flight')} of {rejected.number('capacity')} places were"
-        f" in use, such a request usually takes {rejected.number('usual_ms')} ms and"
-        f" {rejected.number('left_ms')} ms were left; it was told to come back after"
-        f" {rejected.number('retry_after_ms')} ms."
+        f" {rejected.int_field('queued')} requests waited,"
+        f" {rejected.int_field('in_flight')} of {rejected.int_field('capacity')} places"
+        f" were in use, such a request usually takes {rejected.int_field('usual_ms')} ms and"
+        f" {rejected.int_field('left_ms')} ms were left; it was told to come back after"
+        f" {rejected.int_field('retry_after_ms')} ms."
     )
     if rejected.fields.get("reason") == WITHHELD:
         text += (
@@ -72,9 +75,9 @@
     return f"{text} Before that, an attempt ended: {attempted.fields.get('came')}."
 
 
-def _of_quota(token: LoggedEvent) -> str:
+def _describe_quota_refusal(token: LoggedEvent) -> str:
     workspace = token.fields.get("workspace")
-    waited = f"it was decided after {token.number('waited_ms')} ms"
+    waited = f"it was decided after {token.int_field('waited_ms')} ms"
     if token.fields.get("over_quota") == "true":
         return (
             f"Workspace {workspace} had used its quota, and the request was not run;"
@@ -86,23 +89,23 @@
     )
 
 
-def _of_quarantine(story: RequestStory, held: LoggedEvent) -> str:
+def _describe_quarantine(trace: RequestTrace, held: LoggedEvent) -> str:
     text = (
         f"It was held back: the same request, {held.fields.get('identity')}, was in"
         f" flight at several upstreams when they ended, and has been in quarantine for"
-        f" {held.number('for_ms')} ms; it is let through next after"
-        f" {held.number('retry_after_ms')} ms."
+        f" {held.int_field('for_ms')} ms; it is let through next after"
+        f" {held.int_field('retry_after_ms')} ms."
     )
-    attempted = story.last("attempt_ended")
+    attempted = trace.last_event("attempt_ended")
     if attempted is None:
         return f"{text} This try was sent to no upstream."
-    return f"{text} Before that: {_of_attempt(story, attempted)}"
+    return f"{text} Before that: {_describe_attempt(trace, attempted)}"
 
 
-def _of_attempt(story: RequestStory, attempted: LoggedEvent) -> str:
+def _describe_attempt(trace: RequestTrace, attempted: LoggedEvent) -> str:
     text = (
-        f"Attempt {attempted.number('attempt')} at {attempted.fields.get('upstream')}"
-        f" ended after {attempted.number('took_ms')} ms:"
+        f"Attempt {attempted.int_field('attempt')} at"
+        f" {attempted.fields.get('upstream')} ended after {attempted.int_field('took_ms')} ms:"
         f" {attempted.fields.get('came')}."
     )
     ran = attempted.fields.get("ran")
@@ -110,32 +113,32 @@
         text += " It may have run."
     elif ran == "no":
         text += " It has not run."
-    suspected = story.last("request_suspected")
+    suspected = trace.last_event("request_suspected")
     if suspected is not None:
         identity = suspected.fields.get("identity")
         text += f" It was not sent again: upstreams ended under the same, {identity}."
         return text
-    decided = story.last("retry_decided")
+    decided = trace.last_event("retry_decided")
     if decided is not None and decided.fields.get("taken") == "false":
         text += f" It was not sent again: {decided.fields.get('because')}."
     return text
 
 
-def _longest(story: RequestStory) -> str:
+def _longest_interval(trace: RequestTrace) -> str:
     """Name the longest stretch of a request."""
     stretches = [
         ((after.at - before.at).total_seconds() * 1000, before, after)
-        for before, after in pairwise(story.steps)
+        for before, after in pairwise(trace.steps)
     ]
     if not stretches:
         return "nothing is known of its time"
     longest_ms, before, after = max(stretches, key=lambda each: each[0])
     return (
         f"the longest part, {longest_ms:.0f} ms, lies between {before.event} and"
-        f" {after.event}{_at_upstream(after)}"
+        f" {after.event}{_upstream_suffix(after)}"
     )
 
 
-def _at_upstream(event: LoggedEvent) -> str:
+def _upstream_suffix(event: LoggedEvent) -> str:
     upstream = event.fields.get("upstream")
     return "" if upstream is None else f" (upstream {upstream})"
--- a/packages/client/src/plankspindle_client/explaining/logged_event.py
+++ b/packages/client/src/plankspindle_client/explaining/logged_event.py
@@ -8,7 +8,7 @@
 
 from plankspindle_core.logs.line_rendering import parse_line
 
-_OWN_KEYS = frozenset({"time", "event", "vm", "request", "step"})
+_HEADER_KEYS = frozenset({"time", "event", "vm", "request", "step"})
 
 
 @frozen(kw_only=True)
@@ -39,7 +39,7 @@
     fields: dict[str, str]
 
     @classmethod
-    def read(cls, line: str) -> LoggedEvent | None:
+    def parse(cls, line: str) -> LoggedEvent | None:
         """Read a line; None if it holds no event."""
         pairs = parse_line(line)
         if pairs is None:
@@ -49,7 +49,7 @@
             step = int(pairs.get("step", "0"))
         except ValueError:
             return None
-        fields = {key: each for key, each in pairs.items() if key not in _OWN_KEYS}
+        fields = {key: each for key, each in pairs.items() if key not in _HEADER_KEYS}
         return cls(
             at=at,
             event=pairs["event"],
@@ -59,7 +59,7 @@
             fields=fields,
         )
 
-    def number(self, key: str) -> int:
+    def int_field(self, key: str) -> int:
         """Give a value as a whole number; zero if it is none."""
         text = self.fields.get(key, "")
         return int(text) if text.isdigit() else 0
--- a/packages/client/src/plankspindle_client/explaining/request_story.py
+++ b/packages/client/src/plankspindle_client/explaining/request_trace.py
@@ -13,11 +13,11 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-BEFORE = timedelta(seconds=10)
-AFTER = timedelta(seconds=1)
+CONTEXT_BEFORE = timedelta(seconds=10)
+CONTEXT_AFTER = timedelta(seconds=1)
 """Time around a request in which other events may have to do with it."""
-_OF_UPSTREAM = "upstream_standing"
-_OF_DAEMON = frozenset(
+_UPSTREAM_EVENT = "upstream_standing"
+_DAEMON_EVENTS = frozenset(
     {
         "started",
         "stopped",
@@ -45,11 +45,11 @@
         "quarantine_lifted",
     }
 )
-ENDS = frozenset({"request_failed", "request_late", "request_served"})
+COMPLETION_EVENTS = frozenset({"request_failed", "request_late", "request_served"})
 
 
 @define(kw_only=True)
-class RequestStory:
+class RequestTrace:
     """One request as logs tell it.
 
     Parameters
@@ -61,22 +61,22 @@
     ----------
     steps : list of LoggedEvent
         What happened to it, in order.
-    around : list of LoggedEvent
+    context_events : list of LoggedEvent
         What else happened on its VMs and to its upstreams at that time, in order.
-    lines : int
+    line_count : int
         Lines that were read.
-    lines_dropped : int
+    dropped_line_count : int
         Lines that the logs say they lack.
     """
 
     request: str
     steps: list[LoggedEvent] = field(factory=list)
-    around: list[LoggedEvent] = field(factory=list)
-    lines: int = 0
-    lines_dropped: int = 0
+    context_events: list[LoggedEvent] = field(factory=list)
+    line_count: int = 0
+    dropped_line_count: int = 0
 
     @classmethod
-    def read(cls, request: str, lines: Iterable[str]) -> RequestStory:
+    def from_lines(cls, request: str, lines: Iterable[str]) -> RequestTrace:
         """Read the logs of any number of VMs.
 
         Parameters
@@ -89,43 +89,47 @@
         story = cls(request=request)
         others: list[LoggedEvent] = []
         for line in lines:
-            story.lines += 1
-            event = LoggedEvent.read(line)
+            story.line_count += 1
+            event = LoggedEvent.parse(line)
             if event is None:
                 continue
             if event.request == request:
                 story.steps.append(event)
-            elif event.event == _OF_UPSTREAM or event.event in _OF_DAEMON:
+            elif event.event == _UPSTREAM_EVENT or event.event in _DAEMON_EVENTS:
                 others.append(event)
-                story.lines_dropped += _dropped(event)
+                story.dropped_line_count += _dropped_lines(event)
         story.steps.sort(key=lambda each: (each.at, each.vm, each.step))
-        story.around = sorted(
-            (each for each in others if story._has_to_do_with(each)),
+        story.context_events = sorted(
+            (each for each in others if story._is_relevant(each)),
             key=lambda each: each.at,
         )
         return story
 
-    def _has_to_do_with(self, event: LoggedEvent) -> bool:
+    def _is_relevant(self, event: LoggedEvent) -> bool:
         if not self.steps or event.vm not in {each.vm for each in self.steps}:
             return False
-        if not self.steps[0].at - BEFORE <= event.at <= self.steps[-1].at + AFTER:
+        if (
+            not self.steps[0].at - CONTEXT_BEFORE
+            <= event.at
+            <= self.steps[-1].at + CONTEXT_AFTER
+        ):
             return False
-        if event.event != _OF_UPSTREAM:
+        if event.event != _UPSTREAM_EVENT:
             return True
         named = {each.fields.get("upstream") for each in self.steps}
         preferred = {each.fields.get("preferred") for each in self.steps}
         return event.fields.get("upstream") in named | preferred
 
-    def end(self) -> LoggedEvent | None:
+    def completion(self) -> LoggedEvent | None:
         """Give the event that tells how it ended; the last one of several VMs."""
-        ends = [each for each in self.steps if each.event in ENDS]
+        ends = [each for each in self.steps if each.event in COMPLETION_EVENTS]
         return ends[-1] if ends else None
 
-    def last(self, event: str) -> LoggedEvent | None:
+    def last_event(self, event: str) -> LoggedEvent | None:
         """Give the last event of a kind."""
         found = [each for each in self.steps if each.event == event]
         return found[-1] if found else None
 
 
-def _dropped(event: LoggedEvent) -> int:
-    return event.number("lines") if event.event == "log_lines_dropped" else 0
+def _dropped_lines(event: LoggedEvent) -> int:
+    return event.int_field("lines") if event.event == "log_lines_dropped" else 0
--- a/packages/client/tests/test_operations_page.py
+++ b/packages/client/tests/test_operations_page.py
@@ -21,16 +21,16 @@
 from plankspindle_daemon.quarantine.crash_detector import UNNUMBERED_INCARNATION_S
 from plankspindle_daemon.quarantine.crash_records import QUARANTINE_AFTER_CRASHES
 from plankspindle_testkit.builders import BRONZE_KEY
-from plankspindle_testkit.builders import VmPlace
+from plankspindle_testkit.builders import VmAddresses
 from plankspindle_testkit.builders import build_configuration
 from plankspindle_testkit.builders import build_route
 from plankspindle_testkit.builders import build_upstream
 from plankspindle_testkit.builders import build_workspace
-from plankspindle_testkit.loopback_network import host_of_run
+from plankspindle_testkit.loopback_network import loopback_host
 from plankspindle_testkit.processes import Processes
+from plankspindle_testkit.processes import apply_configuration
 from plankspindle_testkit.processes import call
-from plankspindle_testkit.processes import put_in_force
-from plankspindle_testkit.processes import state_of
+from plankspindle_testkit.processes import read_state
 from plankspindle_testkit.processes import wait_for_operator_listener
 from plankspindle_testkit.processes import wait_until
 
@@ -41,11 +41,11 @@
 
 PAGE = Path(__file__).parents[3] / "docs" / "OPERATIONS.md"
 DEPOT_KEY = "k-depot"
-PLATFORM = Endpoint(host_of_run(4, 1), 17000)
-UPSTREAM = Endpoint(host_of_run(4, 3), 17200)
+PLATFORM = Endpoint(loopback_host(4, 1), 17000)
+UPSTREAM = Endpoint(loopback_host(4, 3), 17200)
 BRONZE = (header_names.AUTHORIZATION, b"Bearer " + BRONZE_KEY.encode())
-PLACE = VmPlace(
-    name="ke-1-a", failure_domain="ke-1", host=host_of_run(4, 2), base_port=17100
+PLACE = VmAddresses(
+    name="ke-1-a", failure_domain="ke-1", host=loopback_host(4, 2), base_port=17100
 )
 
 
@@ -91,7 +91,7 @@
 
 def wait_for_version(version: int) -> None:
     wait_until(
-        lambda: state_of(PLACE)["configuration"]["version"] == version,
+        lambda: read_state(PLACE)["configuration"]["version"] == version,
         what=f"version {version}",
     )
 
@@ -194,7 +194,7 @@
 @pytest.fixture
 def serving(folder: Path) -> Path:
     upstreams = {"u": build_upstream(endpoint=UPSTREAM, slots=4, failure_domain="ke-1")}
-    put_in_force(PLACE, build_configuration(upstreams_by_name=upstreams))
+    apply_configuration(PLACE, build_configuration(upstreams_by_name=upstreams))
     wait_until(
         lambda: call(PLACE.caller, target="/v1/services/registry/x").status == 200,
         what="a request is served",
@@ -281,7 +281,7 @@
         routes_by_name={"plates": build_route(host=PLACE.host, path_prefix="/plates/")},
         workspaces_by_name={"depot": build_workspace(DEPOT_KEY, rate_per_s=0.001)},
     )
-    put_in_force(PLACE, configuration)
+    apply_configuration(PLACE, configuration)
     wait_until(lambda: ask("GET", "/plates/1").status == 401, what="the workspace")
     return serving
 
@@ -312,8 +312,8 @@
 
 
 def held_back() -> list[str]:
-    return list(state_of(PLACE)["quarantine"]["requests"])
+    return list(read_state(PLACE)["quarantine"]["requests"])
 
 
 def digests() -> int:
-    return int(state_of(PLACE)["failure_domains"]["ke-1"]["heard_vms"])
+    return int(read_state(PLACE)["failure_domains"]["ke-1"]["heard_vms"])
--- a/packages/core/src/plankspindle_core/configuration/service.py
+++ b/packages/core/src/plankspindle_core/configuration/service.py
@@ -31,7 +31,7 @@
 
     Parameters
     ----------
-    operations : list of Operation
+    operations : list of MatrixOperation
         Declared kinds of request; the longest matching prefix wins.
     default_class : str, optional
         Priority class of callers without a key. Without it they get 401.
--- a/packages/core/src/plankspindle_core/endpoint.py
+++ b/packages/core/src/plankspindle_core/endpoint.py
@@ -8,7 +8,7 @@
 from plankspindle_core.classes import frozen
 
 MAX_PORT = 65535
-REMEMBERED = 4_096
+PARSE_CACHE_SIZE = 4_096
 """Texts whose endpoints are remembered, 1 MB; each heartbeat names the same two."""
 
 
@@ -62,7 +62,7 @@
         return f"{self.host}:{self.port}"
 
 
-@lru_cache(maxsize=REMEMBERED)
+@lru_cache(maxsize=PARSE_CACHE_SIZE)
 def _parse(text: str) -> Endpoint:
     host, _, port = text.rpartition(":")
     host = host.removeprefix("[").removesuffix("]")
--- a/packages/core/src/plankspindle_core/histogram.py
+++ b/packages/core/src/plankspindle_core/histogram.py
@@ -43,7 +43,7 @@
         """Observations in all buckets."""
         return sum(self.counts)
 
-    def note(self, value: float) -> None:
+    def record(self, value: float) -> None:
         """Count one observation."""
         self.counts[bisect_left(self.bounds, value)] += 1
         self.total += value
--- a/packages/core/src/plankspindle_core/http/client_connection.py
+++ b/packages/core/src/plankspindle_core/http/client_connection.py
@@ -25,14 +25,14 @@
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
 """A connection whose other side fell silent without a reset ends after 3 s of rest."""
-UNACKNOWLEDGED_MS = 1_500
+TCP_USER_TIMEOUT_MS = 1_500
 """Longest time that sent bytes may stay unacknowledged, in milliseconds.
 
 Lost packets are sent again after 0.2, 0.6 and 1.4 s: three losses in a row are borne.
 """
 RECEIVE_BYTES = 65_536
 MAX_HEAD_BYTES = 65_536
-_CONTINUES = 100
+_CONTINUE = 100
 
 
 class ClientConnection:
@@ -152,7 +152,7 @@
                 case h11.Response() as response:
                     return Ok(response)
                 case h11.InformationalResponse(status_code=status) if (
-                    status >= _CONTINUES
+                    status >= _CONTINUE
                 ):
                     continue
                 case other:
@@ -231,9 +231,9 @@
         protocol.start_next_cycle()
         self.exchanges += 1
         self.bytes_handed_over = False
-        return self.is_quiet()
+        return self.is_idle()
 
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Tell whether nothing, not even the end of the stream, waits to be read."""
         try:
             self._socket._socket.recv(1, stdlib_socket.MSG_PEEK)
@@ -258,6 +258,6 @@
         (stdlib_socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
         (stdlib_socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
         (stdlib_socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
-        (stdlib_socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS),
+        (stdlib_socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS),
     ):
         connection.setsockopt(stdlib_socket.IPPROTO_TCP, option, value)
--- a/packages/core/src/plankspindle_core/http/server.py
+++ b/packages/core/src/plankspindle_core/http/server.py
@@ -20,7 +20,7 @@
 from plankspindle_core.http.headers import as_header_list
 from plankspindle_core.http.headers import find_header
 from plankspindle_core.http.server_exchange import RECEIVE_BYTES
-from plankspindle_core.http.server_exchange import CallerGoneError
+from plankspindle_core.http.server_exchange import CallerDisconnectedError
 from plankspindle_core.http.server_exchange import ServerExchange
 from plankspindle_core.time_limit import TimeLimit
 from plankspindle_core.time_limit import within
@@ -117,7 +117,9 @@
             except OSError:
                 await sleep(CLOSE_POLL_S)
                 continue
-            if len(self._tasks) >= self._limits.max_connections or not _ready(client):
+            if len(self._tasks) >= self._limits.max_connections or not _disable_nagle(
+                client
+            ):
                 await client.close()
                 continue
             task = await spawn(self._serve, client, address[0], daemon=True)
@@ -131,7 +133,7 @@
             while await self._serve_one(protocol, client, peer_host):
                 protocol.start_next_cycle()
                 await sleep(0)
-        except (CallerGoneError, OSError, TaskCancelled):
+        except (CallerDisconnectedError, OSError, TaskCancelled):
             pass
         finally:
             await client.close()
@@ -201,11 +203,14 @@
             event = protocol.next_event()
         if event is h11.NEED_DATA:
             event = await within(
-                self._limits.header_timeout_s, self._rest_of_head, protocol, client
+                self._limits.header_timeout_s,
+                self._read_head_remainder,
+                protocol,
+                client,
             )
         return event
 
-    async def _rest_of_head(self, protocol: h11.Connection, client: Any) -> Any:
+    async def _read_head_remainder(self, protocol: h11.Connection, client: Any) -> Any:
         while (event := protocol.next_event()) is h11.NEED_DATA:
             protocol.receive_data(await client.recv(RECEIVE_BYTES))
         return event
@@ -229,7 +234,7 @@
         )
 
 
-def _ready(client: Any) -> bool:
+def _disable_nagle(client: Any) -> bool:
     """Let a connection send at once; False if the caller has reset it already."""
     try:
         client.setsockopt(stdlib_socket.IPPROTO_TCP, stdlib_socket.TCP_NODELAY, 1)
--- a/packages/core/src/plankspindle_core/http/server_exchange.py
+++ b/packages/core/src/plankspindle_core/http/server_exchange.py
@@ -21,7 +21,7 @@
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
-class CallerGoneError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller closed its connection before its answer was complete."""
 
 
@@ -61,7 +61,7 @@
 
         Raises
         ------
-        CallerGoneError
+        CallerDisconnectedError
             If the caller closed, was silent too long or broke the protocol.
         """
         if self._body_read:
@@ -104,9 +104,9 @@
                 )
                 self._protocol.receive_data(received)
         except (OSError, h11.RemoteProtocolError, TaskTimeout) as error:
-            raise CallerGoneError(str(error)) from error
+            raise CallerDisconnectedError(str(error)) from error
         if not isinstance(event, h11.Data | h11.EndOfMessage):
-            raise CallerGoneError(f"unexpected {event!r}")
+            raise CallerDisconnectedError(f"unexpected {event!r}")
         return event
 
     async def send_head(self, *, status: int, headers: HeaderList) -> None:
@@ -121,7 +121,7 @@
 
         Raises
         ------
-        CallerGoneError
+        CallerDisconnectedError
             If the caller is gone.
         """
         if self.closes or not self._body_read:
@@ -129,7 +129,7 @@
         try:
             response = h11.Response(status_code=status, headers=headers)
         except h11.LocalProtocolError as error:
-            raise CallerGoneError(str(error)) from error
+            raise CallerDisconnectedError(str(error)) from error
         self._unsent += self._encode(response)
         self.head_sent = True
 
@@ -145,7 +145,7 @@
         try:
             return self._protocol.send(event) or b""
         except h11.LocalProtocolError as error:
-            raise CallerGoneError(str(error)) from error
+            raise CallerDisconnectedError(str(error)) from error
 
     async def _send(self, event: Any) -> None:
         encoded = self._unsent + self._encode(event)
@@ -155,7 +155,7 @@
         try:
             await within(self.limits.body_timeout_s, self._socket.sendall, encoded)
         except (OSError, TaskTimeout) as error:
-            raise CallerGoneError(str(error)) from error
+            raise CallerDisconnectedError(str(error)) from error
 
     async def answer(
         self, *, status: int, headers: HeaderList | None = None, body: bytes = b""
@@ -182,7 +182,7 @@
         )
 
     @property
-    def answer_is_whole(self) -> bool:
+    def answer_is_complete(self) -> bool:
         """Whether the whole answer was handed to the socket."""
         return self._protocol.our_state in (h11.DONE, h11.MUST_CLOSE, h11.CLOSED)
 
@@ -191,8 +191,8 @@
         """Whether the whole request body was read."""
         return self._body_read
 
-    async def watch_caller(self) -> Any:
-        """Start a task that raises :class:`CallerGoneError` here once the caller goes.
+    async def monitor_caller(self) -> Any:
+        """Start a task that raises :class:`CallerDisconnectedError` here on a close.
 
         Returns
         -------
@@ -204,9 +204,9 @@
         Only to be used after the whole request body was read, since the task reads
         the socket. Bytes of a further request are kept for it.
         """
-        return await spawn(self._watch, await current_task(), daemon=True)
+        return await spawn(self._monitor, await current_task(), daemon=True)
 
-    async def _watch(self, owner: Any) -> None:
+    async def _monitor(self, owner: Any) -> None:
         try:
             received = await self._socket.recv(RECEIVE_BYTES)
         except OSError:
@@ -215,4 +215,6 @@
             self._protocol.receive_data(received)
             return
         self.closes = True
-        await owner.cancel(exc=CallerGoneError("the caller closed"), blocking=False)
+        await owner.cancel(
+            exc=CallerDisconnectedError("the caller closed"), blocking=False
+        )
--- a/packages/core/src/plankspindle_core/logs/key_value_destination.py
+++ b/packages/core/src/plankspindle_core/logs/key_value_destination.py
@@ -24,9 +24,9 @@
 """Lines a second of one kind of event; a busy VM's failed requests need about 50."""
 BURST_LINES = 1_000.0
 """Lines of one kind of event at once."""
-DROPPED_PERIOD_S = 1.0
+DROP_REPORT_PERIOD_S = 1.0
 """Period of telling how many lines were dropped."""
-CLOSE_S = 0.5
+CLOSE_TIMEOUT_S = 0.5
 """Longest wait for the reader of the log when the process ends."""
 _LOOP_LOGGER = "curio"
 _OMITTED_KEYS = frozenset(
@@ -118,8 +118,8 @@
         self._clock = clock
         self._common = {} if vm is None else {"vm": vm}
         self._buckets_by_event: dict[str, TokenBucket] = {}
-        self._told: Counter[str] = Counter()
-        self._next_told = 0.0
+        self._reported_by_event: Counter[str] = Counter()
+        self._next_report_at = 0.0
 
     def __call__(self, message: dict[str, Any]) -> None:
         """Take one message."""
@@ -137,14 +137,17 @@
         now : float
             Monotonic seconds.
         """
-        if now >= self._next_told and self.dropped_by_event != self._told:
-            self._next_told = now + DROPPED_PERIOD_S
-            self._tell_dropped()
+        if (
+            now >= self._next_report_at
+            and self.dropped_by_event != self._reported_by_event
+        ):
+            self._next_report_at = now + DROP_REPORT_PERIOD_S
+            self._report_dropped()
         self._sink.flush()
 
     def close(self) -> None:
         """Hand everything on, waiting a little for a slow reader."""
-        self._sink.drain(wait_s=CLOSE_S)
+        self._sink.drain(wait_s=CLOSE_TIMEOUT_S)
 
     def _bucket_of(self, event: str) -> TokenBucket:
         bucket = self._buckets_by_event.get(event)
@@ -160,9 +163,9 @@
         if not self._sink.add(line):
             self.dropped_by_event[event] += 1
 
-    def _tell_dropped(self) -> None:
-        newly = self.dropped_by_event - self._told
-        self._told = Counter(self.dropped_by_event)
+    def _report_dropped(self) -> None:
+        newly = self.dropped_by_event - self._reported_by_event
+        self._reported_by_event = Counter(self.dropped_by_event)
         kinds = ",".join(f"{event}:{count}" for event, count in newly.items())
         eliot.log_message(
             message_type="log_lines_dropped", lines=newly.total(), by_event=kinds
--- a/packages/core/src/plankspindle_core/logs/line_rendering.py
+++ b/packages/core/src/plankspindle_core/logs/line_rendering.py
@@ -61,7 +61,7 @@
     if start is None:
         return None
     pairs = _PAIR.findall(line, start.start())
-    return {key: _read_value(text) for key, text in pairs}
+    return {key: _parse_value(text) for key, text in pairs}
 
 
 def _render_key(key: str) -> str:
@@ -80,7 +80,7 @@
     return json.dumps(json.dumps(value, default=str))
 
 
-def _read_value(text: str) -> str:
+def _parse_value(text: str) -> str:
     if not text.startswith('"'):
         return text
     try:
--- a/packages/core/src/plankspindle_core/logs/line_writer.py
+++ b/packages/core/src/plankspindle_core/logs/line_writer.py
@@ -13,7 +13,7 @@
 """Lines that wait for their reader; about three seconds of a busy entry VM's log."""
 CHUNK_BYTES = 4_096
 """Bytes written at a time: a pipe that is ready takes this many without waiting."""
-POLL_S = 0.02
+POLL_INTERVAL_S = 0.02
 
 
 class LineWriter:
@@ -88,7 +88,7 @@
         until = monotonic() + wait_s
         self.flush()
         while self._pending and monotonic() < until:
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
             self.flush()
 
     def _is_ready(self) -> bool:
--- a/packages/core/src/plankspindle_core/settings/yaml_document.py
+++ b/packages/core/src/plankspindle_core/settings/yaml_document.py
@@ -32,7 +32,7 @@
         return built
 
 
-NOT_READABLE = (yaml.YAMLError, ValueError, TypeError, RecursionError)
+YAML_ERRORS = (yaml.YAMLError, ValueError, TypeError, RecursionError)
 """Errors of the library; all but the first for dates, tags and keys without sense."""
 
 
@@ -51,7 +51,7 @@
     """
     try:
         loaded = yaml.load(text, Loader=_StrictLoader)
-    except NOT_READABLE as error:
+    except YAML_ERRORS as error:
         return Err(InvalidDocument((f"not valid YAML: {_one_line(error)}",)))
     if not isinstance(loaded, dict):
         return Err(InvalidDocument(("the document must be a mapping of keys",)))
--- a/packages/core/src/plankspindle_core/steady_clock.py
+++ b/packages/core/src/plankspindle_core/steady_clock.py
@@ -47,12 +47,12 @@
     clock. With that one a time limit that stands for a deadline would pass as much
     later as the machine was suspended.
     """
-    with _clock_of_kernels():
+    with _kernel_clock_replaced():
         return curio.run(function, *args)
 
 
 @contextmanager
-def _clock_of_kernels() -> Iterator[None]:
+def _kernel_clock_replaced() -> Iterator[None]:
     before = kernel.time
     kernel.time = SimpleNamespace(monotonic=monotonic)
     try:
--- a/packages/core/src/plankspindle_core/supervisor.py
+++ b/packages/core/src/plankspindle_core/supervisor.py
@@ -9,7 +9,7 @@
 from curio import spawn
 
 from plankspindle_core import header_names
-from plankspindle_core.http.server_exchange import CallerGoneError
+from plankspindle_core.http.server_exchange import CallerDisconnectedError
 from plankspindle_core.invariants import InvariantError
 from plankspindle_core.logs.key_value_destination import log_event
 from plankspindle_core.outcome import Outcome
@@ -20,7 +20,7 @@
 
     from plankspindle_core.http.server_exchange import ServerExchange
 
-MOST_IN_A_ROW = 20
+MAX_CONSECUTIVE_ERRORS = 20
 """Contained errors of one kind without a success between, after which nothing serves.
 
 A state that breaks all that comes is mended by a new process; a caller who breaks its
@@ -37,7 +37,7 @@
     ----------
     error : Exception or None
         A broken invariant, or an error that a lasting task did not expect.
-    contained : int
+    contained_errors : int
         Unexpected errors that ended only what one request, message or probe did.
 
     Notes
@@ -49,8 +49,8 @@
 
     def __init__(self) -> None:
         self.error: Exception | None = None
-        self.contained = 0
-        self._in_a_row_by_what: dict[str, int] = {}
+        self.contained_errors = 0
+        self._consecutive_errors_by_name: dict[str, int] = {}
 
     async def spawn(self, function: Callable[..., Awaitable[None]], *args: Any) -> Any:
         """Start a lasting task.
@@ -97,27 +97,27 @@
 
         Raises
         ------
-        CallerGoneError
+        CallerDisconnectedError
             If the caller is gone.
         """
         try:
             await function(*args)
-        except CallerGoneError:
+        except CallerDisconnectedError:
             raise
         except InvariantError as error:
             self.error = self.error or error
         except Exception as error:
-            self._note_contained(_name_of(function), error)
+            self._record_contained(_name_of(function), error)
             return False
         else:
-            if self._in_a_row_by_what:
-                self._in_a_row_by_what.pop(_name_of(function), None)
+            if self._consecutive_errors_by_name:
+                self._consecutive_errors_by_name.pop(_name_of(function), None)
         return True
 
-    def _note_contained(self, what: str, error: Exception) -> None:
-        self.contained += 1
-        in_a_row = self._in_a_row_by_what.get(what, 0) + 1
-        self._in_a_row_by_what[what] = in_a_row
+    def _record_contained(self, what: str, error: Exception) -> None:
+        self.contained_errors += 1
+        in_a_row = self._consecutive_errors_by_name.get(what, 0) + 1
+        self._consecutive_errors_by_name[what] = in_a_row
         log_event(
             "error_contained",
             what=what,
@@ -125,7 +125,7 @@
             error=repr(error),
             trace=traceback.format_exc(),
         )
-        if in_a_row >= MOST_IN_A_ROW:
+        if in_a_row >= MAX_CONSECUTIVE_ERRORS:
             self.error = self.error or error
 
     async def serve(
@@ -144,14 +144,14 @@
         """
         if await self.contain(handle, source):
             return
-        if source.answer_is_whole:
+        if source.answer_is_complete:
             source.closes = True
         elif source.head_sent:
             source.abort()
         else:
             await source.answer(status=_INTERNAL_ERROR, headers=[_UNKNOWN])
 
-    def check(self) -> None:
+    def raise_if_failed(self) -> None:
         """Raise the error that was kept, if there is one."""
         if self.error is not None:
             raise self.error
--- a/packages/core/src/plankspindle_core/time_limit.py
+++ b/packages/core/src/plankspindle_core/time_limit.py
@@ -37,11 +37,11 @@
     def __init__(self, seconds: float) -> None:
         self._seconds = seconds
         self._limit = timeout_after(seconds)
-        self._ends_at = 0.0
+        self._deadline = 0.0
 
     async def __aenter__(self) -> TimeLimit:
         """Begin."""
-        self._ends_at = monotonic() + self._seconds
+        self._deadline = monotonic() + self._seconds
         await self._limit.__aenter__()
         return self
 
@@ -68,7 +68,7 @@
 
     def _raise_if_late(self, lost: UncaughtTimeoutError) -> None:
         now = monotonic()
-        if now >= self._ends_at:
+        if now >= self._deadline:
             raise TaskTimeout(now) from lost
 
 
--- a/packages/core/tests/http/test_server.py
+++ b/packages/core/tests/http/test_server.py
@@ -18,7 +18,7 @@
 from plankspindle_core.http.fetch import fetch
 from plankspindle_core.http.limits import HttpLimits
 from plankspindle_core.http.server import HttpServer
-from plankspindle_testkit.loopback_network import host_of_run
+from plankspindle_testkit.loopback_network import loopback_host
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable
@@ -43,7 +43,7 @@
     handler: Callable[[ServerExchange], Awaitable[None]] = echo,
     **limits: Any,
 ) -> Any:
-    endpoint = Endpoint(host_of_run(6, 1), next(_PORTS))
+    endpoint = Endpoint(loopback_host(6, 1), next(_PORTS))
 
     async def run() -> Any:
         server = HttpServer(
@@ -163,7 +163,7 @@
 
 def test_nobody_listening_is_a_failed_connection() -> None:
     async def use() -> Any:
-        return await fetch(Endpoint(host_of_run(6, 1), 9), timeout_s=1.0)
+        return await fetch(Endpoint(loopback_host(6, 1), 9), timeout_s=1.0)
 
     assert isinstance(curio.run(use).unwrap_err(), ConnectFailed)
 
@@ -195,7 +195,7 @@
 def test_a_connection_that_hangs_is_given_up_in_time() -> None:
     async def use() -> tuple[bool, bool]:
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        endpoint = Endpoint(host_of_run(6, 1), next(_PORTS))
+        endpoint = Endpoint(loopback_host(6, 1), next(_PORTS))
         listener.bind((endpoint.host, endpoint.port))
         listener.listen(0)
         hung = [ClientConnection(endpoint=endpoint) for _ in range(4)]
@@ -239,7 +239,7 @@
 
 
 def test_a_connection_that_was_reset_already_does_not_end_accepting() -> None:
-    endpoint = Endpoint(host_of_run(6, 1), next(_PORTS))
+    endpoint = Endpoint(loopback_host(6, 1), next(_PORTS))
 
     async def run() -> int:
         server = HttpServer(endpoint=endpoint, limits=HttpLimits(), handler=echo)
--- a/packages/core/tests/http/test_silent_connection.py
+++ b/packages/core/tests/http/test_silent_connection.py
@@ -13,7 +13,7 @@
 from plankspindle_core.http.client_connection import ClientConnection
 from plankspindle_core.http.limits import HttpLimits
 from plankspindle_core.http.server import HttpServer
-from plankspindle_testkit.loopback_network import host_of_run
+from plankspindle_testkit.loopback_network import loopback_host
 
 if TYPE_CHECKING:
     from plankspindle_core.http.server_exchange import ServerExchange
@@ -26,7 +26,7 @@
 @pytest.fixture
 def options() -> dict[int, int]:
     """Give the TCP options of a connection that was made."""
-    endpoint = Endpoint(host_of_run(7, 9), next(_PORTS))
+    endpoint = Endpoint(loopback_host(7, 9), next(_PORTS))
 
     async def handle(source: ServerExchange) -> None:
         await source.answer(status=200)
--- a/packages/core/tests/settings/test_structure.py
+++ b/packages/core/tests/settings/test_structure.py
@@ -11,11 +11,11 @@
 from plankspindle_core.configuration.codec import encode_configuration
 from plankspindle_core.endpoint import Endpoint
 from plankspindle_daemon.settings.reading import parse_settings
-from plankspindle_testkit.builders import VmPlace
+from plankspindle_testkit.builders import VmAddresses
 from plankspindle_testkit.builders import build_configuration
 from plankspindle_testkit.builders import build_settings_mapping
 
-PLACE = VmPlace(name="a", failure_domain="ba-1", host="127.0.0.1", base_port=7000)
+PLACE = VmAddresses(name="a", failure_domain="ba-1", host="127.0.0.1", base_port=7000)
 
 
 def settings_text(**changes: object) -> str:
--- a/packages/core/tests/test_supervisor.py
+++ b/packages/core/tests/test_supervisor.py
@@ -5,7 +5,7 @@
 import curio
 import pytest
 
-from plankspindle_core.supervisor import MOST_IN_A_ROW
+from plankspindle_core.supervisor import MAX_CONSECUTIVE_ERRORS
 from plankspindle_core.supervisor import Supervisor
 
 
@@ -26,26 +26,26 @@
     supervisor = Supervisor()
 
     async def run() -> None:
-        for number in range(10 * MOST_IN_A_ROW):
-            await supervisor.contain(fail_or_work, number % MOST_IN_A_ROW > 0)
+        for number in range(10 * MAX_CONSECUTIVE_ERRORS):
+            await supervisor.contain(fail_or_work, number % MAX_CONSECUTIVE_ERRORS > 0)
 
     curio.run(run)
-    assert supervisor.contained == 10 * (MOST_IN_A_ROW - 1)
-    supervisor.check()
+    assert supervisor.contained_errors == 10 * (MAX_CONSECUTIVE_ERRORS - 1)
+    supervisor.raise_if_failed()
 
 
 def test_a_state_in_which_nothing_works_any_more_stops_the_process() -> None:
     supervisor = Supervisor()
 
     async def run() -> None:
-        for _ in range(MOST_IN_A_ROW):
+        for _ in range(MAX_CONSECUTIVE_ERRORS):
             await supervisor.contain(work)
-            supervisor.check()
+            supervisor.raise_if_failed()
             await supervisor.contain(fail)
 
     curio.run(run)
     with pytest.raises(ZeroDivisionError):
-        supervisor.check()
+        supervisor.raise_if_failed()
 
 
 class Unprintable:
--- a/packages/daemon/src/plankspindle_daemon/admission/caller_directory.py
+++ b/packages/daemon/src/plankspindle_daemon/admission/caller_directory.py
@@ -95,7 +95,7 @@
         if key_digest is None:
             if default is None:
                 return Err(NotAuthenticated("send an API key"))
-            return Ok(self.anonymous_of(default))
+            return Ok(self.anonymous_identity(default))
         name = self._caller_by_digest.get(key_digest)
         if name is None:
             lowest = default or self._configuration.priority_classes[-1]
@@ -122,7 +122,7 @@
         if name is None:
             return Err(KEY_NOT_KNOWN)
         workspace = self._configuration.workspaces_by_name[name]
-        if not _holds(workspace, key_digest):
+        if not _has_key(workspace, key_digest):
             return Err(KEY_NOT_KNOWN)
         return Ok(
             Identity(
@@ -155,7 +155,7 @@
             return None
         return self.identify(service=service, key_digest=digest).unwrap_or(None)
 
-    def admits(self, identity: Identity) -> bool:
+    def is_key_valid(self, identity: Identity) -> bool:
         """Tell whether the key of a request still belongs to who sent it."""
         digest = identity.key_digest
         if digest is None:
@@ -164,10 +164,10 @@
             return self._workspace_by_digest.get(digest) == identity.workspace
         return self._caller_by_digest.get(digest) == identity.caller
 
-    def anonymous_of(self, priority_class: str) -> Identity:
+    def anonymous_identity(self, priority_class: str) -> Identity:
         """Give the identity of a caller without an API key in a declared class."""
         return Identity(caller=None, rank=self._rank_by_class[priority_class])
 
 
-def _holds(workspace: Workspace, key_digest: str) -> bool:
+def _has_key(workspace: Workspace, key_digest: str) -> bool:
     return any(hmac.compare_digest(each, key_digest) for each in workspace.key_sha256s)
--- a/packages/daemon/src/plankspindle_daemon/admission/identity_sealer.py
+++ b/packages/daemon/src/plankspindle_daemon/admission/identity_signer.py
@@ -8,12 +8,12 @@
 
 from plankspindle_core.classes import frozen
 
-VALID_MS = 10_000
+MAX_TOKEN_AGE_MS = 10_000
 """Time for which a sealed identity is accepted; clocks of VMs may differ by seconds."""
 
 
 @frozen(kw_only=True)
-class IdentitySealer:
+class IdentitySigner:
     """Seal who sends a request, so that an entry VM which it is moved to believes it.
 
     Parameters
@@ -24,7 +24,7 @@
 
     keys: list[bytes]
 
-    def seal(self, name: str, *, target: str, wall_ms: int) -> bytes:
+    def sign(self, name: str, *, target: str, wall_ms: int) -> bytes:
         """Seal the name of a caller for one request target.
 
         Parameters
@@ -40,9 +40,9 @@
         mac = hmac.digest(self.keys[0], stated, "sha256")
         return b".".join(map(base64.urlsafe_b64encode, (stated, mac)))
 
-    def open(self, sealed: bytes, *, target: str, wall_ms: int) -> str | None:
+    def verify(self, token: bytes, *, target: str, wall_ms: int) -> str | None:
         """Give the name that an entry VM sealed; None if it did not, or long ago."""
-        stated, _, mac = sealed.partition(b".")
+        stated, _, mac = token.partition(b".")
         try:
             stated, mac = map(base64.urlsafe_b64decode, (stated, mac))
         except ValueError:
@@ -53,6 +53,6 @@
         ):
             return None
         name, wanted, sealed_ms = json.loads(stated)
-        if wanted != target or abs(wall_ms - sealed_ms) > VALID_MS:
+        if wanted != target or abs(wall_ms - sealed_ms) > MAX_TOKEN_AGE_MS:
             return None
         return str(name)
--- a/packages/daemon/src/plankspindle_daemon/admission/class_queue.py
+++ b/packages/daemon/src/plankspindle_daemon/admission/priority_queue.py
@@ -30,7 +30,7 @@
     """Nothing of a lower class could be evicted."""
 
 
-class ClassQueue:
+class PriorityQueue:
     """Tickets waiting for an upstream.
 
     Parameters
--- a/packages/daemon/src/plankspindle_daemon/admission/ticket.py
+++ b/packages/daemon/src/plankspindle_daemon/admission/ticket.py
@@ -27,11 +27,11 @@
         Key of the thing that it concerns; requests with one key do well together.
     bulky : bool
         Whether its answer is large.
-    regions : frozenset of str
+    allowed_regions : frozenset of str
         The only regions where it may run; any region if empty.
-    hold_until : float
+    queue_deadline : float
         Latest time to wait for an upstream, monotonic seconds.
-    excluded : frozenset of str
+    excluded_upstreams : frozenset of str
         Upstreams that already failed it.
     """
 
@@ -42,9 +42,9 @@
     expected_s: float
     affinity: str | None = None
     bulky: bool = False
-    regions: frozenset[str] = frozenset()
-    hold_until: float = float("inf")
-    excluded: frozenset[str] = frozenset()
+    allowed_regions: frozenset[str] = frozenset()
+    queue_deadline: float = float("inf")
+    excluded_upstreams: frozenset[str] = frozenset()
 
     def excluding(self, upstreams: frozenset[str]) -> Ticket:
         """Give the ticket of a retry, which avoids some upstreams.
@@ -55,4 +55,4 @@
         """
         if not upstreams:
             return self
-        return evolve(self, excluded=upstreams, hold_until=float("inf"))
+        return evolve(self, excluded_upstreams=upstreams, queue_deadline=float("inf"))
--- a/packages/daemon/src/plankspindle_daemon/configuration/spread_targets.py
+++ b/packages/daemon/src/plankspindle_daemon/configuration/broadcast_targets.py
@@ -14,40 +14,40 @@
     from collections.abc import Sequence
     from random import Random
 
-RANDOM_TARGETS = 2
+RANDOM_TARGET_COUNT = 2
 
 
-def spread_targets(
+def broadcast_targets(
     *,
-    me: str,
+    own_name: str,
     members: Sequence[str],
     random: Random,
-    random_targets: int = RANDOM_TARGETS,
+    random_target_count: int = RANDOM_TARGET_COUNT,
 ) -> list[str]:
     """Choose whom to tell of a new version.
 
     Parameters
     ----------
-    me : str
+    own_name : str
         Name of this VM.
     members : sequence of str
         All members, sorted, this VM included.
     random : Random
         Source of the random members.
-    random_targets : int
+    random_target_count : int
         Random members besides the two neighbours.
 
     Returns
     -------
     list of str
-        Distinct members other than ``me``.
+        Distinct members other than ``own_name``.
     """
     count = len(members)
     if count < 2:
         return []
-    place = members.index(me)
+    place = members.index(own_name)
     targets = {members[(place + 1) % count], members[(place - 1) % count]}
-    for _ in range(random_targets):
+    for _ in range(random_target_count):
         targets.add(members[random.randrange(count)])
-    targets.discard(me)
+    targets.discard(own_name)
     return sorted(targets)
--- a/packages/daemon/src/plankspindle_daemon/configuration/configuration_reader.py
+++ b/packages/daemon/src/plankspindle_daemon/configuration/configuration_reader.py
@@ -22,7 +22,7 @@
 
 
 @frozen
-class NotReadable:
+class ConfigurationReadFailed:
     """The newest version could not be read; the present one stays in force.
 
     Parameters
@@ -47,7 +47,7 @@
 
     async def read_newer(
         self, version: int, wait_s: float | None = None
-    ) -> Result[AcceptedVersion | None, NotReadable]:
+    ) -> Result[AcceptedVersion | None, ConfigurationReadFailed]:
         """Read the newest version if it is higher than a given one.
 
         Parameters
@@ -74,7 +74,7 @@
 
     async def read_newer(
         self, version: int, wait_s: float | None = None
-    ) -> Result[AcceptedVersion | None, NotReadable]:
+    ) -> Result[AcceptedVersion | None, ConfigurationReadFailed]:
         """Read the newest version if it is higher than a given one.
 
         Parameters
@@ -92,12 +92,12 @@
         del wait_s
         row = await self.platform.read_row(HEAD_KEY)
         if row.is_err():
-            return Err(NotReadable(row.unwrap_err().detail))
+            return Err(ConfigurationReadFailed(row.unwrap_err().detail))
         if row.unwrap().version == ABSENT:
             return Ok(None)
         head = head_row_from_mapping(row.unwrap().value)
         if head.is_err():
-            return Err(NotReadable(head.unwrap_err().detail))
+            return Err(ConfigurationReadFailed(head.unwrap_err().detail))
         if head.unwrap().version <= version:
             return Ok(None)
         content = await self.read_content(head.unwrap().digest)
@@ -105,12 +105,16 @@
             lambda found: AcceptedVersion(head=head.unwrap(), configuration=found)
         )
 
-    async def read_content(self, digest: str) -> Result[Configuration, NotReadable]:
+    async def read_content(
+        self, digest: str
+    ) -> Result[Configuration, ConfigurationReadFailed]:
         """Read and check the content of a version by its digest."""
         content = await self.platform.get_object(object_name(digest))
         if content.is_err():
-            return Err(NotReadable(content.unwrap_err().detail))
+            return Err(ConfigurationReadFailed(content.unwrap_err().detail))
         found = content.unwrap()
         if found is None or content_digest(found) != digest:
-            return Err(NotReadable(f"no object with digest {digest}"))
-        return decode_configuration(found).map_err(lambda e: NotReadable(str(e)))
+            return Err(ConfigurationReadFailed(f"no object with digest {digest}"))
+        return decode_configuration(found).map_err(
+            lambda e: ConfigurationReadFailed(str(e))
+        )
--- a/packages/daemon/src/plankspindle_daemon/configuration/head_watch.py
+++ b/packages/daemon/src/plankspindle_daemon/configuration/head_freshness.py
@@ -4,43 +4,43 @@
 
 from plankspindle_core.classes import define
 
-NEVER_MS = 0xFFFFFFFF
-FRESH_S = 30.0
+NEVER_READ_MS = 0xFFFFFFFF
+MAX_HEAD_AGE_S = 30.0
 """Time without word of the platform after which shifts are no longer applied."""
 
 
 @define(kw_only=True)
-class HeadWatch:
+class HeadFreshness:
     """Age of the knowledge that the version in force is the newest.
 
     Parameters
     ----------
     read_at : float, optional
         When this VM read the head, monotonic seconds.
-    heard_at : float
+    reported_at : float
         When a member read it, as far as heard, monotonic seconds.
     """
 
     read_at: float | None = None
-    heard_at: float = 0.0
+    reported_at: float = 0.0
 
-    def note_read(self, now: float) -> None:
+    def record_read(self, now: float) -> None:
         """Record that this VM read the head."""
         self.read_at = now
 
-    def note_heard(self, ago_ms: int, now: float) -> None:
+    def record_report(self, age_ms: int, now: float) -> None:
         """Record what a member says of the age of its knowledge."""
-        self.heard_at = max(self.heard_at, now - ago_ms / 1000)
+        self.reported_at = max(self.reported_at, now - age_ms / 1000)
 
-    def ago_s(self, now: float) -> float | None:
+    def age_s(self, now: float) -> float | None:
         """Time since anybody read the head, in seconds; None if never."""
-        latest = max(self.read_at or 0.0, self.heard_at)
+        latest = max(self.read_at or 0.0, self.reported_at)
         return now - latest if latest > 0.0 else None
 
-    def ago_ms(self, now: float) -> int:
+    def age_ms(self, now: float) -> int:
         """Time since anybody read the head, as heartbeats carry it."""
-        ago_s = self.ago_s(now)
-        return NEVER_MS if ago_s is None else min(NEVER_MS, int(ago_s * 1000))
+        ago_s = self.age_s(now)
+        return NEVER_READ_MS if ago_s is None else min(NEVER_READ_MS, int(ago_s * 1000))
 
     def is_fresh(self, now: float) -> bool:
         """Tell whether shifts are applied.
@@ -48,5 +48,5 @@
         A failure domain that is cut off cannot learn that a shift was ended, so it
         stops moving requests when its version has not been confirmed for a while.
         """
-        ago_s = self.ago_s(now)
-        return ago_s is not None and ago_s <= FRESH_S
+        ago_s = self.age_s(now)
+        return ago_s is not None and ago_s <= MAX_HEAD_AGE_S
--- a/packages/daemon/src/plankspindle_daemon/configuration/version_exchange.py
+++ b/packages/daemon/src/plankspindle_daemon/configuration/version_exchange.py
@@ -22,20 +22,20 @@
 
 CHUNK_BYTES = 1_000
 MAX_CONTENT_BYTES = 64 * 1024 * 1024
-WINDOW = 16
-RETRY_S = 0.25
-GIVE_UP_S = 5.0
-SILENT_S = 2 * RETRY_S
+WINDOW_CHUNKS = 16
+CHUNK_RETRY_S = 0.25
+FETCH_TIMEOUT_S = 5.0
+SOURCE_TIMEOUT_S = 2 * CHUNK_RETRY_S
 """Silence of a source after which another one that has the version is asked instead.
 
 A VM that the platform turns away learns versions from members alone.
 """
-READERS = 2
-TAKE_OVER_S = 2.0
+READER_COUNT = 2
+READER_TIMEOUT_S = 2.0
 
 
 @frozen(kw_only=True)
-class LearnedContent:
+class FetchedContent:
     """Whole content that was learned from a member and matches its digest."""
 
     version: int
@@ -49,29 +49,29 @@
     detail: str
 
 
-ChunkResult = Result[LearnedContent | list[ContentRequest], DamagedContent]
+ChunkResult = Result[FetchedContent | list[ContentRequest], DamagedContent]
 
 
 @define(kw_only=True)
 class _Fetch:
     source: str
     version: int
-    began_at: float
-    asked_at: float
-    heard_at: float
+    started_at: float
+    requested_at: float
+    received_at: float
     digest: str = ""
     total: int | None = None
-    parts_by_offset: dict[int, bytes] = field(factory=dict)
+    chunks_by_offset: dict[int, bytes] = field(factory=dict)
 
-    def is_fed(self, now: float) -> bool:
+    def is_source_responsive(self, now: float) -> bool:
         """Tell whether its source still answers, or may yet."""
-        return now - self.heard_at < SILENT_S
+        return now - self.received_at < SOURCE_TIMEOUT_S
 
-    def missing(self) -> list[int]:
+    def missing_offsets(self) -> list[int]:
         if self.total is None:
             return [0]
         offsets = range(0, self.total, CHUNK_BYTES)
-        return [each for each in offsets if each not in self.parts_by_offset]
+        return [each for each in offsets if each not in self.chunks_by_offset]
 
 
 @frozen(kw_only=True)
@@ -105,13 +105,13 @@
 
     vm: str
     version: int = 0
-    learned: int = 0
-    damaged: int = 0
+    fetched_count: int = 0
+    damaged_count: int = 0
     _make_content: Callable[[], bytes] = bytes
     _offer: _Offer | None = None
     _fetch: _Fetch | None = None
 
-    def hold(self, version: int, make_content: Callable[[], bytes]) -> None:
+    def serve_version(self, version: int, make_content: Callable[[], bytes]) -> None:
         """Offer a version that is in force.
 
         Parameters
@@ -128,7 +128,7 @@
         if self._fetch is not None and self._fetch.version <= version:
             self._fetch = None
 
-    def is_reader(self, members: Sequence[str], now: float, heard_at: float) -> bool:
+    def is_reader(self, members: Sequence[str], now: float, reported_at: float) -> bool:
         """Tell whether this VM is to poll the platform for a new version.
 
         Parameters
@@ -137,7 +137,7 @@
             All members of the failure domain, sorted.
         now : float
             Monotonic seconds.
-        heard_at : float
+        reported_at : float
             When a member last said that it had read the head, monotonic seconds.
 
         Returns
@@ -145,34 +145,38 @@
         bool
             True for the first members, and for all while no reader was heard.
         """
-        return self.vm in members[:READERS] or now - heard_at > TAKE_OVER_S
+        return self.vm in members[:READER_COUNT] or now - reported_at > READER_TIMEOUT_S
 
-    def hear_version(
+    def handle_announcement(
         self, sender: str, version: int, now: float
     ) -> list[ContentRequest]:
         """Take the version that a member has in force."""
         if version <= self.version:
             return []
         fetch = self._fetch
-        if fetch is not None and fetch.version >= version and fetch.is_fed(now):
+        if (
+            fetch is not None
+            and fetch.version >= version
+            and fetch.is_source_responsive(now)
+        ):
             return []
         self._fetch = _Fetch(
             source=sender,
             version=version,
-            began_at=now,
-            asked_at=now,
-            heard_at=now,
+            started_at=now,
+            requested_at=now,
+            received_at=now,
         )
-        return self._ask(self._fetch, now)
+        return self._request_chunks(self._fetch, now)
 
-    def _ask(self, fetch: _Fetch, now: float) -> list[ContentRequest]:
-        fetch.asked_at = now
+    def _request_chunks(self, fetch: _Fetch, now: float) -> list[ContentRequest]:
+        fetch.requested_at = now
         return [
             ContentRequest(sender=self.vm, version=fetch.version, offset=offset)
-            for offset in fetch.missing()[:WINDOW]
+            for offset in fetch.missing_offsets()[:WINDOW_CHUNKS]
         ]
 
-    def answer(self, request: ContentRequest) -> ContentChunk | None:
+    def chunk_for(self, request: ContentRequest) -> ContentChunk | None:
         """Give a part of the version in force, if it is the one asked for."""
         wrong_place = request.offset % CHUNK_BYTES
         if request.version != self.version or wrong_place or self.version == 0:
@@ -192,7 +196,7 @@
             data=compressed[request.offset : end],
         )
 
-    def take_chunk(self, chunk: ContentChunk, now: float) -> ChunkResult:
+    def handle_chunk(self, chunk: ContentChunk, now: float) -> ChunkResult:
         """Take a part.
 
         Returns
@@ -210,27 +214,27 @@
             fetch.digest = chunk.digest
         if (chunk.total, chunk.digest) != (fetch.total, fetch.digest):
             return Ok([])
-        fetch.heard_at = now
-        known = chunk.offset in fetch.parts_by_offset
-        fetch.parts_by_offset[chunk.offset] = chunk.data
-        if not fetch.missing():
+        fetch.received_at = now
+        known = chunk.offset in fetch.chunks_by_offset
+        fetch.chunks_by_offset[chunk.offset] = chunk.data
+        if not fetch.missing_offsets():
             self._fetch = None
             return self._finish(fetch)
-        window_done = len(fetch.parts_by_offset) % WINDOW in (0, 1)
-        return Ok(self._ask(fetch, now) if window_done and not known else [])
+        window_done = len(fetch.chunks_by_offset) % WINDOW_CHUNKS in (0, 1)
+        return Ok(self._request_chunks(fetch, now) if window_done and not known else [])
 
     def _finish(self, fetch: _Fetch) -> ChunkResult:
-        ordered = sorted(fetch.parts_by_offset.items())
+        ordered = sorted(fetch.chunks_by_offset.items())
         try:
             content = _decompress(b"".join(part for _, part in ordered))
         except zlib.error as error:
-            self.damaged += 1
+            self.damaged_count += 1
             return Err(DamagedContent(str(error)))
         if content_digest(content) != fetch.digest:
-            self.damaged += 1
+            self.damaged_count += 1
             return Err(DamagedContent("the digest does not match"))
-        self.learned += 1
-        return Ok(LearnedContent(version=fetch.version, content=content))
+        self.fetched_count += 1
+        return Ok(FetchedContent(version=fetch.version, content=content))
 
     def tick(self, now: float) -> tuple[str, list[ContentRequest]]:
         """Ask again for parts that did not come.
@@ -243,12 +247,15 @@
         fetch = self._fetch
         if fetch is None:
             return "", []
-        if now - fetch.began_at > GIVE_UP_S and now - fetch.asked_at > RETRY_S:
+        if (
+            now - fetch.started_at > FETCH_TIMEOUT_S
+            and now - fetch.requested_at > CHUNK_RETRY_S
+        ):
             self._fetch = None
             return "", []
-        if now - fetch.asked_at < RETRY_S:
+        if now - fetch.requested_at < CHUNK_RETRY_S:
             return "", []
-        return fetch.source, self._ask(fetch, now)
+        return fetch.source, self._request_chunks(fetch, now)
 
 
 def _decompress(data: bytes) -> bytes:
--- a/packages/daemon/src/plankspindle_daemon/console/commands/run.py
+++ b/packages/daemon/src/plankspindle_daemon/console/commands/run.py
@@ -22,7 +22,7 @@
     found = settings_or_exit(settings)
     log = start_logging(vm=found.vm)
     try:
-        file = SettingsFile(path=settings, reads=read_settings)
+        file = SettingsFile(path=settings, reader=read_settings)
         status = steady_clock.run(run_daemon, found, None, log, file)
     finally:
         stop_logging(log)
--- a/packages/daemon/src/plankspindle_daemon/console/entry_point.py
+++ b/packages/daemon/src/plankspindle_daemon/console/entry_point.py
@@ -8,7 +8,7 @@
 import plankspindle_core.process_start  # noqa: F401
 
 
-def start(module: str) -> int | None:
+def import_and_run(module: str) -> int | None:
     """Import a module and call its ``main``.
 
     A signal to read the settings again needs nothing until they were read, and must
@@ -31,4 +31,4 @@
 
 def main() -> int | None:
     """Run the command ``plankspindled``."""
-    return start("plankspindle_daemon.console.application")
+    return import_and_run("plankspindle_daemon.console.application")
--- a/packages/daemon/src/plankspindle_daemon/control/forecast.py
+++ b/packages/daemon/src/plankspindle_daemon/control/forecast.py
@@ -14,21 +14,21 @@
 from plankspindle_core.configuration.drain import DrainKind
 from plankspindle_core.errors import InvalidDocument
 from plankspindle_daemon.control.intents import ApplyIntent
-from plankspindle_daemon.control.intents import ClassIntent
 from plankspindle_daemon.control.intents import DrainIntent
 from plankspindle_daemon.control.intents import Intent
+from plankspindle_daemon.control.intents import PriorityClassIntent
 from plankspindle_daemon.control.intents import ShiftIntent
 from plankspindle_daemon.control.intents import UndoDrainIntent
 from plankspindle_daemon.control.intents import UndoIntent
 from plankspindle_daemon.control.intents import UndoShiftIntent
-from plankspindle_daemon.digests.digest_book import DigestBook
+from plankspindle_daemon.digests.digest_table import DigestTable
 
 if TYPE_CHECKING:
     from plankspindle_core.configuration.drain import Drain
     from plankspindle_core.configuration.shift import Shift
     from plankspindle_daemon.peer_messages.load_digest import ServiceLoad
 
-KEPT_FREE = 0.1
+RESERVED_CAPACITY_SHARE = 0.1
 """Share of a target's capacity that a plan must leave free."""
 
 Effects = Result[tuple[str, ...], InvalidDocument]
@@ -42,17 +42,17 @@
     ----------
     base : Configuration, optional
         Version that the intent is based on.
-    wanted : Configuration
+    proposed : Configuration
         Version that it leads to.
-    digests : DigestBook
+    digests : DigestTable
         Load as far as heard; hints, which lag.
     now : float
         Monotonic seconds.
     """
 
     base: Configuration | None
-    wanted: Configuration
-    digests: DigestBook
+    proposed: Configuration
+    digests: DigestTable
     now: float
 
     def effects_of(self, intent: Intent) -> Effects:
@@ -72,7 +72,7 @@
                 return Ok((f"shift {shift_id} ends; its requests stay at home",))
             case UndoDrainIntent(drain_id=drain_id):
                 return Ok((f"drain {drain_id} ends; its place gets work again",))
-            case ClassIntent(caller=caller, priority_class=priority_class):
+            case PriorityClassIntent(caller=caller, priority_class=priority_class):
                 return Ok(self._of_class(caller, priority_class))
             case ApplyIntent() | UndoIntent():
                 return Ok(tuple(self._differences()) or ("nothing changes",))
@@ -80,11 +80,11 @@
     def _of_shift(self, shift_id: str, shift: Shift) -> Effects:
         before = self.base.shifts_by_id.get(shift_id) if self.base else None
         was = before.cap_percent if before else 0.0
-        source = self._load(shift.service, self.wanted.domains_of(shift.from_region))
-        target_domains = self.wanted.domains_of(shift.to_region)
+        source = self._load(shift.service, self.proposed.domains_of(shift.from_region))
+        target_domains = self.proposed.domains_of(shift.to_region)
         target = self._load(shift.service, target_domains)
         moving = (source.in_flight + source.queued) * shift.cap_percent / 100
-        added_ms = self.wanted.distances.between_regions_ms * 2
+        added_ms = self.proposed.distances.between_regions_ms * 2
         shortfall = self._shortfall(shift.service, moving, target, target_domains)
         if shortfall:
             return Err(InvalidDocument((shortfall,)))
@@ -107,7 +107,7 @@
         drained = self._drained_domains(drain)
         lines = [f"{drain.kind.value} {drain.name}: {_when(drain)}"]
         shortfalls = []
-        for service in sorted(self.wanted.services_by_name):
+        for service in sorted(self.proposed.services_by_name):
             if drain.kind is DrainKind.UPSTREAM:
                 line, shortfall = self._upstream_effect(service, drain.name)
             elif drain.kind is DrainKind.VM:
@@ -125,14 +125,14 @@
     def _drained_domains(self, drain: Drain) -> set[str]:
         match drain.kind:
             case DrainKind.REGION:
-                return self.wanted.domains_of(drain.name)
+                return self.proposed.domains_of(drain.name)
             case DrainKind.FAILURE_DOMAIN | DrainKind.UPSTREAMS_OF_DOMAIN:
                 return {drain.name}
             case DrainKind.UPSTREAM | DrainKind.VM:
                 return set()
 
     def _upstream_effect(self, service: str, name: str) -> tuple[str, str]:
-        upstream = self.wanted.upstreams_by_name[name]
+        upstream = self.proposed.upstreams_by_name[name]
         if upstream.service != service:
             return "", ""
         domain = {upstream.failure_domain}
@@ -149,7 +149,7 @@
 
     def _place_effect(self, service: str, drained: set[str]) -> tuple[str, str]:
         source = self._load(service, drained)
-        others = set(self.wanted.failure_domains_by_name) - drained
+        others = set(self.proposed.failure_domains_by_name) - drained
         target = self._load(service, others)
         moving = source.in_flight + source.queued
         lost = self._slots(service, drained)
@@ -166,7 +166,9 @@
         return f"{where} can take {free:.0f} of {target.capacity} slots of {service}"
 
     def _free(self, load: ServiceLoad) -> float:
-        return load.capacity * (1 - KEPT_FREE) - load.in_flight - load.queued
+        return (
+            load.capacity * (1 - RESERVED_CAPACITY_SHARE) - load.in_flight - load.queued
+        )
 
     def _shortfall(
         self, service: str, moving: float, target: ServiceLoad, domains: set[str]
@@ -176,7 +178,7 @@
             return f"{service}: no upstream in {', '.join(sorted(domains))}"
         if moving <= max(0.0, free):
             return ""
-        silent = sorted(domains - self.digests.heard_domains(self.now))
+        silent = sorted(domains - self.digests.reporting_domains(self.now))
         unheard = f"; not heard lately: {', '.join(silent)}" if silent else ""
         return (
             f"{service}: about {moving:.1f} requests at once would move, the targets"
@@ -190,19 +192,21 @@
             return []
         return [
             f"{domain}: {self._free_line(service, self._load(service, {domain}), 'it')}"
-            for domain in sorted(set(self.wanted.failure_domains_by_name) - drained)
-            for service in sorted(self.wanted.services_by_name)
+            for domain in sorted(set(self.proposed.failure_domains_by_name) - drained)
+            for service in sorted(self.proposed.services_by_name)
             if self._slots(service, {domain})
         ]
 
     def _cold_lines(self, drained: set[str]) -> list[str]:
         sites = {
             name
-            for name, site in self.wanted.sites_by_name.items()
+            for name, site in self.proposed.sites_by_name.items()
             if site.failure_domain in drained
         }
-        blocks = sum(1 for site in self.wanted.site_by_prefix.values() if site in sites)
-        total = len(self.wanted.site_by_prefix)
+        blocks = sum(
+            1 for site in self.proposed.site_by_prefix.values() if site in sites
+        )
+        total = len(self.proposed.site_by_prefix)
         if not blocks:
             return []
         return [
@@ -213,7 +217,7 @@
     def _drain_time_line(self) -> str:
         operations = [
             operation
-            for service in self.wanted.services_by_name.values()
+            for service in self.proposed.services_by_name.values()
             for operation in service.operations
         ]
         usual_s = max((each.expected_ms for each in operations), default=0) / 1000
@@ -235,7 +239,7 @@
     def _slots(self, service: str, domains: set[str]) -> int:
         return sum(
             upstream.slots
-            for upstream in self.wanted.upstreams_by_name.values()
+            for upstream in self.proposed.upstreams_by_name.values()
             if upstream.service == service and upstream.failure_domain in domains
         )
 
@@ -253,7 +257,7 @@
         found = []
         for title, field in sections.items():
             old: dict[str, Any] = getattr(self.base, field) if self.base else {}
-            new: dict[str, Any] = getattr(self.wanted, field)
+            new: dict[str, Any] = getattr(self.proposed, field)
             added = len(new.keys() - old.keys())
             removed = len(old.keys() - new.keys())
             both = new.keys() & old.keys()
--- a/packages/daemon/src/plankspindle_daemon/control/intents.py
+++ b/packages/daemon/src/plankspindle_daemon/control/intents.py
@@ -74,7 +74,7 @@
 
 
 @frozen(kw_only=True)
-class ClassIntent:
+class PriorityClassIntent:
     """Give a caller another priority class.
 
     Parameters
@@ -110,14 +110,14 @@
     | UndoShiftIntent
     | DrainIntent
     | UndoDrainIntent
-    | ClassIntent
+    | PriorityClassIntent
 )
 _CLASS_BY_KIND: dict[str, type[Any]] = {
     "shift": ShiftIntent,
     "undo-shift": UndoShiftIntent,
     "drain": DrainIntent,
     "undo-drain": UndoDrainIntent,
-    "class": ClassIntent,
+    "class": PriorityClassIntent,
     "undo": UndoIntent,
 }
 _APPLY = "apply"
@@ -211,7 +211,7 @@
             if drain_id not in base.drains_by_id:
                 return _refused(f"drain_id: no drain {drain_id!r}")
             return Ok(evolve(base, drains_by_id=_without(base.drains_by_id, drain_id)))
-        case ClassIntent(caller=name, priority_class=priority_class):
+        case PriorityClassIntent(caller=name, priority_class=priority_class):
             return _change_class(base, name, priority_class)
 
 
--- a/packages/daemon/src/plankspindle_daemon/control/plan.py
+++ b/packages/daemon/src/plankspindle_daemon/control/plan.py
@@ -13,7 +13,7 @@
 from plankspindle_core.classes import frozen
 from plankspindle_core.errors import Unreadable
 
-PLAN_LIFE_S = 900.0
+PLAN_VALIDITY_S = 900.0
 PLANS_PREFIX = "plans/"
 
 
@@ -62,7 +62,7 @@
         """Version that it leads to."""
         return self.base_version + 1
 
-    def accepted(self) -> Plan:
+    def as_accepted(self) -> Plan:
         """Give the plan as it stands once it is in force."""
         return evolve(self, state=PlanState.ACCEPTED)
 
--- a/packages/daemon/src/plankspindle_daemon/control/plan_store.py
+++ b/packages/daemon/src/plankspindle_daemon/control/plan_store.py
@@ -27,13 +27,13 @@
 from plankspindle_daemon.control.intents import ApplyIntent
 from plankspindle_daemon.control.intents import UndoIntent
 from plankspindle_daemon.control.intents import apply_intent
-from plankspindle_daemon.control.plan import PLAN_LIFE_S
+from plankspindle_daemon.control.plan import PLAN_VALIDITY_S
 from plankspindle_daemon.control.plan import PLANS_PREFIX
 from plankspindle_daemon.control.plan import Plan
 from plankspindle_daemon.control.plan import PlanState
 from plankspindle_daemon.control.plan import plan_from_mapping
 from plankspindle_daemon.control.plan import plan_key
-from plankspindle_daemon.digests.digest_book import DigestBook
+from plankspindle_daemon.digests.digest_table import DigestTable
 from plankspindle_daemon.platform.platform_client import PlatformClient
 from plankspindle_daemon.platform.table import ABSENT
 from plankspindle_daemon.platform.table import Row
@@ -45,9 +45,9 @@
     from plankspindle_daemon.control.intents import Intent
     from plankspindle_daemon.platform.errors import ConditionFailed
 
-CONFIRM_TRIES = 3
-MAX_LISTED = 200
-MAX_HISTORY = 50
+MAX_CONFIRM_ATTEMPTS = 3
+MAX_LISTED_PLANS = 200
+MAX_HISTORY_VERSIONS = 50
 
 
 @frozen
@@ -109,26 +109,26 @@
         Reader of versions.
     random : Random
         Source of plan ids.
-    digests : DigestBook
+    digests : DigestTable
         Load of all failure domains, as far as heard.
     """
 
     platform: PlatformClient
     reader: ConfigurationReader
     random: Random
-    digests: DigestBook
+    digests: DigestTable
 
     async def list_all(self) -> Result[list[Plan], NotPossible]:
-        """Read the plans that are kept, at most ``MAX_LISTED``."""
+        """Read the plans that are kept, at most ``MAX_LISTED_PLANS``."""
         page = await self.platform.read_range(
-            prefix=PLANS_PREFIX, after=PLANS_PREFIX, limit=MAX_LISTED
+            prefix=PLANS_PREFIX, after=PLANS_PREFIX, limit=MAX_LISTED_PLANS
         )
         if page.is_err():
             return Err(NotPossible(page.unwrap_err().detail))
         decoded = [plan_from_mapping(row.value) for row in page.unwrap()]
         return Ok([each.unwrap() for each in decoded if each.is_ok()])
 
-    async def make(self, intent: Intent, operator: str) -> Result[Plan, PlanError]:
+    async def create(self, intent: Intent, operator: str) -> Result[Plan, PlanError]:
         """Work out a plan on the newest version and keep it.
 
         Parameters
@@ -160,7 +160,7 @@
             return Err(wanted.unwrap_err())
         effects = Forecast(
             base=configuration,
-            wanted=wanted.unwrap(),
+            proposed=wanted.unwrap(),
             digests=self.digests,
             now=monotonic(),
         ).effects_of(intent)
@@ -174,9 +174,9 @@
             base_row_version=row.unwrap().version,
             digest=content_digest(content),
             effects=effects.unwrap(),
-            expires_at=time.time() + PLAN_LIFE_S,
+            expires_at=time.time() + PLAN_VALIDITY_S,
         )
-        return await self._keep(plan, content)
+        return await self._store(plan, content)
 
     async def _read_base(
         self, row: Row
@@ -204,7 +204,7 @@
         return content.map_err(lambda error: NotPossible(error.detail))
 
     async def history(self) -> Result[list[HeadRow], NotPossible]:
-        """Read the newest accepted versions, at most ``MAX_HISTORY``, in order."""
+        """Read the newest accepted versions, ``MAX_HISTORY_VERSIONS`` at most."""
         row = await self.platform.read_row(HEAD_KEY)
         if row.is_err():
             return Err(NotPossible(row.unwrap_err().detail))
@@ -212,15 +212,15 @@
         newest = head.unwrap().version if head.is_ok() else 0
         page = await self.platform.read_range(
             prefix=LOG_PREFIX,
-            after=log_key(max(0, newest - MAX_HISTORY)),
-            limit=MAX_HISTORY,
+            after=log_key(max(0, newest - MAX_HISTORY_VERSIONS)),
+            limit=MAX_HISTORY_VERSIONS,
         )
         if page.is_err():
             return Err(NotPossible(page.unwrap_err().detail))
         decoded = [head_row_from_mapping(each.value) for each in page.unwrap()]
         return Ok([each.unwrap() for each in decoded if each.is_ok()])
 
-    async def _keep(self, plan: Plan, content: bytes) -> Result[Plan, PlanError]:
+    async def _store(self, plan: Plan, content: bytes) -> Result[Plan, PlanError]:
         stored = await self.platform.put_object(object_name(plan.digest), content)
         if stored.is_err():
             return Err(NotPossible(stored.unwrap_err().detail))
@@ -271,7 +271,7 @@
             two plans with the same base exactly one is accepted, because both demand
             the same version of the head row.
         """
-        for _ in range(CONFIRM_TRIES):
+        for _ in range(MAX_CONFIRM_ATTEMPTS):
             found = await self._read_rows(plan_id)
             if found.is_err():
                 return Err(found.unwrap_err())
@@ -281,7 +281,7 @@
                 return Ok(plan) if refused is None else Err(refused)
             committed = await self._commit(plan, plan_row, operator)
             if committed.is_ok():
-                return Ok(plan.accepted())
+                return Ok(plan.as_accepted())
         return Err(ConfirmationUnknown())
 
     async def _commit(
@@ -299,7 +299,7 @@
             RowWrite(
                 key=plan_row.key,
                 expected_version=plan_row.version,
-                value=plan.accepted().to_mapping(),
+                value=plan.as_accepted().to_mapping(),
             ),
             RowWrite(
                 key=log_key(plan.version),
--- a/packages/daemon/src/plankspindle_daemon/daemon_process.py
+++ b/packages/daemon/src/plankspindle_daemon/daemon_process.py
@@ -18,19 +18,19 @@
 from plankspindle_daemon.daemon import Daemon
 
 if TYPE_CHECKING:
-    from plankspindle_daemon.ports import Ports
+    from plankspindle_daemon.platform_ports import PlatformPorts
     from plankspindle_daemon.settings.daemon_settings import DaemonSettings
     from plankspindle_daemon.settings.settings_file import SettingsFile
 
-MAX_SIGNALS = 64
+MAX_SIGNALS_PER_READ = 64
 EXIT_OK = 0
 EXIT_BROKEN_INVARIANT = 70
-EXIT_ADDRESS = 69
+EXIT_ADDRESS_NOT_USABLE = 69
 
 
 async def run_daemon(
     settings: DaemonSettings,
-    ports: Ports | None = None,
+    ports: PlatformPorts | None = None,
     log: KeyValueDestination | None = None,
     file: SettingsFile | None = None,
 ) -> int:
@@ -40,7 +40,7 @@
     ----------
     settings : DaemonSettings
         Its settings.
-    ports : Ports, optional
+    ports : PlatformPorts, optional
         The ways to the platform; the product's own interface if not given.
     log : KeyValueDestination, optional
         Where events go, to be flushed now and then.
@@ -59,10 +59,10 @@
     except OSError as error:
         log_event("address_not_usable", error=str(error))
         await daemon.close()
-        return EXIT_ADDRESS
+        return EXIT_ADDRESS_NOT_USABLE
     try:
         async with TaskGroup(wait=any) as group:
-            await group.spawn(_follow_signals, daemon)
+            await group.spawn(_handle_signals, daemon)
             await group.spawn(daemon.run)
         _ = group.result
     except InvariantError as error:
@@ -76,7 +76,7 @@
     return EXIT_OK
 
 
-async def _follow_signals(daemon: Daemon) -> None:
+async def _handle_signals(daemon: Daemon) -> None:
     """Wait for signals on a socket that the interpreter writes their numbers to."""
     reader, writer = stdlib_socket.socketpair()
     reader.setblocking(False)
@@ -88,7 +88,7 @@
         reader.fileno(), stdlib_socket.AF_UNIX, stdlib_socket.SOCK_STREAM
     ) as wakeups:
         while True:
-            for number in await wakeups.recv(MAX_SIGNALS):
+            for number in await wakeups.recv(MAX_SIGNALS_PER_READ):
                 if number == signal.SIGHUP:
                     daemon.reload()
                 else:
--- a/packages/daemon/src/plankspindle_daemon/digests/domain_talk.py
+++ b/packages/daemon/src/plankspindle_daemon/digests/digest_exchange.py
@@ -8,9 +8,9 @@
 from attrs import field
 
 from plankspindle_core.classes import define
-from plankspindle_daemon.digests.digest_book import DigestBook
-from plankspindle_daemon.digests.own_digest import one_vm_a_domain
-from plankspindle_daemon.digests.own_digest import sum_up_loads
+from plankspindle_daemon.digests.digest_table import DigestTable
+from plankspindle_daemon.digests.own_digest import one_vm_per_domain
+from plankspindle_daemon.digests.own_digest import sum_loads
 from plankspindle_daemon.headroom.headroom_manager import HeadroomManager
 from plankspindle_daemon.headroom.headroom_targets import choose_targets
 from plankspindle_daemon.membership.membership import Membership
@@ -38,7 +38,7 @@
 
 
 @define(kw_only=True)
-class DomainTalk:
+class DigestExchange:
     """Send load digests, and ask for headroom for shifts.
 
     Parameters
@@ -54,7 +54,7 @@
 
     Attributes
     ----------
-    digests : DigestBook
+    digests : DigestTable
         Loads that were heard, the own one among them.
     """
 
@@ -63,8 +63,8 @@
     random: Random
     membership: Membership
     headroom: HeadroomManager
-    digests: DigestBook = field(factory=DigestBook)
-    _next_digest: float = 0.0
+    digests: DigestTable = field(factory=DigestTable)
+    _next_digest_at: float = 0.0
 
     def own_digest(
         self, dispatchers_by_service: Mapping[str, Dispatcher], version: int, now: float
@@ -84,7 +84,7 @@
             sender=self.vm,
             failure_domain=self.failure_domain,
             configuration_version=version,
-            loads=sum_up_loads(dispatchers_by_service, now),
+            loads=sum_loads(dispatchers_by_service, now),
         )
 
     def tick(
@@ -100,24 +100,24 @@
         """Send digests and ask for headroom, each once a period."""
         return [
             *self._send_digests(dispatchers_by_service, version, now),
-            *self._ask_headroom(shifts, configuration, drained=drained, now=now),
+            *self._request_headroom(shifts, configuration, drained=drained, now=now),
         ]
 
     def _send_digests(
         self, dispatchers_by_service: Mapping[str, Dispatcher], version: int, now: float
     ) -> list[SendToPeer]:
         """Send the own load to one VM of each failure domain, once a period."""
-        if now < self._next_digest:
+        if now < self._next_digest_at:
             return []
         hears_all = self.membership.options.all_domains
-        self._next_digest = now + (STATUS_PERIOD_S if hears_all else DIGEST_PERIOD_S)
+        self._next_digest_at = now + (STATUS_PERIOD_S if hears_all else DIGEST_PERIOD_S)
         digest = self.own_digest(dispatchers_by_service, version, now)
-        self.digests.take(digest, now)
+        self.digests.record(digest, now)
         listed = self.membership.listed_by_name.values()
-        endpoints = one_vm_a_domain(listed, me=self.vm, random=self.random)
+        endpoints = one_vm_per_domain(listed, own_name=self.vm, random=self.random)
         return [SendToPeer(message=digest, to=endpoint) for endpoint in endpoints]
 
-    def _ask_headroom(
+    def _request_headroom(
         self,
         shifts: Iterable[Shift],
         configuration: Configuration | None,
--- a/packages/daemon/src/plankspindle_daemon/digests/digest_book.py
+++ b/packages/daemon/src/plankspindle_daemon/digests/digest_table.py
@@ -9,36 +9,38 @@
 from plankspindle_daemon.peer_messages.load_digest import LoadDigest
 from plankspindle_daemon.peer_messages.load_digest import ServiceLoad
 
-MAX_AGE_S = 30.0
+MAX_DIGEST_AGE_S = 30.0
 MAX_SENDERS = 10_000
 
 
 @frozen(kw_only=True)
-class HeardDigest:
+class ReceivedDigest:
     """A digest and when it came."""
 
     digest: LoadDigest
-    at: float
+    received_at: float
 
 
 @define(kw_only=True)
-class DigestBook:
+class DigestTable:
     """Digests by sender.
 
     Attributes
     ----------
-    heard_by_vm : dict of str to HeardDigest
+    received_by_vm : dict of str to ReceivedDigest
         The newest digest of each VM.
     """
 
-    heard_by_vm: dict[str, HeardDigest] = field(factory=dict)
+    received_by_vm: dict[str, ReceivedDigest] = field(factory=dict)
 
-    def take(self, digest: LoadDigest, now: float) -> None:
+    def record(self, digest: LoadDigest, now: float) -> None:
         """Keep a digest; the oldest goes when there are too many."""
-        self.heard_by_vm.pop(digest.sender, None)
-        if len(self.heard_by_vm) >= MAX_SENDERS:
-            del self.heard_by_vm[next(iter(self.heard_by_vm))]
-        self.heard_by_vm[digest.sender] = HeardDigest(digest=digest, at=now)
+        self.received_by_vm.pop(digest.sender, None)
+        if len(self.received_by_vm) >= MAX_SENDERS:
+            del self.received_by_vm[next(iter(self.received_by_vm))]
+        self.received_by_vm[digest.sender] = ReceivedDigest(
+            digest=digest, received_at=now
+        )
 
     def load_of(self, *, service: str, domains: set[str], now: float) -> ServiceLoad:
         """Add up the load of a service in some failure domains, as far as heard.
@@ -54,8 +56,9 @@
         """
         loads = [
             load
-            for heard in self.heard_by_vm.values()
-            if heard.digest.failure_domain in domains and now - heard.at <= MAX_AGE_S
+            for heard in self.received_by_vm.values()
+            if heard.digest.failure_domain in domains
+            and now - heard.received_at <= MAX_DIGEST_AGE_S
             for load in heard.digest.loads
             if load.service == service
         ]
@@ -66,10 +69,10 @@
             queued=sum(each.queued for each in loads),
         )
 
-    def heard_domains(self, now: float) -> set[str]:
+    def reporting_domains(self, now: float) -> set[str]:
         """Name the failure domains that were heard lately."""
         return {
             heard.digest.failure_domain
-            for heard in self.heard_by_vm.values()
-            if now - heard.at <= MAX_AGE_S
+            for heard in self.received_by_vm.values()
+            if now - heard.received_at <= MAX_DIGEST_AGE_S
         }
--- a/packages/daemon/src/plankspindle_daemon/digests/own_digest.py
+++ b/packages/daemon/src/plankspindle_daemon/digests/own_digest.py
@@ -15,11 +15,11 @@
     from plankspindle_daemon.dispatch.dispatcher import Dispatcher
     from plankspindle_daemon.platform.live_list import ListedVm
 
-MAX_LOADS = 16
+MAX_SERVICES = 16
 """Services in a digest, so that it fits a frame."""
 
 
-def sum_up_loads(
+def sum_loads(
     dispatchers_by_service: Mapping[str, Dispatcher], now: float
 ) -> tuple[ServiceLoad, ...]:
     """Sum up the load of each service on this VM."""
@@ -32,11 +32,11 @@
         )
         for service, dispatcher in sorted(dispatchers_by_service.items())
     ]
-    return tuple(loads[:MAX_LOADS])
+    return tuple(loads[:MAX_SERVICES])
 
 
-def one_vm_a_domain(
-    listed: Iterable[ListedVm], *, me: str, random: Random
+def one_vm_per_domain(
+    listed: Iterable[ListedVm], *, own_name: str, random: Random
 ) -> list[Endpoint]:
     """Choose one other entry VM of each failure domain.
 
@@ -44,7 +44,7 @@
     ----------
     listed : iterable of ListedVm
         The platform's list.
-    me : str
+    own_name : str
         Name of this VM.
     random : Random
         Source of the choices.
@@ -56,7 +56,7 @@
     """
     endpoints_by_domain: dict[str, list[Endpoint]] = {}
     for vm in listed:
-        if vm.peer_endpoint is not None and vm.name != me:
+        if vm.peer_endpoint is not None and vm.name != own_name:
             endpoints = endpoints_by_domain.setdefault(vm.failure_domain, [])
             endpoints.append(vm.peer_endpoint)
     return [
--- a/packages/daemon/src/plankspindle_daemon/dispatch/dispatcher.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/dispatcher.py
@@ -10,8 +10,8 @@
 
 from plankspindle_core.classes import define
 from plankspindle_core.invariants import check_invariant
-from plankspindle_daemon.admission.class_queue import ClassQueue
-from plankspindle_daemon.admission.class_queue import Queued
+from plankspindle_daemon.admission.priority_queue import PriorityQueue
+from plankspindle_daemon.admission.priority_queue import Queued
 from plankspindle_daemon.dispatch.cached_capacity import CachedCapacity
 from plankspindle_daemon.dispatch.completion_recorder import CompletionRecorder
 from plankspindle_daemon.dispatch.completion_recorder import miss_operation
@@ -71,7 +71,7 @@
         Incarnation number of this process.
     random : Random
         Source of tie-breaks and jitter.
-    queue : ClassQueue
+    queue : PriorityQueue
         Waiting requests.
     probe_period_s : float
         Period at which load reports are read, in seconds.
@@ -91,7 +91,7 @@
     vm: str
     incarnation: int
     random: Random
-    queue: ClassQueue
+    queue: PriorityQueue
     probe_period_s: float
     upstreams_by_name: dict[str, UpstreamState] = Factory(dict)
     placement: Placement | None = None
@@ -208,7 +208,7 @@
 
     def could_place_elsewhere(self, ticket: Ticket, upstream: str, now: float) -> bool:
         """Return whether another upstream could accept a request now."""
-        excluding = ticket.excluding(ticket.excluded | {upstream})
+        excluding = ticket.excluding(ticket.excluded_upstreams | {upstream})
         fits = self._can_start(excluding, now)
         if self.placement is None:
             return any(map(fits, self.upstreams_by_name.values()))
@@ -225,7 +225,7 @@
         )
 
     def _may_run_at(self, ticket: Ticket, upstream: UpstreamState) -> bool:
-        if upstream.name in ticket.excluded:
+        if upstream.name in ticket.excluded_upstreams:
             return False
         return self.placement is None or self.placement.is_permitted(upstream, ticket)
 
@@ -328,7 +328,7 @@
     def _give_up_reason(self, ticket: Ticket, now: float) -> RejectReason | None:
         if self._is_late(ticket, now):
             return RejectReason.TOO_LATE
-        return RejectReason.BUSY if now >= ticket.hold_until else None
+        return RejectReason.BUSY if now >= ticket.queue_deadline else None
 
     def _would_be_late(self, ticket: Ticket, now: float) -> bool:
         wait = self.durations.estimated_wait_s(
--- a/packages/daemon/src/plankspindle_daemon/dispatch/placement.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/placement.py
@@ -145,7 +145,7 @@
             return best
         planned_local = self._is_planned_local(ticket)
         wants_spill = self.is_local(best.upstream) is not planned_local
-        if ticket.excluded:
+        if ticket.excluded_upstreams:
             return evolve(best, spills=wants_spill)
         spills = self.limiter.should_spill(now, wants_spill=wants_spill)
         if spills == wants_spill or (spills and ticket.bulky):
@@ -227,7 +227,10 @@
         A retry does not wait, since a rejected retry has an unknown outcome; nor does a
         request that would be rejected before the token arrives.
         """
-        if query.ticket.excluded or query.ticket.hold_until < query.now + TOKEN_WAIT_S:
+        if (
+            query.ticket.excluded_upstreams
+            or query.ticket.queue_deadline < query.now + TOKEN_WAIT_S
+        ):
             return None
         for upstream in upstreams:
             limiter = upstream.fleet_limiter()
@@ -245,7 +248,10 @@
     def is_permitted(self, upstream: UpstreamState, ticket: Ticket) -> bool:
         """Return whether a request may run in the region of an upstream."""
         domain = upstream.upstream.failure_domain
-        return not ticket.regions or self.distances.region_of(domain) in ticket.regions
+        return (
+            not ticket.allowed_regions
+            or self.distances.region_of(domain) in ticket.allowed_regions
+        )
 
     def available_at(
         self, ticket: Ticket, by_name: Mapping[str, UpstreamState], now: float
@@ -333,7 +339,7 @@
             rank = 0
             for name in names:
                 upstream = by_name.get(name)
-                if upstream is None or name in ticket.excluded:
+                if upstream is None or name in ticket.excluded_upstreams:
                     continue
                 if not upstream.is_usable(now):
                     continue
@@ -351,8 +357,8 @@
         """
         assert ticket.affinity is not None
         ranking = self.rankings.get(ticket.affinity)
-        if ticket.regions:
-            return self._permitted(ranking, ticket.regions)
+        if ticket.allowed_regions:
+            return self._permitted(ranking, ticket.allowed_regions)
         if self.plan.is_remote(ranking.hash_fraction) and not ticket.bulky:
             return ranking.remote, ranking.local
         return ranking.local, ranking.remote
--- a/packages/daemon/src/plankspindle_daemon/dispatch/placement_explanation.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/placement_explanation.py
@@ -107,7 +107,7 @@
         """Return why the preferred upstream was not chosen."""
         if preferred is None:
             return None
-        if preferred.name in ticket.excluded:
+        if preferred.name in ticket.excluded_upstreams:
             return "an earlier attempt failed there"
         if not preferred.is_usable(now):
             return preferred.status(now).value
--- a/packages/daemon/src/plankspindle_daemon/dispatch/rejections.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/rejections.py
@@ -8,7 +8,7 @@
 from attrs import Factory
 
 from plankspindle_core.classes import define
-from plankspindle_daemon.admission.class_queue import ClassQueue
+from plankspindle_daemon.admission.priority_queue import PriorityQueue
 from plankspindle_daemon.dispatch.duration_averages import DurationAverages
 from plankspindle_daemon.dispatch.messages import Reject
 from plankspindle_daemon.dispatch.messages import RejectReason
@@ -29,7 +29,7 @@
 
     Parameters
     ----------
-    queue : ClassQueue
+    queue : PriorityQueue
         Waiting requests.
     durations : DurationAverages
         Average durations of the service's operations.
@@ -42,7 +42,7 @@
         Rejections so far.
     """
 
-    queue: ClassQueue
+    queue: PriorityQueue
     durations: DurationAverages
     random: Random
     count_by_reason: dict[RejectReason, int] = Factory(dict)
--- a/packages/daemon/src/plankspindle_daemon/dispatch/service_registry.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/service_registry.py
@@ -11,7 +11,7 @@
 from plankspindle_core.classes import define
 from plankspindle_core.configuration.configuration import Configuration
 from plankspindle_core.configuration.service import SlotSharing
-from plankspindle_daemon.admission.class_queue import ClassQueue
+from plankspindle_daemon.admission.priority_queue import PriorityQueue
 from plankspindle_daemon.dispatch.cold_rate_limits import ColdRateLimits
 from plankspindle_daemon.dispatch.dispatcher import Dispatcher
 from plankspindle_daemon.dispatch.domain_distances import DomainDistances
@@ -19,7 +19,7 @@
 from plankspindle_daemon.dispatch.placement import Placement
 from plankspindle_daemon.dispatch.region_capacity import RegionCapacity
 from plankspindle_daemon.dispatch.spillover_limiter import SpilloverLimiter
-from plankspindle_daemon.drains.drain_clock import DrainClock
+from plankspindle_daemon.drains.drain_schedule import DrainSchedule
 from plankspindle_daemon.membership.membership import Membership
 from plankspindle_daemon.platform.listed_upstreams import ListedUpstreams
 from plankspindle_daemon.platform.live_list import VmKind
@@ -76,7 +76,7 @@
         Rate limits over all entry VMs that upstreams stated.
     statements : StatementStore
         What upstreams stated about themselves.
-    drains : DrainClock
+    drains : DrainSchedule
         Drains of the current configuration.
     dispatchers_by_service, budgets_by_service : dict
         Dispatcher and retry budget of each service.
@@ -92,7 +92,7 @@
     listed: ListedUpstreams = Factory(ListedUpstreams)
     fleet_limiter_by_incarnation: dict[str, FleetLimiter] = Factory(dict)
     statements: StatementStore = Factory(StatementStore)
-    drains: DrainClock = Factory(DrainClock)
+    drains: DrainSchedule = Factory(DrainSchedule)
     limiter: SpilloverLimiter = Factory(SpilloverLimiter)
     distances: DomainDistances = field(init=False)
     region_capacity: RegionCapacity = field(init=False)
@@ -138,7 +138,7 @@
             before.failure_domains_by_name != configuration.failure_domains_by_name
         ):
             self._invalidate_regions()
-        self.drains.use(configuration, now)
+        self.drains.apply_configuration(configuration, now)
         self._apply_services(configuration, now)
         self._apply_listed_state(self.listed.by_name.values(), now=now, wall=wall)
 
@@ -161,7 +161,7 @@
             Seconds since the Unix epoch.
         """
         listed = tuple(map(self.listed.newest_of, vms))
-        self.listed.take(listed, now)
+        self.listed.apply(listed, now)
         if self._configuration is not None:
             self._apply_services(self._configuration, now)
         self._apply_listed_state(listed, now=now, wall=wall)
@@ -280,7 +280,7 @@
             vm=self.vm,
             incarnation=self.incarnation,
             random=random,
-            queue=ClassQueue(limit=service.queue_limit),
+            queue=PriorityQueue(limit=service.queue_limit),
             probe_period_s=self.probe_period_s,
             shares_slots=not reported,
             fleet_limiter_by_incarnation=self.fleet_limiter_by_incarnation,
--- a/packages/daemon/src/plankspindle_daemon/dispatch/slot_lending.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/slot_lending.py
@@ -8,7 +8,7 @@
 from attrs import field
 
 from plankspindle_core.classes import define
-from plankspindle_daemon.admission.class_queue import ClassQueue
+from plankspindle_daemon.admission.priority_queue import PriorityQueue
 from plankspindle_daemon.dispatch.messages import GrantSlots
 from plankspindle_daemon.dispatch.messages import RequestSlots
 from plankspindle_daemon.peer_messages.slot_messages import SlotGrant
@@ -37,14 +37,14 @@
         Incarnation number of this process.
     random : Random
         Source of choices and request ids.
-    queue : ClassQueue
+    queue : PriorityQueue
         Waiting requests of this VM; nothing is lent while there are any.
     """
 
     vm: str
     incarnation: int
     random: Random
-    queue: ClassQueue
+    queue: PriorityQueue
     _pending_by_id: dict[int, tuple[str, float, float]] = field(factory=dict)
     _next_request_at: float = 0.0
 
@@ -59,7 +59,7 @@
             each
             for each in upstreams_by_name.values()
             if not each.rejects_new_work(now)
-            and each.name not in waiting.excluded
+            and each.name not in waiting.excluded_upstreams
             and each.health.usable_share(each.upstream.slots, now)
             > each.usable_slots(now)
         ]
--- a/packages/daemon/src/plankspindle_daemon/drains/drain_clock.py
+++ b/packages/daemon/src/plankspindle_daemon/drains/drain_schedule.py
@@ -17,11 +17,11 @@
 LINGER_S = float(LOOKUP_TTL_S)
 """Time for which a drained place still takes work, until kept look-ups run out."""
 
-_OF_UPSTREAMS_ONLY = (DrainKind.UPSTREAM, DrainKind.UPSTREAMS_OF_DOMAIN)
+_UPSTREAM_KINDS = (DrainKind.UPSTREAM, DrainKind.UPSTREAMS_OF_DOMAIN)
 
 
 @define(kw_only=True)
-class DrainClock:
+class DrainSchedule:
     """Drains of the version in force, and since when they are.
 
     Notes
@@ -32,18 +32,18 @@
     """
 
     configuration: Configuration | None = None
-    _since_by_id: dict[str, float] = field(factory=dict)
+    _started_at_by_id: dict[str, float] = field(factory=dict)
 
     @property
     def has_drains(self) -> bool:
         """Whether the version in force drains anything."""
         return self.configuration is not None and bool(self.configuration.drains_by_id)
 
-    def use(self, configuration: Configuration, now: float) -> None:
+    def apply_configuration(self, configuration: Configuration, now: float) -> None:
         """Take the drains of another version; known ones keep their time."""
         self.configuration = configuration
-        self._since_by_id = {
-            drain_id: self._since_by_id.get(drain_id, now)
+        self._started_at_by_id = {
+            drain_id: self._started_at_by_id.get(drain_id, now)
             for drain_id in configuration.drains_by_id
         }
 
@@ -73,7 +73,7 @@
         )
         return self._earliest(drains, now=now, wall=wall)
 
-    def vm_refuses_from(
+    def vm_refusal_at(
         self, name: str, failure_domain: str, *, now: float, wall: float
     ) -> float | None:
         """Give the time from which an entry VM refuses requests, or None."""
@@ -93,15 +93,15 @@
         self, drains: dict[str, Drain], *, now: float, wall: float
     ) -> float | None:
         times = [
-            self._time_of(drain_id, drain, now=now, wall=wall)
+            self._start_of(drain_id, drain, now=now, wall=wall)
             for drain_id, drain in drains.items()
         ]
         return min(times, default=None)
 
-    def _time_of(
+    def _start_of(
         self, drain_id: str, drain: Drain, *, now: float, wall: float
     ) -> float:
         if drain.at is not None:
             return now + (drain.at - wall)
-        linger = 0.0 if drain.kind in _OF_UPSTREAMS_ONLY else LINGER_S
-        return self._since_by_id[drain_id] + linger
+        linger = 0.0 if drain.kind in _UPSTREAM_KINDS else LINGER_S
+        return self._started_at_by_id[drain_id] + linger
--- a/packages/daemon/src/plankspindle_daemon/drains/vm_drains.py
+++ b/packages/daemon/src/plankspindle_daemon/drains/vm_drains.py
@@ -7,7 +7,7 @@
 from attrs import Factory
 
 from plankspindle_core.classes import define
-from plankspindle_daemon.drains.drain_clock import DrainClock
+from plankspindle_daemon.drains.drain_schedule import DrainSchedule
 from plankspindle_daemon.membership.membership import Membership
 from plankspindle_daemon.platform.live_list import VmKind
 
@@ -23,7 +23,7 @@
     ----------
     vm, failure_domain : str
         This VM and where it stands.
-    clock : DrainClock
+    schedule : DrainSchedule
         Drains of the version in force.
     membership : Membership
         The entry VMs.
@@ -32,18 +32,18 @@
     ----------
     refuses_from : float or None
         When this VM refuses requests, monotonic seconds.
-    drained : set of str
+    drained_vms : set of str
         Entry VMs that look-ups must not name.
     """
 
     vm: str
     failure_domain: str
-    clock: DrainClock
+    schedule: DrainSchedule
     membership: Membership
     refuses_from: float | None = None
-    drained: set[str] = Factory(set)
+    drained_vms: set[str] = Factory(set)
 
-    def apply(self, *, now: float, wall: float) -> None:
+    def refresh(self, *, now: float, wall: float) -> None:
         """Work out anew who is drained.
 
         Parameters
@@ -53,25 +53,25 @@
         wall : float
             Seconds since the Unix epoch.
         """
-        configuration = self.clock.configuration
+        configuration = self.schedule.configuration
         if configuration is None:
             return
-        self.refuses_from = self.clock.vm_refuses_from(
+        self.refuses_from = self.schedule.vm_refusal_at(
             self.vm, self.failure_domain, now=now, wall=wall
         )
-        self.drained = set()
+        self.drained_vms = set()
         if configuration.drains_by_id:
-            self.drained = {
+            self.drained_vms = {
                 name
-                for name, domain in self._places()
-                if self.clock.vm_is_drained(name, domain, wall=wall)
+                for name, domain in self._entry_vms()
+                if self.schedule.vm_is_drained(name, domain, wall=wall)
             }
 
     def refuses(self, now: float) -> bool:
         """Tell whether this VM refuses requests by now."""
         return self.refuses_from is not None and now >= self.refuses_from
 
-    def _places(self) -> Iterator[tuple[str, str]]:
+    def _entry_vms(self) -> Iterator[tuple[str, str]]:
         members = set(self.membership.member_names())
         for listed in self.membership.listed_by_name.values():
             if listed.kind is VmKind.ENTRY and listed.name not in members:
--- a/packages/daemon/src/plankspindle_daemon/exchange/caller_request.py
+++ b/packages/daemon/src/plankspindle_daemon/exchange/caller_request.py
@@ -198,7 +198,7 @@
 
 
 def headers_for_peer(
-    headers: HeaderList, *, grant: int | None, sealed_identity: bytes | None
+    headers: HeaderList, *, grant: int | None, signed_identity: bytes | None
 ) -> HeaderList:
     """Return the headers to forward to another entry VM, without framing and deadline.
 
@@ -208,7 +208,7 @@
         Headers of the caller.
     grant : int, optional
         Headroom grant under which the request is forwarded.
-    sealed_identity : bytes, optional
+    signed_identity : bytes, optional
         Sealed identity of the caller. It replaces the API key, which is not forwarded.
     """
     dropped = {b"host", b"expect", b"content-length", header_names.DEADLINE}
@@ -216,8 +216,8 @@
     dropped |= {header_names.AUTHORIZATION, header_names.IDENTITY}
     kept = [each for each in without_hop_by_hop(headers) if each[0] not in dropped]
     kept.append((header_names.FORWARDED, b"1"))
-    if sealed_identity is not None:
-        kept.append((header_names.IDENTITY, sealed_identity))
+    if signed_identity is not None:
+        kept.append((header_names.IDENTITY, signed_identity))
     if grant is not None:
         kept.append((header_names.GRANT, str(grant).encode()))
     return kept
--- a/packages/daemon/src/plankspindle_daemon/exchange/exchange.py
+++ b/packages/daemon/src/plankspindle_daemon/exchange/exchange.py
@@ -116,7 +116,7 @@
 
     def begin(self) -> list[ExchangeEffect]:
         """Return the first step."""
-        self.budget.note_fresh()
+        self.budget.record_fresh()
         match self.route:
             case ToUpstream():
                 return [FindUpstream(self.excluded)]
@@ -219,14 +219,14 @@
         decision = RetryDecided(
             taken=denial is None,
             because=denial or reason,
-            budget_left=self.budget.left,
+            budget_left=self.budget.remaining,
         )
         self.retry_decisions.append(decision)
         return decision.taken
 
     def can_retry(self) -> bool:
         """Return whether another attempt would be made if this one failed now."""
-        return self._retry_denial() is None and self.budget.has_room()
+        return self._retry_denial() is None and self.budget.can_retry()
 
     def _use_budget(self) -> bool:
         """Use the retry budget, if needed; return whether a retry is within it.
@@ -236,7 +236,7 @@
         """
         was_sent = self.attempts > 0
         has_few_failures = len(self.excluded) <= MAX_FREE_CONNECT_FAILURES
-        return self.budget.take() if was_sent or not has_few_failures else True
+        return self.budget.acquire() if was_sent or not has_few_failures else True
 
     def _retry_denial(self) -> str | None:
         """Return why no other attempt may be made; None if one may."""
--- a/packages/daemon/src/plankspindle_daemon/exchange/messages.py
+++ b/packages/daemon/src/plankspindle_daemon/exchange/messages.py
@@ -206,7 +206,7 @@
 class ReleaseUpstream:
     """Release the slot; any outcome but ANSWERED closes the connection."""
 
-    verdict: AttemptOutcome
+    outcome: AttemptOutcome
 
 
 @frozen
@@ -222,7 +222,7 @@
     ----------
     status : int
         Status code.
-    outcome : Outcome
+    outcome : RequestResult
         Whether the request was run, as far as it is known.
     reason : str
         Reason code.
--- a/packages/daemon/src/plankspindle_daemon/exchange/request_admission.py
+++ b/packages/daemon/src/plankspindle_daemon/exchange/request_admission.py
@@ -71,7 +71,7 @@
     def refuse_if_revoked(self) -> Refused | None:
         """Refuse a request whose key was revoked while it waited."""
         directory = self.node.directory
-        if directory is None or directory.admits(self.identity):
+        if directory is None or directory.is_key_valid(self.identity):
             return None
         return Refused(reason=KEY_REVOKED, retry_after_s=0.0, status=_UNAUTHORIZED)
 
--- a/packages/daemon/src/plankspindle_daemon/exchange/request_runner.py
+++ b/packages/daemon/src/plankspindle_daemon/exchange/request_runner.py
@@ -13,7 +13,7 @@
 from plankspindle_core.http.headers import as_header_list
 from plankspindle_core.http.headers import find_header
 from plankspindle_core.http.headers import without_hop_by_hop
-from plankspindle_core.http.server_exchange import CallerGoneError
+from plankspindle_core.http.server_exchange import CallerDisconnectedError
 from plankspindle_core.outcome import Outcome
 from plankspindle_core.steady_clock import monotonic
 from plankspindle_core.time_limit import TimeLimit
@@ -128,10 +128,10 @@
         watcher = None
         source = self.outgoing.source
         if not self.exchange.policy.recorded and source.body_is_read:
-            watcher = await source.watch_caller()
+            watcher = await source.monitor_caller()
         try:
             await self._run_with_deadline()
-        except CallerGoneError:
+        except CallerDisconnectedError:
             await self._perform_all(self.exchange.handle(CallerDisconnected()))
         finally:
             await self._release()
@@ -183,7 +183,7 @@
                 return await self._relay(self._attempt)
             case WithdrawTicket():
                 await self.dispatch.withdraw(self.service, self.ticket)
-            case ReleaseUpstream(verdict=outcome):
+            case ReleaseUpstream(outcome=outcome):
                 await self._end_attempt(outcome)
             case ClosePeerConnection():
                 await self._end_attempt(AttemptOutcome.CANCELLED)
@@ -331,7 +331,7 @@
             return
         try:
             await send()
-        except CallerGoneError:
+        except CallerDisconnectedError:
             if not self.exchange.policy.recorded:
                 raise
             self._caller_gone = True
--- a/packages/daemon/src/plankspindle_daemon/leaving/leave.py
+++ b/packages/daemon/src/plankspindle_daemon/leaving/leave.py
@@ -20,21 +20,21 @@
     """Look-ups no longer name this VM, but requests are still accepted."""
 
     until: float
-    give_up_at: float
+    deadline: float
 
 
 @frozen
 class Finishing:
     """Running requests finish; new ones are refused as not run."""
 
-    give_up_at: float
+    deadline: float
 
 
 @frozen
 class Left:
     """Nothing runs any more; the process may exit."""
 
-    cut_off: int
+    aborted_requests: int
 
 
 LeaveState = Serving | Lingering | Finishing | Left
@@ -89,12 +89,12 @@
             the bound.
         """
         match self.state:
-            case Lingering(until=until, give_up_at=give_up_at) if now >= until:
+            case Lingering(until=until, deadline=give_up_at) if now >= until:
                 self.state = Finishing(give_up_at)
             case _:
                 pass
         match self.state:
-            case Finishing(give_up_at=give_up_at) if running == 0 or now >= give_up_at:
+            case Finishing(deadline=give_up_at) if running == 0 or now >= give_up_at:
                 self.state = Left(running)
             case _:
                 pass
--- a/packages/daemon/src/plankspindle_daemon/listeners/caller_listener.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/caller_listener.py
@@ -17,7 +17,7 @@
 from plankspindle_daemon.exchange.answers import refuse
 from plankspindle_daemon.exchange.caller_request import BadRequest
 from plankspindle_daemon.node.node import Node
-from plankspindle_daemon.observability.metrics import RequestMetrics
+from plankspindle_daemon.observability.request_metrics import RequestMetrics
 from plankspindle_daemon.settings.daemon_settings import DaemonSettings
 
 if TYPE_CHECKING:
@@ -25,13 +25,13 @@
     from plankspindle_core.http.server_exchange import ServerExchange
     from plankspindle_daemon.steering.steering import LookupAnswer
 
-from plankspindle_daemon.listeners.request_reader import NO_CONFIGURATION
+from plankspindle_daemon.listeners.request_resolver import NO_CONFIGURATION
 from plankspindle_daemon.listeners.request_service import RequestService
 
 MAX_IDS_PER_CALL = 100
-_COUNT = re.compile(r"[0-9]{1,3}")
+_COUNT_PATTERN = re.compile(r"[0-9]{1,3}")
 """Digits enough for the most ids; ``int`` reads other digits, too, or none so long."""
-_JSON: HeaderList = [(b"content-type", b"application/json")]
+_JSON_HEADERS: HeaderList = [(b"content-type", b"application/json")]
 
 
 @define(kw_only=True)
@@ -74,7 +74,7 @@
         """Stop listening; what still runs is cut off."""
         await self._server.close()
 
-    def note_leaving(self) -> None:
+    def disable_keep_alive(self) -> None:
         """Answer with ``Connection: close`` from now on."""
         self._server.leaving = True
 
@@ -95,12 +95,12 @@
 
     async def handle(self, source: ServerExchange) -> None:
         """Answer one request."""
-        if self.requests.reader.serves(source):
+        if self.requests.resolver.handles(source):
             await self.requests.serve(source)
         else:
-            await self._serve_own(source)
+            await self._serve_builtin(source)
 
-    async def _serve_own(self, source: ServerExchange) -> None:
+    async def _serve_builtin(self, source: ServerExchange) -> None:
         path, _, query = source.target.partition("?")
         if path == "/v1/lookup" and source.method == "GET":
             await self._look_up(source, query)
@@ -130,21 +130,21 @@
         except ValueError:
             await refuse(source, BadRequest(400, f"{address!r} is not an IP number"))
             return
-        self.metrics.note_lookup()
+        self.metrics.record_lookup()
         body = json.dumps(lookup_mapping(service, answer)).encode()
         age = (b"cache-control", f"max-age={answer.ttl_s}".encode())
-        await source.answer(status=200, headers=[*_JSON, age], body=body)
+        await source.answer(status=200, headers=[*_JSON_HEADERS, age], body=body)
 
     async def _issue_ids(self, source: ServerExchange, query: str) -> None:
         await source.read_body(max_bytes=0)
         text = parse_qs(query).get("count", ["1"])[0]
-        if not _COUNT.fullmatch(text) or not 0 < int(text) <= MAX_IDS_PER_CALL:
+        if not _COUNT_PATTERN.fullmatch(text) or not 0 < int(text) <= MAX_IDS_PER_CALL:
             reason = f"count is a number from 1 to {MAX_IDS_PER_CALL}"
             await refuse(source, BadRequest(400, reason))
             return
         ids = [self.node.ids.issue(monotonic()) for _ in range(int(text))]
         body = json.dumps({"request_ids": ids}).encode()
-        headers = [*_JSON, (b"cache-control", b"no-store")]
+        headers = [*_JSON_HEADERS, (b"cache-control", b"no-store")]
         await source.answer(status=201, headers=headers, body=body)
 
 
--- a/packages/daemon/src/plankspindle_daemon/listeners/idempotency_gate.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/idempotency_checker.py
@@ -35,7 +35,7 @@
     from plankspindle_daemon.exchange.caller_request import CallerRequest
     from plankspindle_daemon.idempotency.fingerprint import Fingerprint
 
-CLAIM_LIFE_S = 7 * 24 * 3600.0
+CLAIM_TTL_S = 7 * 24 * 3600.0
 CLAIM_TIMEOUT_S = 3.0
 """Longest wait for a claim, so that an outage is answered while a caller waits."""
 
@@ -55,7 +55,7 @@
 
 
 @frozen(kw_only=True)
-class Answered:
+class AnsweredWithoutRunning:
     """The request does not run; the caller is told why.
 
     Parameters
@@ -70,11 +70,11 @@
     answer: AnswerCaller
 
 
-Decision = RunRequest | SendHome | Answered
+Decision = RunRequest | SendHome | AnsweredWithoutRunning
 
 
 @define(kw_only=True)
-class IdempotencyGate:
+class IdempotencyChecker:
     """Bring ids and keys of requests together with what is known of them.
 
     Parameters
@@ -120,14 +120,14 @@
             fingerprint=fingerprint,
             nonce=f"{self.random.getrandbits(128):032x}",
             state=ClaimState.CLAIMED,
-            expires_at=time.time() + CLAIM_LIFE_S,
+            expires_at=time.time() + CLAIM_TTL_S,
         )
         verdict = await self.claims.claim(
             key=key, claim_row=row, deadline=min(deadline, now + CLAIM_TIMEOUT_S)
         )
         if isinstance(verdict, RunIt):
             return RunRequest(ClaimRecord(store=self.claims, key=key, row=row))
-        return Answered(verdict=verdict, answer=answer_for(verdict))
+        return AnsweredWithoutRunning(verdict=verdict, answer=answer_for(verdict))
 
     def _decide_id(
         self,
@@ -143,7 +143,7 @@
             home = self.node.membership.caller_endpoint_of(verdict.vm)
             if home is not None and verdict.vm != self.node.vm:
                 return SendHome(home)
-        return Answered(verdict=verdict, answer=answer_for(verdict))
+        return AnsweredWithoutRunning(verdict=verdict, answer=answer_for(verdict))
 
 
 def answer_for(verdict: IdVerdict | ClaimVerdict) -> AnswerCaller:
--- a/packages/daemon/src/plankspindle_daemon/listeners/metrics_listener.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/metrics_listener.py
@@ -18,8 +18,8 @@
     from plankspindle_core.http.server_exchange import ServerExchange
 
 METRICS_PATH = "/metrics"
-TEXT_FORM = [(b"content-type", b"text/plain; version=0.0.4")]
-MAX_COLLECTORS = 8
+METRICS_HEADERS = [(b"content-type", b"text/plain; version=0.0.4")]
+MAX_CONNECTIONS = 8
 
 
 @define(kw_only=True)
@@ -44,7 +44,7 @@
     def __attrs_post_init__(self) -> None:
         self._server = HttpServer(
             endpoint=self.endpoint,
-            limits=HttpLimits(max_connections=MAX_COLLECTORS),
+            limits=HttpLimits(max_connections=MAX_CONNECTIONS),
             handler=partial(self.supervisor.serve, self.handle),
         )
 
@@ -63,4 +63,4 @@
             await source.answer(status=404)
             return
         rendered = self.metrics.render()
-        await source.answer(status=200, headers=TEXT_FORM, body=rendered)
+        await source.answer(status=200, headers=METRICS_HEADERS, body=rendered)
--- a/packages/daemon/src/plankspindle_daemon/listeners/operator_listener.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/operator_listener.py
@@ -23,7 +23,7 @@
 from plankspindle_core.steady_clock import monotonic
 from plankspindle_core.supervisor import Supervisor
 from plankspindle_daemon.listeners.json_answer import answer_json
-from plankspindle_daemon.listeners.metrics_listener import TEXT_FORM
+from plankspindle_daemon.listeners.metrics_listener import METRICS_HEADERS
 from plankspindle_daemon.node.node import Node
 from plankspindle_daemon.observability.metrics_reader import MetricsReader
 from plankspindle_daemon.observability.state_dump import dump_node
@@ -35,12 +35,12 @@
     from plankspindle_core.http.server_exchange import ServerExchange
 
 MAX_INTENT_BYTES = 64 * 1024 * 1024
-_IDENTITY = re.compile("[0-9a-fA-F]{16}")
-_LIFT = "/v1/quarantine/lift"
-_PLANS = "/v1/plans"
+_IDENTITY_PATTERN = re.compile("[0-9a-fA-F]{16}")
+_LIFT_PATH = "/v1/quarantine/lift"
+_PLANS_PATH = "/v1/plans"
 
 
-class PlanPort(Protocol):
+class PlanHandler(Protocol):
     """Answers requests for plans."""
 
     async def show_history(self, source: ServerExchange) -> None:
@@ -64,26 +64,26 @@
         Keeper of unexpected errors.
     node : Node
         The decisions.
-    make_plans : callable
+    make_plan_handler : callable
         Makes what serves plans, once an operator asks for one: importing it takes a
         tenth of the start of a process.
     metrics : MetricsReader
         Metrics.
-    dump_shells : callable
+    dump_runtime : callable
         Gives the counts of the shells.
-    tell : callable
+    send : callable
         Sends messages to other entry VMs.
     """
 
     settings: DaemonSettings
     supervisor: Supervisor
     node: Node
-    make_plans: Callable[[], PlanPort]
+    make_plan_handler: Callable[[], PlanHandler]
     metrics: MetricsReader
-    dump_shells: Callable[[], dict[str, Any]]
-    tell: Callable[[list[SendToPeer]], Awaitable[None]]
+    dump_runtime: Callable[[], dict[str, Any]]
+    send: Callable[[list[SendToPeer]], Awaitable[None]]
     _server: HttpServer = field(init=False)
-    _plans: PlanPort | None = None
+    _plans: PlanHandler | None = None
 
     def __attrs_post_init__(self) -> None:
         self._server = HttpServer(
@@ -103,7 +103,7 @@
     async def handle(self, source: ServerExchange) -> None:
         """Answer one request."""
         body = await source.read_body(max_bytes=MAX_INTENT_BYTES)
-        if not self._may(source):
+        if not self._is_authorized(source):
             await answer_json(
                 source, 401, {"error": "send the operator token as bearer"}
             )
@@ -115,24 +115,24 @@
                     source, 200, {"readiness": self.node.readiness().value}
                 )
             case "GET", "/state":
-                dumped = {**dump_node(self.node, monotonic()), **self.dump_shells()}
+                dumped = {**dump_node(self.node, monotonic()), **self.dump_runtime()}
                 await answer_json(source, 200, dumped)
             case "GET", "/metrics":
                 rendered = self.metrics.render()
-                await source.answer(status=200, headers=TEXT_FORM, body=rendered)
+                await source.answer(status=200, headers=METRICS_HEADERS, body=rendered)
             case "GET", "/v1/configuration":
                 await self._show_configuration(source)
             case "GET", "/v1/history":
-                await self._plan_service().show_history(source)
-            case "POST", path if path == _LIFT:
+                await self._plan_handler().show_history(source)
+            case "POST", path if path == _LIFT_PATH:
                 await self._lift_quarantine(source, body or b"")
-            case method, _ if path.startswith(_PLANS):
-                plan_id = path.removeprefix(_PLANS).strip("/")
-                await self._plan_service().serve(source, method, plan_id, body or b"")
+            case method, _ if path.startswith(_PLANS_PATH):
+                plan_id = path.removeprefix(_PLANS_PATH).strip("/")
+                await self._plan_handler().serve(source, method, plan_id, body or b"")
             case _:
                 await answer_json(source, 404, {"error": "no such resource"})
 
-    def _may(self, source: ServerExchange) -> bool:
+    def _is_authorized(self, source: ServerExchange) -> bool:
         token = self.settings.secrets.operator_token
         if token is None:
             return True
@@ -151,29 +151,29 @@
         await answer_json(source, 200, shown)
 
     async def _lift_quarantine(self, source: ServerExchange, body: bytes) -> None:
-        identity = _identity_in(body)
+        identity = _parse_identity(body)
         if identity is None:
             advice = 'send {"identity": "16 hexadecimal digits"}'
             await answer_json(source, 400, {"error": advice})
             return
         held = identity in self.node.quarantine.quarantine_list.entries_by_identity
-        await self.tell(self.node.quarantine.lift(identity, monotonic()))
+        await self.send(self.node.quarantine.lift(identity, monotonic()))
         if held:
             await answer_json(source, 200, {"lifted": identity_text(identity)})
         else:
             advice = "no such request is held back; plankspindle quarantine lists them"
             await answer_json(source, 404, {"error": advice})
 
-    def _plan_service(self) -> PlanPort:
+    def _plan_handler(self) -> PlanHandler:
         if self._plans is None:
-            self._plans = self.make_plans()
+            self._plans = self.make_plan_handler()
         return self._plans
 
 
-def _identity_in(body: bytes) -> int | None:
+def _parse_identity(body: bytes) -> int | None:
     """Read the request that a quarantine is to be lifted of."""
     try:
         text = read_json(body)["identity"]
-        return int(text, 16) if _IDENTITY.fullmatch(text) else None
+        return int(text, 16) if _IDENTITY_PATTERN.fullmatch(text) else None
     except (ValueError, KeyError, TypeError):
         return None
--- a/packages/daemon/src/plankspindle_daemon/listeners/outgoing_headers.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/outgoing_headers.py
@@ -8,7 +8,7 @@
 from plankspindle_core.classes import frozen
 from plankspindle_core.http.server_exchange import ServerExchange
 from plankspindle_daemon.admission.caller_directory import Identity
-from plankspindle_daemon.admission.identity_sealer import IdentitySealer
+from plankspindle_daemon.admission.identity_signer import IdentitySigner
 from plankspindle_daemon.exchange.caller_request import headers_for_peer
 from plankspindle_daemon.exchange.caller_request import headers_for_upstream
 from plankspindle_daemon.exchange.caller_request import passthrough_headers
@@ -32,14 +32,14 @@
         Who the caller is.
     dialect : Dialect
         Names of headers.
-    sealer : IdentitySealer
+    signer : IdentitySigner
         What vouches for the identity to other entry VMs.
     """
 
     source: ServerExchange
     identity: Identity
     dialect: Dialect
-    sealer: IdentitySealer
+    signer: IdentitySigner
 
     def for_upstream(self) -> HeaderList:
         """Give the headers for an upstream, without framing and deadline."""
@@ -59,11 +59,11 @@
         """Give the headers for another entry VM, sealed if the route leads to one."""
         sealed = None
         if self.identity.caller is not None and isinstance(route, ToPeer):
-            sealed = self.sealer.seal(
+            sealed = self.signer.sign(
                 self.identity.caller,
                 target=self.source.target,
                 wall_ms=int(time.time() * 1000),
             )
         return headers_for_peer(
-            self.source.headers, grant=grant, sealed_identity=sealed
+            self.source.headers, grant=grant, signed_identity=sealed
         )
--- a/packages/daemon/src/plankspindle_daemon/listeners/plan_service.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/plan_service.py
@@ -101,7 +101,7 @@
         if intent.is_err():
             await _answer_error(source, intent.unwrap_err())
             return
-        made = await self.plans.make(intent.unwrap(), operator)
+        made = await self.plans.create(intent.unwrap(), operator)
         if made.is_err():
             await _answer_error(source, made.unwrap_err())
             return
--- a/packages/daemon/src/plankspindle_daemon/listeners/request_terms.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/request_deadline.py
@@ -11,32 +11,32 @@
 if TYPE_CHECKING:
     from plankspindle_core.configuration.operation import Operation
     from plankspindle_daemon.exchange.caller_request import CallerRequest
-    from plankspindle_daemon.listeners.request_reader import AskedFor
+    from plankspindle_daemon.listeners.request_resolver import ResolvedRequest
 
 
 @frozen(kw_only=True)
-class RequestTerms:
+class RequestDeadline:
     """The deadline of a request, on both clocks.
 
     Parameters
     ----------
-    deadline_ms : int
+    wall_ms : int
         Milliseconds since the Unix epoch, as other entry VMs and upstreams are told.
-    deadline : float
+    monotonic_s : float
         Monotonic seconds.
     """
 
-    deadline_ms: int
-    deadline: float
+    wall_ms: int
+    monotonic_s: float
 
     @classmethod
-    def of(cls, asked: AskedFor) -> RequestTerms:
+    def for_request(cls, resolved: ResolvedRequest) -> RequestDeadline:
         """Work out the deadline of a request that comes now."""
         wall_ms = int(time.time() * 1000)
-        deadline_ms = _deadline_ms(asked.request, asked.operation, wall_ms)
+        deadline_ms = _deadline_ms(resolved.request, resolved.operation, wall_ms)
         return cls(
-            deadline_ms=deadline_ms,
-            deadline=monotonic() + (deadline_ms - wall_ms) / 1000,
+            wall_ms=deadline_ms,
+            monotonic_s=monotonic() + (deadline_ms - wall_ms) / 1000,
         )
 
 
--- a/packages/daemon/src/plankspindle_daemon/listeners/request_reader.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/request_resolver.py
@@ -20,7 +20,7 @@
 from plankspindle_daemon.admission.api_key import read_key_digest
 from plankspindle_daemon.admission.caller_directory import CallerDirectory
 from plankspindle_daemon.admission.caller_directory import Identity
-from plankspindle_daemon.admission.identity_sealer import IdentitySealer
+from plankspindle_daemon.admission.identity_signer import IdentitySigner
 from plankspindle_daemon.exchange.caller_request import SERVICES_PREFIX
 from plankspindle_daemon.exchange.caller_request import BadRequest
 from plankspindle_daemon.exchange.caller_request import CallerRequest
@@ -34,19 +34,19 @@
     from plankspindle_core.configuration.configuration import Configuration
     from plankspindle_core.configuration.route import Route
     from plankspindle_core.http.server_exchange import ServerExchange
-    from plankspindle_daemon.routes.route_table import FoundRoute
+    from plankspindle_daemon.routes.route_table import RouteMatch
 
 KEYS_STALE = "API keys cannot be checked: there is no word of the platform"
-NO_COMMON_HOME = "route and workspace have no home region in common"
+NO_COMMON_HOME_REGION = "route and workspace have no home region in common"
 NO_CONFIGURATION = "no configuration is in force yet"
-EXPECTED_SHARE = 0.5
+EXPECTED_DURATION_SHARE = 0.5
 """Part of the wanted time that a request is taken to need before any was answered."""
-HOLD_SHARE = 0.22
+MAX_QUEUE_WAIT_SHARE = 0.22
 """Part of the wanted time of an answer for which a request may wait for an upstream."""
 
 
 @frozen(kw_only=True)
-class AskedFor:
+class ResolvedRequest:
     """A request that may be served, and the contract it is served by.
 
     Parameters
@@ -55,9 +55,9 @@
         What the caller asks for.
     identity : Identity
         Who asks.
-    operation : Operation
+    operation : MatrixOperation
         Contract of the request.
-    name : str
+    operation_name : str
         Name under which its duration is averaged.
     max_attempts : int
         Most upstreams that it may be sent to.
@@ -65,9 +65,9 @@
         Key of the thing that it concerns.
     bulky : bool
         Whether its answer is large.
-    regions : frozenset of str
+    allowed_regions : frozenset of str
         The only regions where it may run; any region if empty.
-    hold_until : float
+    queue_deadline : float
         Latest time to wait for an upstream, monotonic seconds.
     target_s : float, optional
         Time within which an answer is wanted, in seconds.
@@ -76,17 +76,17 @@
     request: CallerRequest
     identity: Identity
     operation: Operation
-    name: str
+    operation_name: str
     max_attempts: int = MAX_ATTEMPTS
     affinity: str | None = None
     bulky: bool = False
-    regions: frozenset[str] = frozenset()
-    hold_until: float = float("inf")
+    allowed_regions: frozenset[str] = frozenset()
+    queue_deadline: float = float("inf")
     target_s: float | None = None
 
 
 @define(kw_only=True)
-class RequestReader:
+class RequestResolver:
     """Read requests against the configuration in force.
 
     Parameters
@@ -95,7 +95,7 @@
         Keeper of the configuration.
     dialect : Dialect
         Names of headers.
-    sealer : IdentitySealer
+    signer : IdentitySigner
         What knows the identities that other entry VMs have sealed.
     max_key_age_s : float
         Time without word of the platform after which keys are no longer accepted, in
@@ -104,16 +104,16 @@
 
     node: Node
     dialect: Dialect
-    sealer: IdentitySealer
+    signer: IdentitySigner
     max_key_age_s: float = math.inf
 
-    def serves(self, source: ServerExchange) -> bool:
+    def handles(self, source: ServerExchange) -> bool:
         """Tell whether a request is for a service, by its path or by a route."""
         if source.target.startswith(SERVICES_PREFIX):
             return True
-        return self.node.routes.knows_host(_host_of(source))
+        return self.node.routes.has_host(_host_of(source))
 
-    def read(self, source: ServerExchange) -> Result[AskedFor, BadRequest]:
+    def resolve(self, source: ServerExchange) -> Result[ResolvedRequest, BadRequest]:
         """Find out what a request asks for.
 
         Returns
@@ -125,12 +125,12 @@
         if configuration is None:
             return Err(BadRequest(503, NO_CONFIGURATION))
         if source.target.startswith(SERVICES_PREFIX):
-            return self._read_of_service(source, configuration)
-        return self._read_routed(source)
+            return self._resolve_service_request(source, configuration)
+        return self._resolve_routed_request(source)
 
-    def _read_of_service(
+    def _resolve_service_request(
         self, source: ServerExchange, configuration: Configuration
-    ) -> Result[AskedFor, BadRequest]:
+    ) -> Result[ResolvedRequest, BadRequest]:
         parsed = parse_caller_request(source.target, source.headers)
         if parsed.is_err():
             return Err(parsed.unwrap_err())
@@ -143,19 +143,19 @@
         service = configuration.services_by_name[request.service]
         operation = service.operation_for(source.method, request.path)
         return Ok(
-            AskedFor(
+            ResolvedRequest(
                 request=request,
                 identity=identified.unwrap(),
                 operation=operation,
-                name=f"{operation.method} {operation.path_prefix}",
-                regions=identified.unwrap().home_regions,
+                operation_name=f"{operation.method} {operation.path_prefix}",
+                allowed_regions=identified.unwrap().home_regions,
             )
         )
 
     def _identify(
         self, source: ServerExchange, request: CallerRequest
     ) -> Result[Identity, BadRequest]:
-        sealed = self._sealed_identity(source, request)
+        sealed = self._signed_identity(source, request)
         if sealed is not None:
             return Ok(sealed)
         digest = read_key_digest(source.headers, scheme=self.dialect.key_scheme)
@@ -173,14 +173,14 @@
             return Err(BadRequest(401, "Idempotency-Key needs an API key"))
         return Ok(identity)
 
-    def _sealed_identity(
+    def _signed_identity(
         self, source: ServerExchange, request: CallerRequest
     ) -> Identity | None:
         """Give the identity that the entry VM which moved a request here has sealed."""
         sealed = find_header(source.headers, header_names.IDENTITY)
         if sealed is None or not request.forwarded:
             return None
-        name = self.sealer.open(
+        name = self.signer.verify(
             sealed, target=source.target, wall_ms=int(time.time() * 1000)
         )
         if name is None:
@@ -191,7 +191,7 @@
         """Tell whether keys may have been revoked without word of it coming here."""
         if math.isinf(self.max_key_age_s):
             return False
-        ago_s = self.node.versions.head.ago_s(monotonic())
+        ago_s = self.node.versions.head.age_s(monotonic())
         return ago_s is None or ago_s > self.max_key_age_s
 
     @property
@@ -200,7 +200,9 @@
         assert directory is not None
         return directory
 
-    def _read_routed(self, source: ServerExchange) -> Result[AskedFor, BadRequest]:
+    def _resolve_routed_request(
+        self, source: ServerExchange
+    ) -> Result[ResolvedRequest, BadRequest]:
         path = source.target.partition("?")[0]
         found = self.node.routes.find(host=_host_of(source), path=path)
         if found is None:
@@ -212,10 +214,12 @@
         if identified.is_err():
             return Err(identified.unwrap_err())
         identity = identified.unwrap()
-        regions = _common_homes(found.route, identity)
+        regions = _allowed_regions(found.route, identity)
         if regions is None:
-            return Err(BadRequest(503, NO_COMMON_HOME))
-        return Ok(self._asked_for(source, found, identity, regions, timeout.unwrap()))
+            return Err(BadRequest(503, NO_COMMON_HOME_REGION))
+        return Ok(
+            self._resolved_request(source, found, identity, regions, timeout.unwrap())
+        )
 
     def _identify_routed(
         self, source: ServerExchange, route: Route
@@ -227,7 +231,7 @@
         A public route serves a caller without a good key like one without a key.
         """
         directory = self._directory
-        anonymous = directory.anonymous_of(route.priority_class)
+        anonymous = directory.anonymous_identity(route.priority_class)
         if not directory.has_workspaces:
             return Ok(anonymous)
         digest = read_key_digest(source.headers, scheme=self.dialect.key_scheme)
@@ -251,40 +255,40 @@
             return Err(BadRequest(503, KEYS_STALE))
         return Err(BadRequest(401, identified.unwrap_err().reason))
 
-    def _asked_for(
+    def _resolved_request(
         self,
         source: ServerExchange,
-        found: FoundRoute,
+        found: RouteMatch,
         identity: Identity,
         regions: frozenset[str],
         timeout_ms: int | None,
-    ) -> AskedFor:
+    ) -> ResolvedRequest:
         route = found.route
         operation = Operation(
             method=source.method,
             path_prefix=route.path_prefix,
             idempotent=route.idempotent,
             timeout_ms=route.timeout_ms,
-            expected_ms=int(EXPECTED_SHARE * route.target_ms),
+            expected_ms=int(EXPECTED_DURATION_SHARE * route.target_ms),
         )
         key = self.dialect.affinity_key(source.headers) if route.affinity else None
-        return AskedFor(
+        return ResolvedRequest(
             request=CallerRequest(
                 service=found.service, path=source.target, timeout_ms=timeout_ms
             ),
             identity=identity,
             operation=operation,
-            name=found.name,
+            operation_name=found.name,
             max_attempts=route.max_attempts,
             affinity=None if key is None else f"{route.path_prefix}{key}",
             bulky=route.bulky,
-            regions=regions,
-            hold_until=monotonic() + HOLD_SHARE * route.target_ms / 1000,
+            allowed_regions=regions,
+            queue_deadline=monotonic() + MAX_QUEUE_WAIT_SHARE * route.target_ms / 1000,
             target_s=route.target_ms / 1000,
         )
 
 
-def _common_homes(route: Route, identity: Identity) -> frozenset[str] | None:
+def _allowed_regions(route: Route, identity: Identity) -> frozenset[str] | None:
     """Give the regions that may serve a request; None if there is none.
 
     An empty set allows any region.
--- a/packages/daemon/src/plankspindle_daemon/listeners/request_service.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/request_service.py
@@ -12,7 +12,7 @@
 from plankspindle_core.classes import define
 from plankspindle_core.classes import frozen
 from plankspindle_core.http.headers import find_header
-from plankspindle_core.http.server_exchange import CallerGoneError
+from plankspindle_core.http.server_exchange import CallerDisconnectedError
 from plankspindle_core.outcome import Outcome
 from plankspindle_core.steady_clock import monotonic
 from plankspindle_daemon.admission.ticket import Ticket
@@ -35,19 +35,19 @@
 from plankspindle_daemon.idempotency.fingerprint import fingerprint_of
 from plankspindle_daemon.idempotency.request_records import NoRecord
 from plankspindle_daemon.idempotency.request_records import RequestRecord
-from plankspindle_daemon.listeners.idempotency_gate import Answered
-from plankspindle_daemon.listeners.idempotency_gate import IdempotencyGate
-from plankspindle_daemon.listeners.idempotency_gate import RunRequest
-from plankspindle_daemon.listeners.idempotency_gate import SendHome
+from plankspindle_daemon.listeners.idempotency_checker import AnsweredWithoutRunning
+from plankspindle_daemon.listeners.idempotency_checker import IdempotencyChecker
+from plankspindle_daemon.listeners.idempotency_checker import RunRequest
+from plankspindle_daemon.listeners.idempotency_checker import SendHome
 from plankspindle_daemon.listeners.outgoing_headers import OutgoingHeaders
-from plankspindle_daemon.listeners.request_reader import AskedFor
-from plankspindle_daemon.listeners.request_reader import RequestReader
-from plankspindle_daemon.listeners.request_terms import RequestTerms
+from plankspindle_daemon.listeners.request_deadline import RequestDeadline
+from plankspindle_daemon.listeners.request_resolver import RequestResolver
+from plankspindle_daemon.listeners.request_resolver import ResolvedRequest
 from plankspindle_daemon.node.dispatch_runner import DispatchRunner
 from plankspindle_daemon.node.node import Node
 from plankspindle_daemon.node.pause_monitor import PauseMonitor
 from plankspindle_daemon.node.quota_runner import QuotaRunner
-from plankspindle_daemon.observability.metrics import RequestMetrics
+from plankspindle_daemon.observability.request_metrics import RequestMetrics
 from plankspindle_daemon.quarantine.crash_detector import CrashDetector
 from plankspindle_daemon.quarantine.request_identity import RequestIdentity
 from plankspindle_daemon.settings.daemon_settings import DaemonSettings
@@ -68,7 +68,7 @@
 
 
 @frozen(kw_only=True)
-class _Way:
+class _RoutingDecision:
     route: Route
     record: RequestRecord = field(factory=NoRecord)
     grant: int | None = None
@@ -91,19 +91,19 @@
         Where tokens of workspaces' quotas come from.
     pool : ConnectionPool
         Connections to upstreams and other entry VMs.
-    gate : IdempotencyGate
+    idempotency_checker : IdempotencyChecker
         What decides on ids and keys.
     metrics : RequestMetrics
         Counters.
-    reader : RequestReader
+    resolver : RequestResolver
         What finds out what requests ask for.
     dialect : Dialect
         Names of headers.
     trace_log : RequestTraceLog
         What logs requests when they end.
-    crashes : CrashDetector
+    crash_detector : CrashDetector
         What learns of upstreams that end under requests.
-    pauses : PauseMonitor
+    pause_monitor : PauseMonitor
         What notices that the process stood still.
 
     Attributes
@@ -117,13 +117,13 @@
     dispatch: DispatchRunner
     quotas: QuotaRunner
     pool: ConnectionPool
-    gate: IdempotencyGate
+    idempotency_checker: IdempotencyChecker
     metrics: RequestMetrics
-    reader: RequestReader
+    resolver: RequestResolver
     dialect: Dialect
     trace_log: RequestTraceLog
-    crashes: CrashDetector
-    pauses: PauseMonitor
+    crash_detector: CrashDetector
+    pause_monitor: PauseMonitor
     running: int = 0
     _ticket_numbers: count[int] = field(factory=count)
 
@@ -131,12 +131,12 @@
         """Serve one request, whatever becomes of it."""
         self.running += 1
         story = self.trace_log.start_trace(
-            self._id_of(source), now=monotonic(), wall=time.time()
+            self._caller_request_id(source), now=monotonic(), wall=time.time()
         )
         try:
-            await self.pauses.check()
+            await self.pause_monitor.check()
             await self._serve_counted(source, story)
-        except CallerGoneError:
+        except CallerDisconnectedError:
             raise
         except Exception:
             story.complete(Completion.UNKNOWN, reason="internal-error")
@@ -144,23 +144,23 @@
         finally:
             self.running -= 1
             now = monotonic()
-            self.metrics.note_request(story, now)
+            self.metrics.record_request(story, now)
             self.trace_log.log_completed(story, now)
 
-    def _id_of(self, source: ServerExchange) -> bytes | None:
+    def _caller_request_id(self, source: ServerExchange) -> bytes | None:
         """Read the id that the caller gave its request, if it gave one."""
         name = self.dialect.echo or header_names.REQUEST_ID
         return find_header(source.headers, name)
 
     async def _serve_counted(self, source: ServerExchange, trace: RequestTrace) -> None:
-        read = self.reader.read(source)
+        read = self.resolver.resolve(source)
         if read.is_err():
             scheme = self.dialect.key_scheme
             await refuse(source, read.unwrap_err(), trace, key_scheme=scheme)
             return
         asked = read.unwrap()
-        terms = RequestTerms.of(asked)
-        self._note_routed(trace, asked, terms)
+        terms = RequestDeadline.for_request(asked)
+        self._record_routing(trace, asked, terms)
         if not self.node.accepts(monotonic()):
             await answer_with_outcome(source, _not_run("leaving"), self.dialect, trace)
             return
@@ -179,22 +179,22 @@
         finally:
             self.node.headroom.end_moved(request.service, request.grant)
 
-    def _note_routed(
-        self, trace: RequestTrace, asked: AskedFor, terms: RequestTerms
+    def _record_routing(
+        self, trace: RequestTrace, resolved: ResolvedRequest, deadline: RequestDeadline
     ) -> None:
         now = monotonic()
         adopted_at = self.node.adopted_at
-        trace.service = asked.request.service
-        trace.rank = asked.identity.rank
-        trace.target_s = asked.target_s
+        trace.service = resolved.request.service
+        trace.rank = resolved.identity.rank
+        trace.target_s = resolved.target_s
         step = Routed(
-            service=asked.request.service,
-            operation=asked.name,
-            rank=asked.identity.rank,
-            idempotent=asked.operation.idempotent,
-            max_attempts=asked.max_attempts,
-            timeout_ms=asked.operation.timeout_ms,
-            left_ms=round((terms.deadline - now) * 1000),
+            service=resolved.request.service,
+            operation=resolved.operation_name,
+            rank=resolved.identity.rank,
+            idempotent=resolved.operation.idempotent,
+            max_attempts=resolved.max_attempts,
+            timeout_ms=resolved.operation.timeout_ms,
+            left_ms=round((deadline.monotonic_s - now) * 1000),
             version=self.node.version,
             version_age_ms=(
                 None if adopted_at is None else round((now - adopted_at) * 1000)
@@ -205,85 +205,91 @@
     async def _serve_body(
         self,
         source: ServerExchange,
-        asked: AskedFor,
-        terms: RequestTerms,
+        resolved: ResolvedRequest,
+        deadline: RequestDeadline,
         trace: RequestTrace,
     ) -> None:
         limit = self.settings.requests.max_keyed_body_bytes
         body = await read_request_body(source, max_bytes=limit)
-        if body is None or (body.content is None and _is_marked(asked.request)):
+        if body is None or (body.content is None and _has_id_or_key(resolved.request)):
             too_long = BadRequest(413, f"send at most {limit} bytes")
             await refuse(source, too_long, trace)
             return
-        held = self._choose_move(source, asked.request, asked.identity)
+        held = self._acquire_move_grant(source, resolved.request, resolved.identity)
         try:
-            way = await self._find_way(source, asked, body, terms, held, trace)
-            if isinstance(way, Answered):
+            way = await self._choose_route(
+                source, resolved, body, deadline, held, trace
+            )
+            if isinstance(way, AnsweredWithoutRunning):
                 await self._answer(source, way, trace)
             else:
-                await self._make_runner(source, asked, body, terms, way, trace).run()
+                await self._make_runner(
+                    source, resolved, body, deadline, way, trace
+                ).run()
         finally:
             if held is not None:
                 self.node.headroom.grants.release(held)
 
-    async def _find_way(
+    async def _choose_route(
         self,
         source: ServerExchange,
-        asked: AskedFor,
+        resolved: ResolvedRequest,
         body: RequestBody,
-        terms: RequestTerms,
-        held: HeldGrant | None,
+        deadline: RequestDeadline,
+        held_grant: HeldGrant | None,
         trace: RequestTrace,
-    ) -> _Way | Answered:
+    ) -> _RoutingDecision | AnsweredWithoutRunning:
         """Decide where the request goes, and what must learn how it ends."""
-        request = asked.request
-        if held is not None:
+        request = resolved.request
+        if held_grant is not None:
             may_stay = request.idempotency_key is None
-            route = ToPeer(endpoint=held.endpoint, may_run_locally=may_stay)
-            return _Way(route=route, grant=held.request_id)
-        if not _is_marked(request):
-            return _Way(route=ToUpstream())
+            route = ToPeer(endpoint=held_grant.endpoint, may_run_locally=may_stay)
+            return _RoutingDecision(route=route, grant=held_grant.request_id)
+        if not _has_id_or_key(request):
+            return _RoutingDecision(route=ToUpstream())
         fingerprint = fingerprint_of(
-            caller=asked.identity.caller,
+            caller=resolved.identity.caller,
             service=request.service,
             method=source.method,
             path=request.path,
             body=body.content or b"",
         )
-        decided = await self.gate.decide(
-            request, fingerprint, deadline=terms.deadline, now=monotonic()
+        decided = await self.idempotency_checker.decide(
+            request, fingerprint, deadline=deadline.monotonic_s, now=monotonic()
+        )
+        verdict = (
+            decided.verdict if isinstance(decided, AnsweredWithoutRunning) else decided
         )
-        verdict = decided.verdict if isinstance(decided, Answered) else decided
         claim = ClaimDecided(
             verdict=type(verdict).__name__,
-            platform_available=self.gate.claims.platform.calls.available,
+            platform_available=self.idempotency_checker.claims.platform.calls.available,
         )
         trace.record(claim, monotonic())
         match decided:
             case RunRequest(record=record):
-                return _Way(route=ToUpstream(), record=record)
+                return _RoutingDecision(route=ToUpstream(), record=record)
             case SendHome(endpoint=endpoint):
                 route = ToPeer(endpoint=endpoint, may_run_locally=False)
-                return _Way(route=route, may_have_run_elsewhere=True)
-            case Answered():
+                return _RoutingDecision(route=route, may_have_run_elsewhere=True)
+            case AnsweredWithoutRunning():
                 return decided
 
     def _make_runner(
         self,
         source: ServerExchange,
-        asked: AskedFor,
+        resolved: ResolvedRequest,
         body: RequestBody,
-        terms: RequestTerms,
-        way: _Way,
+        deadline: RequestDeadline,
+        routing: _RoutingDecision,
         trace: RequestTrace,
     ) -> RequestRunner:
-        operation, request = asked.operation, asked.request
+        operation, request = resolved.operation, resolved.request
         settings = self.settings.requests
         headers = OutgoingHeaders(
             source=source,
-            identity=asked.identity,
+            identity=resolved.identity,
             dialect=self.dialect,
-            sealer=self.reader.sealer,
+            signer=self.resolver.signer,
         )
         return RequestRunner(
             vm=self.settings.vm,
@@ -292,62 +298,64 @@
                 source=source,
                 path=request.path,
                 upstream_headers=headers.for_upstream(),
-                peer_headers=headers.for_peer(way.route, grant=way.grant),
+                peer_headers=headers.for_peer(routing.route, grant=routing.grant),
                 body=body,
-                deadline=terms.deadline,
-                deadline_ms=terms.deadline_ms,
+                deadline=deadline.monotonic_s,
+                deadline_ms=deadline.wall_ms,
                 dialect=self.dialect,
                 max_idle_non_idempotent_s=settings.max_idle_unrepeatable_ms / 1000,
                 max_buffered_answer_bytes=settings.hold_answer_bytes,
             ),
             exchange=Exchange(
                 policy=ExecutionPolicy(
-                    idempotent=operation.idempotent and not _is_marked(request),
+                    idempotent=operation.idempotent and not _has_id_or_key(request),
                     resendable=body.content is not None,
-                    recorded=_is_marked(request),
-                    may_have_run_elsewhere=way.may_have_run_elsewhere,
-                    max_attempts=asked.max_attempts,
+                    recorded=_has_id_or_key(request),
+                    may_have_run_elsewhere=routing.may_have_run_elsewhere,
+                    max_attempts=resolved.max_attempts,
                 ),
-                route=way.route,
+                route=routing.route,
                 budget=self.node.services.budgets_by_service[request.service],
             ),
-            ticket=self._make_ticket(asked, terms),
-            record=way.record,
+            ticket=self._make_ticket(resolved, deadline),
+            record=routing.record,
             dispatch=self.dispatch,
             pool=self.pool,
             trace=trace,
             max_recorded_bytes=settings.max_recorded_answer_bytes,
             identity=RequestIdentity(
-                caller=asked.identity.caller,
+                caller=resolved.identity.caller,
                 method=source.method,
                 target=source.target,
                 headers=source.headers,
                 names_service=source.target.startswith(SERVICES_PREFIX),
                 body=body.content,
             ),
-            crash_detector=self.crashes,
+            crash_detector=self.crash_detector,
             admission=RequestAdmission(
-                identity=asked.identity,
+                identity=resolved.identity,
                 node=self.node,
                 quotas=self.quotas,
                 trace=trace,
             ),
         )
 
-    def _make_ticket(self, asked: AskedFor, terms: RequestTerms) -> Ticket:
+    def _make_ticket(
+        self, resolved: ResolvedRequest, deadline: RequestDeadline
+    ) -> Ticket:
         return Ticket(
             id=next(self._ticket_numbers),
-            rank=asked.identity.rank,
-            operation=asked.name,
-            deadline=terms.deadline,
-            expected_s=asked.operation.expected_ms / 1000,
-            affinity=asked.affinity,
-            bulky=asked.bulky,
-            regions=asked.regions,
-            hold_until=asked.hold_until,
+            rank=resolved.identity.rank,
+            operation=resolved.operation_name,
+            deadline=deadline.monotonic_s,
+            expected_s=resolved.operation.expected_ms / 1000,
+            affinity=resolved.affinity,
+            bulky=resolved.bulky,
+            allowed_regions=resolved.allowed_regions,
+            queue_deadline=resolved.queue_deadline,
         )
 
-    def _choose_move(
+    def _acquire_move_grant(
         self, source: ServerExchange, request: CallerRequest, identity: Identity
     ) -> HeldGrant | None:
         """Count a request for the shifts, and take a grant if it is to be moved."""
@@ -362,11 +370,14 @@
             service=request.service, region=chosen.to_region, now=now
         )
         if held is not None:
-            meter.count_move(service=request.service, move=chosen)
+            meter.record_move(service=request.service, move=chosen)
         return held
 
     async def _answer(
-        self, source: ServerExchange, answered: Answered, trace: RequestTrace
+        self,
+        source: ServerExchange,
+        answered: AnsweredWithoutRunning,
+        trace: RequestTrace,
     ) -> None:
         match answered.verdict:
             case verdicts.Replay(answer=answer):
@@ -383,7 +394,7 @@
                 await answer_with_outcome(source, answered.answer, self.dialect, trace)
 
 
-def _is_marked(request: CallerRequest) -> bool:
+def _has_id_or_key(request: CallerRequest) -> bool:
     return request.idempotency_key is not None or request.request_id is not None
 
 
--- a/packages/daemon/src/plankspindle_daemon/listeners/shell_dump.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/runtime_dump.py
@@ -16,7 +16,7 @@
     from plankspindle_daemon.upstreams.connection_pool import ConnectionPool
 
 
-def dump_shells(
+def dump_runtime(
     *,
     listener: CallerListener,
     pool: ConnectionPool,
@@ -27,7 +27,7 @@
 ) -> dict[str, Any]:
     """Dump the counts of the shells around the machines."""
     return {
-        "errors_contained": supervisor.contained,
+        "errors_contained": supervisor.contained_errors,
         "callers": {
             "connections": listener.connections,
             "running": listener.running,
@@ -46,9 +46,9 @@
         },
         "platform": {
             "available": platform.calls.available,
-            "failure": platform.calls.failure,
-            "reads": platform.calls.made_by_kind[CallKind.READ],
-            "writes": platform.calls.made_by_kind[CallKind.WRITE],
+            "failure": platform.calls.last_failure,
+            "reads": platform.calls.calls_by_kind[CallKind.READ],
+            "writes": platform.calls.calls_by_kind[CallKind.WRITE],
             "refused_by_budget": platform.calls.refused_by_budget,
             "refused_by_breaker": platform.calls.refused_by_breaker,
         },
--- a/packages/daemon/src/plankspindle_daemon/membership/peer_link.py
+++ b/packages/daemon/src/plankspindle_daemon/membership/peer_link.py
@@ -13,7 +13,7 @@
 from plankspindle_core.endpoint import Endpoint
 from plankspindle_core.logs.key_value_destination import log_event
 from plankspindle_daemon.peer_messages.peer_message import PeerMessage
-from plankspindle_daemon.wire.codec import NOT_ENCODABLE
+from plankspindle_daemon.wire.codec import ENCODE_ERRORS
 from plankspindle_daemon.wire.codec import decode
 from plankspindle_daemon.wire.codec import encode
 from plankspindle_daemon.wire.frame import MAX_FRAME_BYTES
@@ -112,7 +112,7 @@
         """Send one message; it may be lost."""
         try:
             frame = self._frame_of(message)
-        except NOT_ENCODABLE as error:
+        except ENCODE_ERRORS as error:
             self._record_not_encodable(message, error)
             return
         if len(frame) > MAX_FRAME_BYTES:
--- a/packages/daemon/src/plankspindle_daemon/node/configuration_follower.py
+++ b/packages/daemon/src/plankspindle_daemon/node/configuration_follower.py
@@ -10,8 +10,8 @@
 from plankspindle_daemon.configuration.configuration_reader import ReaderPort
 from plankspindle_daemon.node.effect_runner import EffectRunner
 from plankspindle_daemon.node.node import Node
-from plankspindle_daemon.platform.read_watch import RETRY_S
-from plankspindle_daemon.platform.read_watch import ReadWatch
+from plankspindle_daemon.platform.read_failure_log import RETRY_PAUSE_S
+from plankspindle_daemon.platform.read_failure_log import ReadFailureLog
 
 CHECK_PERIOD_S = 0.5
 """Longest time between checks whether this VM must read itself, in seconds.
@@ -43,7 +43,9 @@
     effects: EffectRunner
     period_s: float
     all_read: bool
-    _read_monitor: ReadWatch = field(factory=lambda: ReadWatch(subject="configuration"))
+    _read_monitor: ReadFailureLog = field(
+        factory=lambda: ReadFailureLog(subject="configuration")
+    )
 
     async def run(self) -> None:
         """Read newer versions until cancelled."""
@@ -54,7 +56,7 @@
 
     def _pause_s(self) -> float:
         if self._read_monitor.is_failing:
-            return RETRY_S
+            return RETRY_PAUSE_S
         now = monotonic()
         if not self.all_read or self._should_read(now):
             return self.period_s
@@ -84,12 +86,12 @@
         read = await self.reader.read_newer(self.node.version, wait_s)
         if read.is_err():
             detail, version = read.unwrap_err().detail, self.node.version
-            self._read_monitor.note_failed(
-                detail, began=started_at, now=monotonic(), version=version
+            self._read_monitor.record_failure(
+                detail, started_at=started_at, now=monotonic(), version=version
             )
             return
-        self._read_monitor.note_read(monotonic())
-        self.node.versions.head.note_read(monotonic())
+        self._read_monitor.record_success(monotonic())
+        self.node.versions.head.record_read(monotonic())
         newer = read.unwrap()
         if newer is not None:
             await self.effects.adopt(newer)
--- a/packages/daemon/src/plankspindle_daemon/node/effect_runner.py
+++ b/packages/daemon/src/plankspindle_daemon/node/effect_runner.py
@@ -121,7 +121,7 @@
                 )
                 await self.perform([*messages])
             case LoadDigest():
-                self.node.digest_exchange.digests.take(message, monotonic())
+                self.node.digest_exchange.digests.record(message, monotonic())
             case (
                 ShareClaim()
                 | ShareLease()
--- a/packages/daemon/src/plankspindle_daemon/node/limited_dispatch.py
+++ b/packages/daemon/src/plankspindle_daemon/node/limited_dispatch.py
@@ -78,7 +78,7 @@
         self, *, readiness: Readiness, has_list: bool, now: float
     ) -> list[NodeEffect]:
         """Advance the time of quotas and limits; see :meth:`Quotas.tick`."""
-        ticked = self.quotas.tick(readiness=readiness, knows_list=has_list, now=now)
+        ticked = self.quotas.tick(readiness=readiness, has_list=has_list, now=now)
         return self._handle_quota_effects(ticked, now)
 
     def _apply_statement(
--- a/packages/daemon/src/plankspindle_daemon/node/list_follower.py
+++ b/packages/daemon/src/plankspindle_daemon/node/list_follower.py
@@ -20,10 +20,10 @@
 from plankspindle_daemon.membership.messages import LiveListRead
 from plankspindle_daemon.node.effect_runner import EffectRunner
 from plankspindle_daemon.node.node import Node
-from plankspindle_daemon.platform.listed_upstreams import RETURN_S
+from plankspindle_daemon.platform.listed_upstreams import REENTRY_GRACE_S
 from plankspindle_daemon.platform.platform_client import PlatformClient
-from plankspindle_daemon.platform.read_watch import RETRY_S
-from plankspindle_daemon.platform.read_watch import ReadWatch
+from plankspindle_daemon.platform.read_failure_log import RETRY_PAUSE_S
+from plankspindle_daemon.platform.read_failure_log import ReadFailureLog
 from plankspindle_daemon.sharing.shared_reads import MIN_CHECK_DELAY_S
 
 if TYPE_CHECKING:
@@ -63,7 +63,9 @@
     _task: Any = None
     _change_missing: Any = field(factory=Event)
     _paused_s: float = 0.0
-    _read_monitor: ReadWatch = field(factory=lambda: ReadWatch(subject="list"))
+    _read_monitor: ReadFailureLog = field(
+        factory=lambda: ReadFailureLog(subject="list")
+    )
 
     async def run(self) -> None:
         """Keep the list up to date until cancelled."""
@@ -95,17 +97,17 @@
         try:
             read = await self._read()
             if read is not None and read.is_ok():
-                self._read_monitor.note_read(monotonic())
+                self._read_monitor.record_success(monotonic())
                 await self._apply_read(read.unwrap())
         finally:
             reads.is_reading = False
         if read is None:
             # The process was paused until now, so this counts as a failure now, no
             # matter when the platform was unavailable.
-            self.node.services.listed.note_failed(away_at=monotonic())
+            self.node.services.listed.record_read_failure(unavailable_at=monotonic())
         elif read.is_err():
             self._record_failed_read(read.unwrap_err().detail, started_at)
-            await self._pause(RETRY_S)
+            await self._pause(RETRY_PAUSE_S)
         else:
             await self._pause_after_read(monotonic())
 
@@ -131,7 +133,7 @@
         shortened by the part of a pause that exceeds the regular one. It also ends with
         the retention of missing entries, which must be read again then.
         """
-        watch_s = self.platform.watch_s
+        watch_s = self.platform.long_poll_s
         if watch_s is None:
             return None
         shared_s = self.node.shared_reads.list_wait_s(now)
@@ -143,8 +145,8 @@
         shared_s = self.node.shared_reads.list_pause_s(now)
         pause_s = self._scaled_period_s() if shared_s is None else shared_s
         max_pause_s = math.inf
-        if self.platform.watch_s is not None:
-            max_pause_s = MAX_PAUSE_FACTOR * self.period_s + self.platform.watch_s
+        if self.platform.long_poll_s is not None:
+            max_pause_s = MAX_PAUSE_FACTOR * self.period_s + self.platform.long_poll_s
         await self._pause(pause_s, min(max_pause_s, self._retention_left_s(now)))
 
     def _retention_left_s(self, now: float) -> float:
@@ -152,16 +154,18 @@
 
         Infinity if none are retained.
         """
-        kept_until = self.node.services.listed.kept_until
+        kept_until = self.node.services.listed.retained_until
         return math.inf if kept_until is None else max(0.0, kept_until - now)
 
     async def _expire_retained(self) -> None:
         """Remove missing entries whose retention is over, while other VMs read."""
         listed = self.node.services.listed
-        if listed.kept_until is not None and not listed.is_lenient(monotonic()):
+        if listed.retained_until is not None and not listed.is_in_grace_period(
+            monotonic()
+        ):
             read_at = listed.read_at
             await self._reapply()
-            listed.correct_read_at(read_at)
+            listed.set_read_at(read_at)
 
     async def _reapply(self) -> None:
         """Apply the list that this VM holds again, under the present conditions."""
@@ -169,14 +173,14 @@
 
     async def _apply_read(self, vms: list[ListedVm]) -> None:
         listed = self.node.services.listed
-        listed.note_unreadable(self.platform.unreadable_names)
+        listed.set_unreadable(self.platform.unreadable_names)
         await self._apply(vms)
         now = monotonic()
         messages = self.node.shared_reads.record_list_read(
             vms,
             version=self.platform.list_version,
             configuration_version=self.node.version,
-            kept_until=listed.lenient_until,
+            retained_until=listed.grace_until,
             now=now,
         )
         await self.effects.perform([*messages])
@@ -192,22 +196,22 @@
         if not self.node.shared_reads.is_in_group(update.sender):
             return
         now = monotonic()
-        self.node.versions.head.note_heard(update.configuration_age_ms, now)
+        self.node.versions.head.record_report(update.configuration_age_ms, now)
         listed = self.node.services.listed
         change = self.node.shared_reads.apply_update(update, now)
         if change is not None:
             if update.after_gap:
-                keep_s = update.keep_ms / 1000 or RETURN_S
-                listed.keep_until(now + min(keep_s, RETURN_S))
-            vms = self.platform.take_list_change(
+                keep_s = update.keep_ms / 1000 or REENTRY_GRACE_S
+                listed.set_grace_until(now + min(keep_s, REENTRY_GRACE_S))
+            vms = self.platform.apply_list_change(
                 version=change.version, changed=change.changed, gone=change.gone
             )
             await self._apply(vms)
-            listed.correct_read_at(now - update.list_age_ms / 1000)
+            listed.set_read_at(now - update.list_age_ms / 1000)
         elif self.node.shared_reads.confirms_list(update):
-            if listed.is_to_be_taken_again:
+            if listed.needs_reapplying:
                 await self._reapply()
-            listed.note_current(now - update.list_age_ms / 1000)
+            listed.confirm_current(now - update.list_age_ms / 1000)
         if self.node.shared_reads.lacks_change():
             await self._change_missing.set()
         await self.effects.perform(
@@ -225,9 +229,12 @@
 
     def _record_failed_read(self, detail: str, started_at: float) -> None:
         listed = self.node.services.listed
-        listed.note_failed(away_at=self.platform.list_away_at)
-        self._read_monitor.note_failed(
-            detail, began=started_at, now=monotonic(), upstreams=len(listed.by_name)
+        listed.record_read_failure(unavailable_at=self.platform.list_unavailable_at)
+        self._read_monitor.record_failure(
+            detail,
+            started_at=started_at,
+            now=monotonic(),
+            upstreams=len(listed.by_name),
         )
 
     def _scaled_period_s(self) -> float:
--- a/packages/daemon/src/plankspindle_daemon/node/make_node.py
+++ b/packages/daemon/src/plankspindle_daemon/node/make_node.py
@@ -72,13 +72,13 @@
         ),
         leave=Leave(leave_s=timing.leave_ms / 1000, linger_s=timing.linger_ms / 1000),
         needs_list=lists_upstreams,
-        shared_read_s=timing.shared_read_ms / 1000,
+        shared_read_period_s=timing.shared_read_ms / 1000,
         recovery_s=timing.recovery_ms / 1000,
         quota_options=QuotaOptions(
             slack_requests=settings.quotas.slack_requests,
             process_started_at=PROCESS_STARTED_AT,
         ),
-        probe_s=timing.probe_ms / 1000,
+        probe_period_s=timing.probe_ms / 1000,
         started_at=monotonic(),
         settle_s=timing.suspect_after_ms / 1000,
     )
--- a/packages/daemon/src/plankspindle_daemon/node/node.py
+++ b/packages/daemon/src/plankspindle_daemon/node/node.py
@@ -16,8 +16,8 @@
 from plankspindle_core.endpoint import Endpoint
 from plankspindle_core.invariants import check_invariant
 from plankspindle_daemon.admission.caller_directory import CallerDirectory
-from plankspindle_daemon.configuration.version_exchange import LearnedContent
-from plankspindle_daemon.digests.domain_talk import DomainTalk
+from plankspindle_daemon.configuration.version_exchange import FetchedContent
+from plankspindle_daemon.digests.digest_exchange import DigestExchange
 from plankspindle_daemon.dispatch import messages as dispatch
 from plankspindle_daemon.dispatch.service_registry import ServiceRegistry
 from plankspindle_daemon.dispatch.unresponsive_hint_relay import UnresponsiveHintRelay
@@ -78,7 +78,7 @@
         Ids issued by this process, and the planned stop of this VM.
     routes : RouteTable
         Routes of the version in force.
-    probe_s : float
+    probe_period_s : float
         Period of reading load reports, in seconds.
     started_at : float
         Monotonic seconds.
@@ -86,7 +86,7 @@
         Time in which a new process discovers its peers and takes no slots, in seconds.
     needs_list : bool
         Whether upstreams are declared only by the platform's list.
-    shared_read_s : float
+    shared_read_period_s : float
         Period of reads on behalf of other VMs, in seconds; zero if none are shared.
     recovery_s : float
         Time after a disturbance by which missing upstreams must be removed, in seconds.
@@ -110,11 +110,11 @@
     membership: Membership
     ids: IssuedIds
     leave: Leave
-    probe_s: float
+    probe_period_s: float
     started_at: float
     settle_s: float
     needs_list: bool = False
-    shared_read_s: float = 0.0
+    shared_read_period_s: float = 0.0
     recovery_s: float = RECOVERY_S
     quota_options: QuotaOptions = Factory(QuotaOptions)
     configuration: Configuration | None = None
@@ -127,7 +127,7 @@
     shift_meter: ShiftMeter = Factory(lambda: ShiftMeter.create(region=None))
     headroom: HeadroomManager = field(init=False)
     shared_slots: SharedSlots = field(init=False)
-    digest_exchange: DomainTalk = field(init=False)
+    digest_exchange: DigestExchange = field(init=False)
     versions: VersionGossip = field(init=False)
     quarantine: Quarantine = field(init=False)
     quotas: Quotas = field(init=False)
@@ -142,7 +142,7 @@
         self.headroom = HeadroomManager(
             vm=self.vm, incarnation=self.incarnation, random=self.random
         )
-        self.digest_exchange = DomainTalk(
+        self.digest_exchange = DigestExchange(
             vm=self.vm,
             failure_domain=self.failure_domain,
             random=self.random,
@@ -171,7 +171,7 @@
                 failure_domain=self.failure_domain,
                 membership=self.membership,
             ),
-            period_s=self.shared_read_s,
+            period_s=self.shared_read_period_s,
         )
         self.services = ServiceRegistry(
             vm=self.vm,
@@ -179,7 +179,7 @@
             incarnation=self.incarnation,
             random=self.random,
             membership=self.membership,
-            probe_period_s=self.probe_s,
+            probe_period_s=self.probe_period_s,
             ramping_from=self.started_at + self.settle_s,
             listed=ListedUpstreams(recovery_s=self.recovery_s),
         )
@@ -189,7 +189,7 @@
         self.vm_drains = VmDrains(
             vm=self.vm,
             failure_domain=self.failure_domain,
-            clock=self.services.drains,
+            schedule=self.services.drains,
             membership=self.membership,
         )
         self.shared_slots = SharedSlots(
@@ -254,7 +254,7 @@
             return []
         before, self.configuration = self.version, configuration
         self.version = version
-        self.versions.exchange.hold(
+        self.versions.exchange.serve_version(
             version, partial(encode_configuration, configuration)
         )
         self.adopted_at = now
@@ -264,8 +264,8 @@
         region = configuration.region_of(self.failure_domain)
         if region != self.shift_meter.region:
             self.shift_meter = ShiftMeter.create(region=region)
-        self.shift_meter.use_shifts(configuration.shifts_by_id, now)
-        self.routes = self.routes.replaced_by(configuration.routes_by_name)
+        self.shift_meter.apply_shifts(configuration.shifts_by_id, now)
+        self.routes = self.routes.with_routes(configuration.routes_by_name)
         self.quotas.update_configuration(configuration)
         wall = now + self._wall_offset_s
         self.services.apply_configuration(
@@ -282,7 +282,7 @@
     ) -> list[NodeEffect]:
         """Apply a chunk of a higher version, and adopt the version once complete."""
         received = self.versions.receive_chunk(chunk, now)
-        if not isinstance(received, LearnedContent):
+        if not isinstance(received, FetchedContent):
             return [*received]
         decoded = decode_configuration(received.content)
         if decoded.is_err():
@@ -354,14 +354,14 @@
             version=self.version,
             shifts=self.shift_meter.shifts(),
             configuration=self.configuration,
-            drained=self.vm_drains.drained,
+            drained=self.vm_drains.drained_vms,
             now=now,
         )
         return effects
 
     def _apply_drains(self, *, now: float, wall: float) -> None:
         self.services.apply_drains(now=now, wall=wall)
-        self.vm_drains.apply(now=now, wall=wall)
+        self.vm_drains.refresh(now=now, wall=wall)
 
     def accepts(self, now: float) -> bool:
         """Return whether this VM accepts new requests."""
--- a/packages/daemon/src/plankspindle_daemon/node/self_report.py
+++ b/packages/daemon/src/plankspindle_daemon/node/self_report.py
@@ -4,7 +4,7 @@
 
 from plankspindle_core.classes import define
 from plankspindle_core.endpoint import Endpoint
-from plankspindle_daemon.configuration.head_watch import HeadWatch
+from plankspindle_daemon.configuration.head_freshness import HeadFreshness
 from plankspindle_daemon.dispatch.service_registry import ServiceRegistry
 from plankspindle_daemon.dispatch.unresponsive_hint_relay import UnresponsiveHintRelay
 from plankspindle_daemon.drains.vm_drains import VmDrains
@@ -45,7 +45,7 @@
         Services in force.
     vm_drains : VmDrains
         Drained entry VMs.
-    head : HeadWatch
+    head : HeadFreshness
         When any entry VM last read the head of the configuration.
     quarantine : Quarantine
         Quarantined requests.
@@ -66,7 +66,7 @@
     leave: Leave
     services: ServiceRegistry
     vm_drains: VmDrains
-    head: HeadWatch
+    head: HeadFreshness
     quarantine: Quarantine
     list_read_at: float | None = None
     _sequence: int = 0
@@ -83,7 +83,7 @@
         version : int
             Configuration in force; zero if there is none.
         """
-        if self.leave.is_leaving or self.vm in self.vm_drains.drained:
+        if self.leave.is_leaving or self.vm in self.vm_drains.drained_vms:
             return Readiness.LEAVING
         if version == 0 or self._is_list_missing():
             return Readiness.STARTING
@@ -138,7 +138,7 @@
             view_digest=self.membership.view_digest(),
             over_share=self._over_share(now),
             configuration_version=version,
-            head_read_ago_ms=self.head.ago_ms(now),
+            head_read_ago_ms=self.head.age_ms(now),
             silent_upstreams=tuple(each.name for each in unresponsive),
             silent_incarnations=tuple(each.incarnation for each in unresponsive),
             is_watched=is_watched,
