--- a/packages/daemon/src/plankspindle_daemon/node/steering_updater.py
+++ b/packages/daemon/src/plankspindle_daemon/node/steering_updater.py
@@ -78,13 +78,13 @@
         if self.steering is None:
             return
         own = self.self_report.entry_vm(version)
-        drained = frozenset(self.vm_drains.drained)
+        drained = frozenset(self.vm_drains.drained_vms)
         state = (self.membership.change_count, own, drained)
         if state == self._applied_state and now < self._next_refresh_at:
             return
         self._applied_state = state
         self._next_refresh_at = now + UNRESPONSIVE_CHECK_PERIOD_S
-        entries = self._entry_vms.snapshot(drained=self.vm_drains.drained, now=now)
+        entries = self._entry_vms.snapshot(drained=self.vm_drains.drained_vms, now=now)
         entries[own.name] = own
         self.steering.update_vms(entries.values())
 
--- a/packages/daemon/src/plankspindle_daemon/node/version_gossip.py
+++ b/packages/daemon/src/plankspindle_daemon/node/version_gossip.py
@@ -9,9 +9,9 @@
 from attrs import field
 
 from plankspindle_core.classes import define
-from plankspindle_daemon.configuration.head_watch import HeadWatch
-from plankspindle_daemon.configuration.spread_targets import spread_targets
-from plankspindle_daemon.configuration.version_exchange import LearnedContent
+from plankspindle_daemon.configuration.broadcast_targets import broadcast_targets
+from plankspindle_daemon.configuration.head_freshness import HeadFreshness
+from plankspindle_daemon.configuration.version_exchange import FetchedContent
 from plankspindle_daemon.configuration.version_exchange import VersionExchange
 from plankspindle_daemon.membership.membership import Membership
 from plankspindle_daemon.membership.messages import SendHeartbeat
@@ -41,7 +41,7 @@
 
     Attributes
     ----------
-    head : HeadWatch
+    head : HeadFreshness
         When any entry VM last read the head of the configuration.
     exchange : VersionExchange
         The version that is offered to members, and the one being fetched.
@@ -50,7 +50,7 @@
     vm: str
     membership: Membership
     random: Random
-    head: HeadWatch = Factory(HeadWatch)
+    head: HeadFreshness = Factory(HeadFreshness)
     exchange: VersionExchange = field(init=False)
 
     def __attrs_post_init__(self) -> None:
@@ -59,15 +59,15 @@
     def is_reader(self, now: float) -> bool:
         """Return whether this VM must poll the platform for a new version."""
         members = self.membership.member_names()
-        return self.exchange.is_reader(members, now, self.head.heard_at)
+        return self.exchange.is_reader(members, now, self.head.reported_at)
 
     def announce(self) -> list[SendHeartbeat]:
         """Announce a new version to some members at once.
 
         The remaining ones learn of it from regular heartbeats.
         """
-        targets = spread_targets(
-            me=self.vm, members=self.membership.member_names(), random=self.random
+        targets = broadcast_targets(
+            own_name=self.vm, members=self.membership.member_names(), random=self.random
         )
         members = self.membership.members_by_name
         return [SendHeartbeat(members[name].peer_endpoint) for name in targets]
@@ -76,7 +76,7 @@
         """Apply what a member's heartbeat reports on the configuration."""
         if heartbeat.sender not in self.membership.members_by_name:
             return []
-        self.head.note_heard(heartbeat.head_read_ago_ms, now)
+        self.head.record_report(heartbeat.head_read_ago_ms, now)
         return self.receive_version(
             heartbeat.sender, heartbeat.configuration_version, now
         )
@@ -91,25 +91,27 @@
         list of SendToPeer
             Requests for its content, if it is higher than this VM's.
         """
-        return self._request(sender, self.exchange.hear_version(sender, version, now))
+        return self._request(
+            sender, self.exchange.handle_announcement(sender, version, now)
+        )
 
     def answer(self, request: ContentRequest, reply_to: Endpoint) -> list[SendToPeer]:
         """Answer a request with a chunk of the version in force."""
-        chunk = self.exchange.answer(request)
+        chunk = self.exchange.chunk_for(request)
         return [] if chunk is None else [SendToPeer(message=chunk, to=reply_to)]
 
     def receive_chunk(
         self, chunk: ContentChunk, now: float
-    ) -> LearnedContent | list[SendToPeer]:
+    ) -> FetchedContent | list[SendToPeer]:
         """Apply a chunk of a higher version.
 
         Returns
         -------
-        LearnedContent or list of SendToPeer
+        FetchedContent or list of SendToPeer
             The content once complete, otherwise requests for further chunks.
         """
-        result = self.exchange.take_chunk(chunk, now).unwrap_or([])
-        if isinstance(result, LearnedContent):
+        result = self.exchange.handle_chunk(chunk, now).unwrap_or([])
+        if isinstance(result, FetchedContent):
             return result
         return self._request(chunk.sender, result)
 
--- a/packages/daemon/src/plankspindle_daemon/observability/histogram_collector.py
+++ b/packages/daemon/src/plankspindle_daemon/observability/histogram_collector.py
@@ -13,7 +13,7 @@
     from prometheus_client import Metric
 
     from plankspindle_core.histogram import Histogram
-    from plankspindle_daemon.observability.measures import Measures
+    from plankspindle_daemon.observability.metric_sources import MetricSources
 
 
 class HistogramCollector(Collector):
@@ -21,43 +21,46 @@
 
     Parameters
     ----------
-    measures : Measures
+    measures : MetricSources
         What is counted.
     """
 
-    def __init__(self, *, measures: Measures) -> None:
-        self._measures = measures
+    def __init__(self, *, sources: MetricSources) -> None:
+        self._sources = sources
 
     def collect(self) -> Iterable[Metric]:
         """Give all histograms."""
-        requests = self._measures.requests
-        yield _family(
+        requests = self._sources.requests
+        yield _make_family(
             "plankspindle_request_duration_seconds",
             "Duration of requests.",
             ("service", "rank", "ending"),
-            requests.seconds_by_key.items(),
+            requests.request_durations_by_key.items(),
         )
-        yield _family(
+        yield _make_family(
             "plankspindle_queue_duration_seconds",
             "Time for which requests waited for an upstream.",
             ("service",),
-            [((name,), each) for name, each in requests.queue_by_service.items()],
+            [
+                ((name,), each)
+                for name, each in requests.queue_durations_by_service.items()
+            ],
         )
-        yield _family(
+        yield _make_family(
             "plankspindle_attempt_duration_seconds",
             "Duration of attempts at upstreams.",
             ("service", "verdict"),
-            requests.attempts_by_key.items(),
+            requests.attempt_durations_by_key.items(),
         )
-        yield _family(
+        yield _make_family(
             "plankspindle_platform_call_duration_seconds",
             "Duration of calls to the platform.",
             ("kind", "outcome"),
-            self._measures.calls.seconds_by_key.items(),
+            self._sources.calls.durations_by_kind_and_outcome.items(),
         )
 
 
-def _family(
+def _make_family(
     name: str,
     text: str,
     labels: tuple[str, ...],
--- a/packages/daemon/src/plankspindle_daemon/observability/instruments.py
+++ b/packages/daemon/src/plankspindle_daemon/observability/instruments.py
@@ -13,14 +13,14 @@
 
 from plankspindle_daemon.observability.histogram_collector import HistogramCollector
 
-MAX_NAMED = 20
+MAX_LABELLED_WORKSPACES = 20
 """Workspaces that metrics name, so that their number stays bounded."""
 
 if TYPE_CHECKING:
     from collections.abc import Callable
     from collections.abc import Iterable
 
-    from plankspindle_daemon.observability.measures import Measures
+    from plankspindle_daemon.observability.metric_sources import MetricSources
 
     Observe = Callable[[], Iterable[Observation]]
 
@@ -30,33 +30,33 @@
 
     Parameters
     ----------
-    measures : Measures
+    measures : MetricSources
         What is counted.
     """
 
-    def __init__(self, *, measures: Measures) -> None:
-        self._measures = measures
+    def __init__(self, *, sources: MetricSources) -> None:
+        self._sources = sources
         self._provider = MeterProvider(metric_readers=[PrometheusMetricReader()])
-        self._histograms = HistogramCollector(measures=measures)
+        self._histograms = HistogramCollector(sources=sources)
         REGISTRY.register(self._histograms)
-        self._count("lookups", self._lookups)
-        self._count("rejections", self._rejections)
-        self._count("retries", self._retries)
-        self._count("ejections", self._ejections)
-        self._count("log_lines_dropped", self._lines_dropped)
-        self._count("platform_calls", self._platform_calls)
-        self._count("platform_calls_refused", self._platform_calls_refused)
-        self._count("upstream_crashes_reported", self._crashes_reported)
-        self._count("requests_held_back", self._held_back)
-        self._count("quota_requests", self._quota_requests)
-        self._count("upstream_statements_unreadable", self._unreadable)
-        self._gauge("upstreams_limited", self._limited)
-        self._gauge("quarantined_requests", self._quarantined)
-        self._gauge("platform_available", self._platform_available)
-        self._gauge("queued", self._queued)
-        self._gauge("in_flight", self._in_flight)
-        self._gauge("configuration_version", self._version)
-        self._gauge("keys_leaving_region", self._keys_leaving_region)
+        self._add_counter("lookups", self._lookups)
+        self._add_counter("rejections", self._rejections)
+        self._add_counter("retries", self._retries)
+        self._add_counter("ejections", self._ejections)
+        self._add_counter("log_lines_dropped", self._log_lines_dropped)
+        self._add_counter("platform_calls", self._platform_calls)
+        self._add_counter("platform_calls_refused", self._platform_calls_refused)
+        self._add_counter("upstream_crashes_reported", self._upstream_crashes_reported)
+        self._add_counter("requests_held_back", self._requests_refused)
+        self._add_counter("quota_requests", self._quota_requests)
+        self._add_counter("upstream_statements_unreadable", self._statements_unreadable)
+        self._add_gauge("upstreams_limited", self._upstreams_limited)
+        self._add_gauge("quarantined_requests", self._quarantined_requests)
+        self._add_gauge("platform_available", self._platform_available)
+        self._add_gauge("queued", self._queued)
+        self._add_gauge("in_flight", self._in_flight)
+        self._add_gauge("configuration_version", self._configuration_version)
+        self._add_gauge("keys_leaving_region", self._keys_leaving_region)
 
     def close(self) -> None:
         """Unregister the instruments."""
@@ -67,30 +67,30 @@
         """Read all instruments and give them as Prometheus text."""
         return generate_latest(REGISTRY)
 
-    def _count(self, name: str, observe: Observe) -> None:
+    def _add_counter(self, name: str, observe: Observe) -> None:
         meter = self._provider.get_meter("plankspindle")
         meter.create_observable_counter(
             f"plankspindle_{name}", callbacks=[_callback(observe)]
         )
 
-    def _gauge(self, name: str, observe: Observe) -> None:
+    def _add_gauge(self, name: str, observe: Observe) -> None:
         meter = self._provider.get_meter("plankspindle")
         meter.create_observable_gauge(
             f"plankspindle_{name}", callbacks=[_callback(observe)]
         )
 
     def _lookups(self) -> Iterable[Observation]:
-        return [Observation(self._measures.requests.lookups)]
+        return [Observation(self._sources.requests.lookups)]
 
     def _rejections(self) -> Iterable[Observation]:
         return [
             Observation(count, {"service": service, "reason": reason.value})
-            for service, each in self._measures.node.dispatchers_by_service.items()
+            for service, each in self._sources.node.dispatchers_by_service.items()
             for reason, count in each.rejections.count_by_reason.items()
         ]
 
     def _retries(self) -> Iterable[Observation]:
-        counts = self._measures.requests.retries_by_key
+        counts = self._sources.requests.retries_by_key
         return [
             Observation(
                 count, {"service": service, "decision": decision, "because": because}
@@ -101,31 +101,34 @@
     def _keys_leaving_region(self) -> Iterable[Observation]:
         return [
             Observation(each.placement.plan.remote_share, {"service": service})
-            for service, each in self._measures.node.dispatchers_by_service.items()
+            for service, each in self._sources.node.dispatchers_by_service.items()
             if each.placement is not None
         ]
 
     def _ejections(self) -> Iterable[Observation]:
         return [
             Observation(count, {"service": service})
-            for service, count in self._measures.ejections_by_service.items()
+            for service, count in self._sources.ejections_by_service.items()
         ]
 
-    def _crashes_reported(self) -> Iterable[Observation]:
-        return [Observation(self._measures.node.quarantine.crashes_reported)]
+    def _upstream_crashes_reported(self) -> Iterable[Observation]:
+        return [Observation(self._sources.node.quarantine.crashes_reported)]
 
-    def _held_back(self) -> Iterable[Observation]:
-        return [Observation(self._measures.node.quarantine.requests_refused)]
+    def _requests_refused(self) -> Iterable[Observation]:
+        return [Observation(self._sources.node.quarantine.requests_refused)]
 
     def _quota_requests(self) -> Iterable[Observation]:
         """Give counts of the workspaces with most refusals; the rest go together."""
-        borrower = self._measures.node.quotas.token_requester
+        borrower = self._sources.node.quotas.token_requester
         for decision, counts in (
             ("admitted", borrower.admitted_by_workspace),
             ("refused", borrower.refused_by_workspace),
         ):
             named = [
-                name for name, _ in borrower.refused_by_workspace.most_common(MAX_NAMED)
+                name
+                for name, _ in borrower.refused_by_workspace.most_common(
+                    MAX_LABELLED_WORKSPACES
+                )
             ]
             for name in named:
                 labels = {"workspace": name, "decision": decision}
@@ -133,13 +136,13 @@
             rest = counts.total() - sum(counts[name] for name in named)
             yield Observation(rest, {"workspace": "others", "decision": decision})
 
-    def _unreadable(self) -> Iterable[Observation]:
+    def _statements_unreadable(self) -> Iterable[Observation]:
         return [
             Observation(each.statements_unreadable, {"service": service})
-            for service, each in self._measures.node.dispatchers_by_service.items()
+            for service, each in self._sources.node.dispatchers_by_service.items()
         ]
 
-    def _limited(self) -> Iterable[Observation]:
+    def _upstreams_limited(self) -> Iterable[Observation]:
         return [
             Observation(
                 sum(
@@ -148,36 +151,36 @@
                 ),
                 {"service": service},
             )
-            for service, each in self._measures.node.dispatchers_by_service.items()
+            for service, each in self._sources.node.dispatchers_by_service.items()
         ]
 
-    def _quarantined(self) -> Iterable[Observation]:
-        listed = self._measures.node.quarantine.quarantine_list
+    def _quarantined_requests(self) -> Iterable[Observation]:
+        listed = self._sources.node.quarantine.quarantine_list
         return [Observation(len(listed.entries_by_identity))]
 
-    def _lines_dropped(self) -> Iterable[Observation]:
-        return [Observation(self._measures.lines_dropped)]
+    def _log_lines_dropped(self) -> Iterable[Observation]:
+        return [Observation(self._sources.log_lines_dropped)]
 
     def _platform_calls(self) -> Iterable[Observation]:
         return [
             Observation(count, {"kind": kind.value})
-            for kind, count in self._measures.calls.made_by_kind.items()
+            for kind, count in self._sources.calls.calls_by_kind.items()
         ]
 
     def _platform_calls_refused(self) -> Iterable[Observation]:
-        calls = self._measures.calls
+        calls = self._sources.calls
         return [
             Observation(calls.refused_by_breaker, {"by": "breaker"}),
             Observation(calls.refused_by_budget, {"by": "budget"}),
         ]
 
     def _platform_available(self) -> Iterable[Observation]:
-        return [Observation(int(self._measures.calls.available))]
+        return [Observation(int(self._sources.calls.available))]
 
     def _queued(self) -> Iterable[Observation]:
         return [
             Observation(len(each.queue), {"service": service})
-            for service, each in self._measures.node.dispatchers_by_service.items()
+            for service, each in self._sources.node.dispatchers_by_service.items()
         ]
 
     def _in_flight(self) -> Iterable[Observation]:
@@ -185,12 +188,12 @@
             Observation(
                 upstream.ledger.in_flight, {"service": service, "upstream": name}
             )
-            for service, each in self._measures.node.dispatchers_by_service.items()
+            for service, each in self._sources.node.dispatchers_by_service.items()
             for name, upstream in each.upstreams_by_name.items()
         ]
 
-    def _version(self) -> Iterable[Observation]:
-        return [Observation(self._measures.node.version)]
+    def _configuration_version(self) -> Iterable[Observation]:
+        return [Observation(self._sources.node.version)]
 
 
 def _callback(observe: Observe) -> Callable[[CallbackOptions], Iterable[Observation]]:
--- a/packages/daemon/src/plankspindle_daemon/observability/measures.py
+++ b/packages/daemon/src/plankspindle_daemon/observability/metric_sources.py
@@ -7,12 +7,12 @@
 from plankspindle_core.classes import define
 from plankspindle_core.logs.key_value_destination import KeyValueDestination
 from plankspindle_daemon.node.node import Node
-from plankspindle_daemon.observability.metrics import RequestMetrics
+from plankspindle_daemon.observability.request_metrics import RequestMetrics
 from plankspindle_daemon.platform.bounded_calls import BoundedCalls
 
 
 @define(kw_only=True)
-class Measures:
+class MetricSources:
     """What is counted in one process.
 
     Parameters
@@ -36,6 +36,6 @@
     log: KeyValueDestination | None = None
 
     @property
-    def lines_dropped(self) -> int:
+    def log_lines_dropped(self) -> int:
         """Lines of the log that were dropped."""
         return 0 if self.log is None else self.log.dropped_by_event.total()
--- a/packages/daemon/src/plankspindle_daemon/observability/metrics_reader.py
+++ b/packages/daemon/src/plankspindle_daemon/observability/metrics_reader.py
@@ -6,7 +6,7 @@
 
 if TYPE_CHECKING:
     from plankspindle_daemon.observability.instruments import Instruments
-    from plankspindle_daemon.observability.measures import Measures
+    from plankspindle_daemon.observability.metric_sources import MetricSources
 
 
 class MetricsReader:
@@ -14,7 +14,7 @@
 
     Parameters
     ----------
-    measures : Measures
+    measures : MetricSources
         What is counted.
 
     Notes
@@ -23,8 +23,8 @@
     are first asked for.
     """
 
-    def __init__(self, *, measures: Measures) -> None:
-        self._measures = measures
+    def __init__(self, *, sources: MetricSources) -> None:
+        self._sources = sources
         self._instruments: Instruments | None = None
 
     def close(self) -> None:
@@ -42,4 +42,4 @@
     def _load(self) -> Instruments:
         from plankspindle_daemon.observability.instruments import Instruments
 
-        return Instruments(measures=self._measures)
+        return Instruments(sources=self._sources)
--- a/packages/daemon/src/plankspindle_daemon/observability/metrics.py
+++ b/packages/daemon/src/plankspindle_daemon/observability/request_metrics.py
@@ -39,27 +39,29 @@
     ----------
     lookups : int
         Answered look-ups.
-    seconds_by_key : dict of (service, rank, ending) to Histogram
+    request_durations_by_key : dict of (service, rank, ending) to Histogram
         Durations of requests.
-    queue_by_service : dict of str to Histogram
+    queue_durations_by_service : dict of str to Histogram
         Time that requests waited for an upstream.
-    attempts_by_key : dict of (service, verdict) to Histogram
+    attempt_durations_by_key : dict of (service, verdict) to Histogram
         Durations of attempts.
     retries_by_key : Counter of (service, decision, because)
         Retries that were taken or withheld.
     """
 
     lookups: int = 0
-    seconds_by_key: dict[tuple[str, int, str], Histogram] = field(factory=dict)
-    queue_by_service: dict[str, Histogram] = field(factory=dict)
-    attempts_by_key: dict[tuple[str, str], Histogram] = field(factory=dict)
+    request_durations_by_key: dict[tuple[str, int, str], Histogram] = field(
+        factory=dict
+    )
+    queue_durations_by_service: dict[str, Histogram] = field(factory=dict)
+    attempt_durations_by_key: dict[tuple[str, str], Histogram] = field(factory=dict)
     retries_by_key: Counter[tuple[str, str, str]] = field(factory=Counter)
 
-    def note_lookup(self) -> None:
+    def record_lookup(self) -> None:
         """Count a look-up."""
         self.lookups += 1
 
-    def note_request(self, trace: RequestTrace, now: float) -> None:
+    def record_request(self, trace: RequestTrace, now: float) -> None:
         """Count a request that has ended, with its attempts and waits.
 
         Parameters
@@ -72,7 +74,9 @@
         service = trace.service or NO_SERVICE
         rank = -1 if trace.rank is None else trace.rank
         key = (service, rank, trace.completion.value)
-        _of(self.seconds_by_key, key, REQUEST_BOUNDS_S).note(now - trace.started_at)
+        _histogram_for(self.request_durations_by_key, key, REQUEST_BOUNDS_S).record(
+            now - trace.started_at
+        )
         queued_at = None
         for at, step in trace.steps:
             match step:
@@ -80,14 +84,18 @@
                     queued_at = at
                 case Placed() | Rejected():
                     waited_s = 0.0 if queued_at is None else at - queued_at
-                    queue = _of(self.queue_by_service, service, QUEUE_BOUNDS_S)
-                    queue.note(waited_s)
+                    queue = _histogram_for(
+                        self.queue_durations_by_service, service, QUEUE_BOUNDS_S
+                    )
+                    queue.record(waited_s)
                     queued_at = None
                 case AttemptEnded(verdict=verdict, took_ms=took_ms):
-                    attempts = _of(
-                        self.attempts_by_key, (service, verdict), REQUEST_BOUNDS_S
+                    attempts = _histogram_for(
+                        self.attempt_durations_by_key,
+                        (service, verdict),
+                        REQUEST_BOUNDS_S,
                     )
-                    attempts.note(took_ms / 1000)
+                    attempts.record(took_ms / 1000)
                 case RetryDecided(taken=taken, because=because):
                     decision = TAKEN if taken else WITHHELD
                     self.retries_by_key[service, decision, because] += 1
@@ -95,7 +103,7 @@
                     pass
 
 
-def _of(
+def _histogram_for(
     histograms: dict[Key, Histogram], key: Key, bounds: tuple[float, ...]
 ) -> Histogram:
     histogram = histograms.get(key)
--- a/packages/daemon/src/plankspindle_daemon/observability/state_dump.py
+++ b/packages/daemon/src/plankspindle_daemon/observability/state_dump.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from plankspindle_daemon.dispatch.dispatcher import Dispatcher
     from plankspindle_daemon.node.node import Node
-    from plankspindle_daemon.observability.measures import Measures
+    from plankspindle_daemon.observability.metric_sources import MetricSources
     from plankspindle_daemon.upstreams.upstream_state import UpstreamState
 
 
@@ -53,14 +53,14 @@
                 "service": metered.shift.service,
                 "to_region": metered.shift.to_region,
                 "cap_percent": metered.shift.cap_percent,
-                "total": metered.total,
-                "moved": metered.moved,
+                "total": metered.request_count,
+                "moved": metered.moved_count,
             }
             for shift_id, metered in node.shift_meter.counts_by_id().items()
         },
         "quarantine": _dump_quarantine(node, now),
         "workspaces": _dump_workspaces(node, now),
-        "drained_vms": sorted(node.vm_drains.drained),
+        "drained_vms": sorted(node.vm_drains.drained_vms),
         "headroom": {
             service: {"granted": ledger.granted, "refused": ledger.refused}
             for service, ledger in node.headroom.ledgers_by_service.items()
@@ -103,14 +103,14 @@
 
 def _dump_configuration(node: Node, now: float) -> dict[str, Any]:
     age = None if node.adopted_at is None else round(now - node.adopted_at, 3)
-    checked = node.versions.head.ago_s(now)
+    checked = node.versions.head.age_s(now)
     return {
         "version": node.version,
         "in_force_for_s": age,
         "head_read_s_ago": None if checked is None else round(checked, 3),
         "reads_platform": node.versions.is_reader(now),
-        "learned_from_members": node.versions.exchange.learned,
-        "damaged": node.versions.exchange.damaged,
+        "learned_from_members": node.versions.exchange.fetched_count,
+        "damaged": node.versions.exchange.damaged_count,
     }
 
 
@@ -200,7 +200,7 @@
 def _dump_domains(node: Node, now: float) -> dict[str, Any]:
     if node.configuration is None:
         return {}
-    heard = node.digest_exchange.digests.heard_by_vm.values()
+    heard = node.digest_exchange.digests.received_by_vm.values()
     dumped = {}
     for domain, declared in node.configuration.failure_domains_by_name.items():
         digests = [each for each in heard if each.digest.failure_domain == domain]
@@ -214,7 +214,9 @@
         dumped[domain] = {
             "region": declared.region,
             "heard_vms": len(digests),
-            "heard_s_ago": min((round(now - e.at, 3) for e in digests), default=None),
+            "heard_s_ago": min(
+                (round(now - e.received_at, 3) for e in digests), default=None
+            ),
             "lowest_version": min(versions, default=None),
             "services": {
                 service: {
@@ -238,21 +240,28 @@
     }
 
 
-def dump_measures(measures: Measures) -> dict[str, Any]:
+def dump_metrics(sources: MetricSources) -> dict[str, Any]:
     """Dump the counts that the metrics show, too."""
-    requests = measures.requests
+    requests = sources.requests
     return {
         "measures": {
             "lookups": requests.lookups,
             "requests": [
                 {"service": service, "rank": rank, "ending": ending}
                 | {"count": each.observations, "seconds": round(each.total, 6)}
-                for (service, rank, ending), each in requests.seconds_by_key.items()
+                for (
+                    service,
+                    rank,
+                    ending,
+                ), each in requests.request_durations_by_key.items()
             ],
             "attempts": [
                 {"service": service, "verdict": verdict}
                 | {"count": each.observations, "seconds": round(each.total, 6)}
-                for (service, verdict), each in requests.attempts_by_key.items()
+                for (
+                    service,
+                    verdict,
+                ), each in requests.attempt_durations_by_key.items()
             ],
             "retries": [
                 {"service": service, "decision": decision, "because": because}
@@ -263,7 +272,7 @@
                     because,
                 ), count in requests.retries_by_key.items()
             ],
-            "ejections": dict(measures.ejections_by_service),
-            "log_lines_dropped": measures.lines_dropped,
+            "ejections": dict(sources.ejections_by_service),
+            "log_lines_dropped": sources.log_lines_dropped,
         }
     }
--- a/packages/daemon/src/plankspindle_daemon/peer_messages/resend_queue.py
+++ b/packages/daemon/src/plankspindle_daemon/peer_messages/resend_queue.py
@@ -7,7 +7,7 @@
 from plankspindle_core.classes import define
 from plankspindle_daemon.peer_messages.peer_message import SendToPeer
 
-RESENDS = 2
+MAX_RESENDS = 2
 """Times that news is sent again."""
 RESEND_INTERVAL_S = 0.4
 """Time between two sendings of the same news, in seconds."""
@@ -21,7 +21,7 @@
 
     effects: list[SendToPeer]
     due: float
-    left: int
+    remaining: int
 
 
 @define(kw_only=True)
@@ -34,14 +34,18 @@
         """Count the news that waits."""
         return len(self._waiting)
 
-    def send(self, effects: list[SendToPeer], now: float) -> list[SendToPeer]:
+    def send_repeatedly(
+        self, effects: list[SendToPeer], now: float
+    ) -> list[SendToPeer]:
         """Keep messages that are sent now, to be sent again; give them as they are."""
-        self._keep(_Resend(effects=effects, due=now + RESEND_INTERVAL_S, left=RESENDS))
+        self._add(
+            _Resend(effects=effects, due=now + RESEND_INTERVAL_S, remaining=MAX_RESENDS)
+        )
         return effects
 
-    def send_later(self, effects: list[SendToPeer], now: float) -> None:
+    def schedule(self, effects: list[SendToPeer], now: float) -> None:
         """Keep messages where none can be sent, to be sent from the next tick on."""
-        self._keep(_Resend(effects=effects, due=now, left=1 + RESENDS))
+        self._add(_Resend(effects=effects, due=now, remaining=1 + MAX_RESENDS))
 
     def pop_due(self, now: float) -> list[SendToPeer]:
         """Give what is to be sent at this moment."""
@@ -50,10 +54,10 @@
             return []
         for each in due:
             each.due = now + RESEND_INTERVAL_S
-            each.left -= 1
-        self._waiting = [each for each in self._waiting if each.left > 0]
+            each.remaining -= 1
+        self._waiting = [each for each in self._waiting if each.remaining > 0]
         return [effect for each in due for effect in each.effects]
 
-    def _keep(self, repeat: _Resend) -> None:
+    def _add(self, repeat: _Resend) -> None:
         if repeat.effects:
             self._waiting = [*self._waiting, repeat][-MAX_QUEUED:]
--- a/packages/daemon/src/plankspindle_daemon/platform/bounded_calls.py
+++ b/packages/daemon/src/plankspindle_daemon/platform/bounded_calls.py
@@ -29,9 +29,9 @@
 WRITES_PER_S = 40.0
 BURST_S = 2.0
 """Time whose calls may be made at once, in seconds."""
-CALL_BOUNDS_S = (0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0)
+CALL_DURATION_BUCKETS_S = (0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0)
 NO_ANSWER = PlatformUnavailable("no answer in time")
-_TOO_MANY = 429
+_TOO_MANY_REQUESTS = 429
 _SERVER_ERROR = 500
 
 
@@ -42,7 +42,7 @@
     WRITE = "write"
 
 
-def _bucket(per_s: float) -> TokenBucket:
+def _budget(per_s: float) -> TokenBucket:
     return TokenBucket(per_s=per_s, burst=per_s * BURST_S)
 
 
@@ -56,35 +56,37 @@
         Longest wait for an answer that is not delayed on purpose, in seconds.
     breaker : CircuitBreaker
         What stops calls while the platform is away.
-    reads, writes : TokenBucket
+    read_budget, write_budget : TokenBucket
         Budgets of this node, so that no node can use up what all have together.
     clock : callable
         Gives monotonic seconds.
 
     Attributes
     ----------
-    made_by_kind : dict of CallKind to int
+    calls_by_kind : dict of CallKind to int
         Calls made.
     refused_by_breaker : int
         Calls not made, since the platform is away.
-    failure : str or None
+    last_failure : str or None
         What was last seen of a platform that is away.
-    seconds_by_key : dict of (str, str) to Histogram
+    durations_by_kind_and_outcome : dict of (str, str) to Histogram
         Durations by kind and outcome, without the time that an answer was delayed on
         purpose.
     """
 
     timeout_s: float
     breaker: CircuitBreaker = field(factory=CircuitBreaker)
-    reads: TokenBucket = field(factory=lambda: _bucket(READS_PER_S))
-    writes: TokenBucket = field(factory=lambda: _bucket(WRITES_PER_S))
+    read_budget: TokenBucket = field(factory=lambda: _budget(READS_PER_S))
+    write_budget: TokenBucket = field(factory=lambda: _budget(WRITES_PER_S))
     clock: Callable[[], float] = monotonic
-    made_by_kind: dict[CallKind, int] = field(
+    calls_by_kind: dict[CallKind, int] = field(
         factory=lambda: dict.fromkeys(CallKind, 0)
     )
     refused_by_breaker: int = 0
-    failure: str | None = None
-    seconds_by_key: dict[tuple[str, str], Histogram] = field(factory=dict)
+    last_failure: str | None = None
+    durations_by_kind_and_outcome: dict[tuple[str, str], Histogram] = field(
+        factory=dict
+    )
 
     @property
     def available(self) -> bool:
@@ -94,14 +96,14 @@
     @property
     def refused_by_budget(self) -> int:
         """Calls not made, since the budget of this node was used up."""
-        return self.reads.refused + self.writes.refused
+        return self.read_budget.refused + self.write_budget.refused
 
     async def make(
         self,
         kind: CallKind,
         call: Callable[..., Awaitable[Result[HttpAnswer, Any]]],
         *args: Any,
-        extra_s: float = 0.0,
+        expected_delay_s: float = 0.0,
     ) -> Result[HttpAnswer, PlatformUnavailable]:
         """Make one call, unless it must not be made.
 
@@ -113,7 +115,7 @@
             Coroutine function that makes it.
         *args : object
             Its arguments.
-        extra_s : float
+        expected_delay_s : float
             Time for which the platform may delay the answer on purpose, in seconds.
 
         Returns
@@ -123,21 +125,23 @@
             After an error its effect is not known.
         """
         began = self.clock()
-        budget = self.writes if kind is CallKind.WRITE else self.reads
+        budget = self.write_budget if kind is CallKind.WRITE else self.read_budget
         if not self.breaker.allows(began):
             self.refused_by_breaker += 1
-            away = f"recent calls failed ({self.failure}); not tried"
+            away = f"recent calls failed ({self.last_failure}); not tried"
             return Err(PlatformUnavailable(away, tried=False))
         if not budget.take(began):
             return Err(
                 PlatformUnavailable("the budget of calls is used up", tried=False)
             )
-        self.made_by_kind[kind] += 1
-        answer = await self._bounded(call, args, self.timeout_s + extra_s)
-        self._note(kind, answer, began, delayed=extra_s > 0)
+        self.calls_by_kind[kind] += 1
+        answer = await self._call_with_timeout(
+            call, args, self.timeout_s + expected_delay_s
+        )
+        self._record(kind, answer, began, delayed=expected_delay_s > 0)
         return answer
 
-    async def _bounded(
+    async def _call_with_timeout(
         self,
         call: Callable[..., Awaitable[Result[HttpAnswer, Any]]],
         args: tuple[Any, ...],
@@ -150,11 +154,11 @@
         if answer.is_err():
             return Err(PlatformUnavailable(str(answer.unwrap_err())))
         status = answer.unwrap().status
-        if status >= _SERVER_ERROR or status == _TOO_MANY:
+        if status >= _SERVER_ERROR or status == _TOO_MANY_REQUESTS:
             return Err(PlatformUnavailable(f"status {status}"))
         return answer  # type: ignore[no-any-return]
 
-    def _note(
+    def _record(
         self,
         kind: CallKind,
         answer: Result[HttpAnswer, PlatformUnavailable],
@@ -167,14 +171,14 @@
         # A wait that was lost tells of the time when it began. The breaker would keep
         # back the calls that find out how things are now.
         if not is_lost_wait:
-            self.breaker.note(failed=answer.is_err(), now=now)
+            self.breaker.record(failed=answer.is_err(), now=now)
         if answer.is_err():
-            self.failure = answer.unwrap_err().detail
+            self.last_failure = answer.unwrap_err().detail
         if delayed and answer.is_ok():
             return
         outcome = "failed" if answer.is_err() else "answered"
-        histogram = self.seconds_by_key.get((kind.value, outcome))
+        histogram = self.durations_by_kind_and_outcome.get((kind.value, outcome))
         if histogram is None:
-            histogram = Histogram(bounds=CALL_BOUNDS_S)
-            self.seconds_by_key[kind.value, outcome] = histogram
-        histogram.note(now - began)
+            histogram = Histogram(bounds=CALL_DURATION_BUCKETS_S)
+            self.durations_by_kind_and_outcome[kind.value, outcome] = histogram
+        histogram.record(now - began)
--- a/packages/daemon/src/plankspindle_daemon/platform/circuit_breaker.py
+++ b/packages/daemon/src/plankspindle_daemon/platform/circuit_breaker.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 FAILURES_TO_OPEN = 3
-OPEN_S = 0.5
+INITIAL_OPEN_S = 0.5
 MAX_OPEN_S = 8.0
 
 
@@ -27,7 +27,7 @@
         self._failures_to_open = failures_to_open
         self._max_open_s = max_open_s
         self._failures = 0
-        self._next_trial = 0.0
+        self._next_probe_at = 0.0
 
     @property
     def closed(self) -> bool:
@@ -44,20 +44,20 @@
         """
         if self.closed:
             return True
-        if now < self._next_trial:
+        if now < self._next_probe_at:
             return False
-        self._next_trial = now + self._open_s()
+        self._next_probe_at = now + self._open_period_s()
         return True
 
-    def note(self, *, failed: bool, now: float) -> None:
+    def record(self, *, failed: bool, now: float) -> None:
         """Record how a call ended."""
         if not failed:
             self._failures = 0
             return
         self._failures += 1
         if not self.closed:
-            self._next_trial = now + self._open_s()
+            self._next_probe_at = now + self._open_period_s()
 
-    def _open_s(self) -> float:
+    def _open_period_s(self) -> float:
         doublings = self._failures - self._failures_to_open
-        return min(self._max_open_s, OPEN_S * 2.0 ** min(doublings, 10))
+        return min(self._max_open_s, INITIAL_OPEN_S * 2.0 ** min(doublings, 10))
--- a/packages/daemon/src/plankspindle_daemon/platform/platform_client.py
+++ b/packages/daemon/src/plankspindle_daemon/platform/platform_client.py
@@ -60,7 +60,7 @@
     def __init__(self, *, endpoint: Endpoint, timeout_s: float) -> None:
         self.endpoint = endpoint
         self.calls = BoundedCalls(timeout_s=timeout_s)
-        self._list_away_at: float | None = None
+        self._list_unavailable_at: float | None = None
 
     async def read_row(self, key: str) -> Result[Row, PlatformUnavailable]:
         """Read one row; an absent one has version ``ABSENT``."""
@@ -69,7 +69,7 @@
             return Err(answer.unwrap_err())
         if answer.unwrap().status == _NOT_FOUND:
             return Ok(Row(key=key, version=ABSENT))
-        return self._read(answer.unwrap(), lambda found: _row(key, found))
+        return self._parse_answer(answer.unwrap(), lambda found: _row(key, found))
 
     async def read_rows(
         self, keys: list[str]
@@ -89,7 +89,7 @@
         answer = await self._call("POST", "/table/read", {"keys": keys})
         if answer.is_err():
             return Err(answer.unwrap_err())
-        return self._read(
+        return self._parse_answer(
             answer.unwrap(),
             lambda found: {key: _row(key, found["rows"][key]) for key in keys},
         )
@@ -112,7 +112,7 @@
         answer = await self._call("GET", f"/table?{query}")
         if answer.is_err():
             return Err(answer.unwrap_err())
-        return self._read(
+        return self._parse_answer(
             answer.unwrap(),
             lambda found: [_row(str(row["key"]), row) for row in found["rows"]],
         )
@@ -142,8 +142,8 @@
         if answer.is_err():
             return Err(answer.unwrap_err())
         if answer.unwrap().status != _CONFLICT:
-            return self._read(answer.unwrap(), lambda _: None)
-        failed = self._read(
+            return self._parse_answer(answer.unwrap(), lambda _: None)
+        failed = self._parse_answer(
             answer.unwrap(),
             lambda found: tuple(str(key) for key in found["failed"]),
             accepted=_CONFLICT,
@@ -159,7 +159,7 @@
         answer = await self._call("PUT", f"/objects/{name}", content)
         if answer.is_err():
             return Err(answer.unwrap_err())
-        return self._read(answer.unwrap(), lambda _: None)
+        return self._parse_answer(answer.unwrap(), lambda _: None)
 
     async def get_object(self, name: str) -> Result[bytes | None, PlatformUnavailable]:
         """Read an object, or None if there is none of that name."""
@@ -175,18 +175,18 @@
                 return Err(PlatformUnavailable(f"status {status}"))
 
     @property
-    def watch_s(self) -> float | None:
+    def long_poll_s(self) -> float | None:
         """Usual longest wait for a change of the list; None if it tells of none."""
         return None
 
     @property
-    def list_away_at(self) -> float | None:
+    def list_unavailable_at(self) -> float | None:
         """When a read of the list was begun that last found the platform away.
 
         Monotonic seconds; None if none did. Only reads over new connections count: one
         that rested may have fallen silent long before, while the platform was there.
         """
-        return self._list_away_at
+        return self._list_unavailable_at
 
     @property
     def unreadable_names(self) -> frozenset[str]:
@@ -198,7 +198,7 @@
         """Version of the list that was read last; None if the platform gives none."""
         return None
 
-    def take_list_change(
+    def apply_list_change(
         self, *, version: int, changed: Iterable[ListedVm], gone: Iterable[str]
     ) -> list[ListedVm]:
         """Take a change of the list from another VM, and give the whole list.
@@ -230,9 +230,9 @@
         answer = await self._call("GET", "/vms")
         if answer.is_err():
             if answer.unwrap_err().tried:
-                self._list_away_at = began
+                self._list_unavailable_at = began
             return Err(answer.unwrap_err())
-        document = self._read(answer.unwrap(), lambda found: found)
+        document = self._parse_answer(answer.unwrap(), lambda found: found)
         return document.and_then(parse_live_list)
 
     async def _call(
@@ -254,7 +254,7 @@
             timeout_s=self.calls.timeout_s,
         )
 
-    def _read(
+    def _parse_answer(
         self,
         answer: HttpAnswer,
         parse: Callable[[Any], Parsed],
--- a/packages/daemon/src/plankspindle_daemon/platform/read_watch.py
+++ b/packages/daemon/src/plankspindle_daemon/platform/read_failure_log.py
@@ -5,12 +5,12 @@
 from plankspindle_core.classes import define
 from plankspindle_core.logs.key_value_destination import log_event
 
-RETRY_S = 0.2
+RETRY_PAUSE_S = 0.2
 """Pause after a read that failed; the circuit breaker bounds the calls themselves."""
 
 
 @define(kw_only=True)
-class ReadWatch:
+class ReadFailureLog:
     """Log the first failure in a row, and how long the row was when it ends.
 
     Parameters
@@ -31,7 +31,7 @@
 
     subject: str
     failures: int = 0
-    _since: float = 0.0
+    _failing_since: float = 0.0
     _longest_s: float = 0.0
 
     @property
@@ -39,8 +39,8 @@
         """Whether the last read failed."""
         return self.failures > 0
 
-    def note_failed(
-        self, detail: str, *, began: float, now: float, **fields: int
+    def record_failure(
+        self, detail: str, *, started_at: float, now: float, **fields: int
     ) -> None:
         """Take a read that failed.
 
@@ -48,17 +48,17 @@
         ----------
         detail : str
             Why.
-        began, now : float
+        started_at, now : float
             When it was begun and when it failed, monotonic seconds.
         **fields : int
             What else the first event of a row says.
         """
-        took_s = now - began
+        took_s = now - started_at
         self._longest_s = max(self._longest_s, took_s)
         self.failures += 1
         if self.failures > 1:
             return
-        self._since = began
+        self._failing_since = started_at
         log_event(
             f"{self.subject}_unread",
             detail=detail,
@@ -66,12 +66,12 @@
             **fields,
         )
 
-    def note_read(self, now: float) -> None:
+    def record_success(self, now: float) -> None:
         """Take a read that succeeded at a time, monotonic seconds."""
         if self.failures:
             log_event(
                 f"{self.subject}_read_again",
-                unread_ms=round((now - self._since) * 1000),
+                unread_ms=round((now - self._failing_since) * 1000),
                 failed=self.failures,
                 longest_ms=round(self._longest_s * 1000),
             )
--- a/packages/daemon/src/plankspindle_daemon/ports.py
+++ b/packages/daemon/src/plankspindle_daemon/platform_ports.py
@@ -21,7 +21,7 @@
     from plankspindle_daemon.settings.daemon_settings import DaemonSettings
 
 
-class Door(Protocol):
+class ExtraListener(Protocol):
     """A further listener."""
 
     async def start(self) -> None:
@@ -32,7 +32,7 @@
 
 
 @frozen(kw_only=True)
-class Ports:
+class PlatformPorts:
     """The ways to the platform, and what differs with it.
 
     Parameters
@@ -45,13 +45,13 @@
         What enters this VM in the list, where the platform does not do so itself.
     dialect : Dialect
         Names of headers towards callers and upstreams.
-    doors : tuple of callable
+    listener_factories : tuple of callable
         Makers of further listeners.
     lists_upstreams : bool
         Whether upstreams are declared by the list of VMs.
-    all_read : bool
+    all_vms_read_configuration : bool
         Whether every entry VM reads the configuration, not only a few.
-    all_domains : bool
+    heartbeats_across_domains : bool
         Whether entry VMs of all failure domains send heartbeats to one another.
     """
 
@@ -59,16 +59,18 @@
     reader: ReaderPort
     presence: PresencePort | None = None
     dialect: Dialect = Factory(Dialect)
-    doors: tuple[Callable[[Node, Supervisor], Door], ...] = ()
+    listener_factories: tuple[Callable[[Node, Supervisor], ExtraListener], ...] = ()
     lists_upstreams: bool = False
-    all_read: bool = False
-    all_domains: bool = False
+    all_vms_read_configuration: bool = False
+    heartbeats_across_domains: bool = False
 
 
-def own_ports(settings: DaemonSettings) -> Ports:
+def default_ports(settings: DaemonSettings) -> PlatformPorts:
     """Make the ports to a platform that speaks the product's own interface."""
     platform = PlatformClient(
         endpoint=settings.platform,
         timeout_s=settings.timing.platform_timeout_ms / 1000,
     )
-    return Ports(platform=platform, reader=ConfigurationReader(platform=platform))
+    return PlatformPorts(
+        platform=platform, reader=ConfigurationReader(platform=platform)
+    )
--- a/packages/daemon/src/plankspindle_daemon/quarantine/quarantine.py
+++ b/packages/daemon/src/plankspindle_daemon/quarantine/quarantine.py
@@ -157,7 +157,7 @@
         self.is_unsaved = True
         self._log("quarantine_trial", entry.identity, trial=probed.probe_attempts)
         update = CrashNews(sender=self.vm, quarantined=(_as_message(probed, now),))
-        self.resend_queue.send_later(self._to_all(update), now)
+        self.resend_queue.schedule(self._to_all(update), now)
 
     def record_crash(
         self, identity: int, incarnation_id: str, *, at: float, now: float
@@ -191,7 +191,9 @@
             return []
         self._clear(identity, now, now)
         self.is_unsaved = True
-        return self.resend_queue.send(self._to_all(self._clearance(identity)), now)
+        return self.resend_queue.send_repeatedly(
+            self._to_all(self._clearance(identity)), now
+        )
 
     def _clearance(self, identity: int) -> CrashNews:
         cleared = Clearance(identity=identity, ago_ms=0)
@@ -276,7 +278,7 @@
         )
         message = evolve(_as_message(entry, now), lives=incarnation_ids)
         update = CrashNews(sender=self.vm, quarantined=(message,))
-        return self.resend_queue.send(self._to_all(update), now)
+        return self.resend_queue.send_repeatedly(self._to_all(update), now)
 
     def _apply_report(
         self, report: CrashReport, reply_to: Endpoint | None, now: float
@@ -306,7 +308,7 @@
         watch = CrashNews(
             sender=self.vm, watched=(report.identity,), suspected=suspected
         )
-        return self.resend_queue.send(self._to_all(watch), now)
+        return self.resend_queue.send_repeatedly(self._to_all(watch), now)
 
     def _apply_entry(self, message: Quarantined, now: float) -> None:
         entry = QuarantineEntry(
@@ -328,7 +330,9 @@
             self._log("quarantine_lifted", identity)
         if record is None or record.watched_at is None:
             return []
-        return self.resend_queue.send(self._to_all(self._clearance(identity)), now)
+        return self.resend_queue.send_repeatedly(
+            self._to_all(self._clearance(identity)), now
+        )
 
     def _send_to_aggregators(
         self, identity: int, update: CrashNews, now: float
@@ -344,7 +348,7 @@
                 own += self._apply_report(report, None, now)
             for cleared in update.cleared:
                 own += self._clear(cleared.identity, now, now)
-        return [*own, *self.resend_queue.send(effects, now)]
+        return [*own, *self.resend_queue.send_repeatedly(effects, now)]
 
     def _to_all(self, update: CrashNews) -> list[SendToPeer]:
         return [
--- a/packages/daemon/src/plankspindle_daemon/quotas/quotas.py
+++ b/packages/daemon/src/plankspindle_daemon/quotas/quotas.py
@@ -171,7 +171,7 @@
                 return []
 
     def tick(
-        self, *, readiness: Readiness, knows_list: bool, now: float
+        self, *, readiness: Readiness, has_list: bool, now: float
     ) -> list[QuotaEffect]:
         """Handle timeouts, renew claims and resend updates.
 
@@ -180,13 +180,13 @@
         readiness : Readiness
             Readiness of this VM, which holds shares only while it serves and is not
             leaving.
-        knows_list : bool
+        has_list : bool
             Whether the list of VMs was read; without it the share of a VM is unknown.
         now : float
             Monotonic seconds.
         """
         self._may_hold = readiness in _HOLDER_READINESS
-        self._has_list = knows_list
+        self._has_list = has_list
         if not (self._has_quotas or self.limits.is_needed):
             return []
         effects = [*self.token_requester.tick(now), *self.limits.tick(now)]
--- a/packages/daemon/src/plankspindle_daemon/quotas/upstream_limits.py
+++ b/packages/daemon/src/plankspindle_daemon/quotas/upstream_limits.py
@@ -288,7 +288,7 @@
             for member in members
             if member.peer_endpoint is not None
         ]
-        return self._outbox.send(effects, now)
+        return self._outbox.send_repeatedly(effects, now)
 
     def _apply_effects(
         self, effects: list[TokenRequesterEffect], now: float
--- a/packages/daemon/src/plankspindle_daemon/routes/route_table.py
+++ b/packages/daemon/src/plankspindle_daemon/routes/route_table.py
@@ -14,7 +14,7 @@
 
 
 @frozen(kw_only=True)
-class FoundRoute:
+class RouteMatch:
     """A route and the service whose turn it is."""
 
     name: str
@@ -23,14 +23,14 @@
 
 
 @define(kw_only=True)
-class _Division:
+class _WeightedRoundRobin:
     """Smooth weighted round robin over the parts of one route."""
 
     parts: list[ServicePart]
     credits: list[float]
 
     @classmethod
-    def of(cls, parts: list[ServicePart]) -> _Division:
+    def of(cls, parts: list[ServicePart]) -> _WeightedRoundRobin:
         return cls(parts=parts, credits=[0.0] * len(parts))
 
     def next_service(self) -> str:
@@ -59,17 +59,17 @@
 
     def __init__(self, *, routes_by_name: Mapping[str, Route]) -> None:
         self._by_host: dict[str, dict[str, tuple[str, Route]]] = {}
-        self._divisions_by_name: dict[str, _Division] = {}
+        self._divisions_by_name: dict[str, _WeightedRoundRobin] = {}
         for name, route in routes_by_name.items():
             by_prefix = self._by_host.setdefault(route.host, {})
             by_prefix[route.path_prefix] = (name, route)
             if len(route.parts) > 1:
-                self._divisions_by_name[name] = _Division.of(route.parts)
+                self._divisions_by_name[name] = _WeightedRoundRobin.of(route.parts)
 
     def __len__(self) -> int:
         return sum(len(by_prefix) for by_prefix in self._by_host.values())
 
-    def replaced_by(self, routes_by_name: Mapping[str, Route]) -> RouteTable:
+    def with_routes(self, routes_by_name: Mapping[str, Route]) -> RouteTable:
         """Give the table of another version.
 
         Routes whose parts have not changed go on with their turns.
@@ -81,11 +81,11 @@
                 division.credits = known.credits
         return table
 
-    def knows_host(self, host: str) -> bool:
+    def has_host(self, host: str) -> bool:
         """Tell whether any route is for a host."""
-        return _name_of(host) in self._by_host
+        return _host_name(host) in self._by_host
 
-    def find(self, *, host: str, path: str) -> FoundRoute | None:
+    def find(self, *, host: str, path: str) -> RouteMatch | None:
         """Find the route of a request.
 
         Parameters
@@ -97,26 +97,26 @@
 
         Returns
         -------
-        FoundRoute or None
+        RouteMatch or None
             The route with the longest prefix; None if there is none.
         """
-        by_prefix = self._by_host.get(_name_of(host))
+        by_prefix = self._by_host.get(_host_name(host))
         if by_prefix is None:
             return None
         end = len(path)
         while (end := path.rfind("/", 0, end)) >= 0:
             found = by_prefix.get(path[: end + 1])
             if found is not None:
-                return self._with_service(*found)
+                return self._select_service(*found)
         return None
 
-    def _with_service(self, name: str, route: Route) -> FoundRoute:
+    def _select_service(self, name: str, route: Route) -> RouteMatch:
         division = self._divisions_by_name.get(name)
         if division is None:
-            return FoundRoute(name=name, route=route, service=route.parts[0].service)
-        return FoundRoute(name=name, route=route, service=division.next_service())
+            return RouteMatch(name=name, route=route, service=route.parts[0].service)
+        return RouteMatch(name=name, route=route, service=division.next_service())
 
 
-def _name_of(host: str) -> str:
+def _host_name(host: str) -> str:
     """Strip the port from the value of a ``Host`` header."""
     return host.partition(":")[0].lower()
--- a/packages/daemon/src/plankspindle_daemon/settings/daemon_settings.py
+++ b/packages/daemon/src/plankspindle_daemon/settings/daemon_settings.py
@@ -11,8 +11,8 @@
 from plankspindle_core.http.limits import HttpLimits
 from plankspindle_daemon.leaving.leave import LINGER_S
 
-MIN_PEER_KEY_HEX = 32
-LINGER_MS = int(LINGER_S * 1000)
+MIN_PEER_KEY_HEX_DIGITS = 32
+DEFAULT_LINGER_MS = int(LINGER_S * 1000)
 
 
 @frozen(kw_only=True)
@@ -43,7 +43,7 @@
 
     Parameters
     ----------
-    heartbeat_ms : int
+    receive_heartbeat_ms : int
         Period of heartbeats to each peer while they fit the byte budget.
     suspect_after_ms : int
         Silence after which a peer gets no forwarded requests.
@@ -87,7 +87,7 @@
     shared_read_ms: int = field(default=0, validator=validators.ge(0))
     connect_timeout_ms: int = field(default=300, validator=validators.gt(0))
     pause_ms: int = field(default=1_000, validator=validators.gt(0))
-    linger_ms: int = field(default=LINGER_MS, validator=validators.ge(0))
+    linger_ms: int = field(default=DEFAULT_LINGER_MS, validator=validators.ge(0))
     leave_ms: int = field(default=600_000, validator=validators.ge(0))
 
 
@@ -222,8 +222,8 @@
         for index, key in enumerate(self.secrets.peer_keys):
             if not _is_key(key):
                 found.append(
-                    f"secrets.peer_keys[{index}]: write at least {MIN_PEER_KEY_HEX}"
-                    " hexadecimal digits"
+                    f"secrets.peer_keys[{index}]: write at least"
+                    f" {MIN_PEER_KEY_HEX_DIGITS} hexadecimal digits"
                 )
         if not self.secrets.operator_token and not _is_loopback(self.listen.operator):
             found.append(
@@ -235,7 +235,7 @@
 
 def _is_key(text: str) -> bool:
     try:
-        return len(bytes.fromhex(text)) * 2 >= MIN_PEER_KEY_HEX
+        return len(bytes.fromhex(text)) * 2 >= MIN_PEER_KEY_HEX_DIGITS
     except ValueError:
         return False
 
--- a/packages/daemon/src/plankspindle_daemon/settings/settings_file.py
+++ b/packages/daemon/src/plankspindle_daemon/settings/settings_file.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from os import stat_result
 
-LIVE_SECTIONS = frozenset({"peers", "requests", "secrets"})
+RELOADABLE_SECTIONS = frozenset({"peers", "requests", "secrets"})
 """Sections that a running daemon takes; the others hold from its start on."""
 
 
@@ -27,14 +27,14 @@
 
     Parameters
     ----------
-    live : tuple of str
+    reloadable : tuple of str
         Sections that a running daemon takes.
-    at_start : tuple of str
+    restart_required : tuple of str
         Sections that it takes when it is started again.
     """
 
-    live: tuple[str, ...]
-    at_start: tuple[str, ...]
+    reloadable: tuple[str, ...]
+    restart_required: tuple[str, ...]
 
     @classmethod
     def between(cls, old: DaemonSettings, new: DaemonSettings) -> SettingsChange:
@@ -42,8 +42,10 @@
         names = [each.name for each in fields(DaemonSettings)]
         changed = [name for name in names if getattr(old, name) != getattr(new, name)]
         return cls(
-            live=tuple(name for name in changed if name in LIVE_SECTIONS),
-            at_start=tuple(name for name in changed if name not in LIVE_SECTIONS),
+            reloadable=tuple(name for name in changed if name in RELOADABLE_SECTIONS),
+            restart_required=tuple(
+                name for name in changed if name not in RELOADABLE_SECTIONS
+            ),
         )
 
 
@@ -55,31 +57,31 @@
     ----------
     path : Path
         The file.
-    reads : callable
+    reader : callable
         Reads it.
     """
 
     path: Path
-    reads: Callable[[Path], Result[DaemonSettings, InvalidDocument]]
-    _seen: tuple[int, int, int] | None = None
+    reader: Callable[[Path], Result[DaemonSettings, InvalidDocument]]
+    _last_version: tuple[int, int, int] | None = None
 
     def read(self) -> Result[DaemonSettings, InvalidDocument]:
         """Read the file as it is now."""
-        self._seen = self._look()
-        return self.reads(self.path)
+        self._last_version = self._read_version()
+        return self.reader(self.path)
 
     def has_changed(self) -> bool:
         """Tell whether it changed since it was read or looked at last."""
-        before, self._seen = self._seen, self._look()
-        return before is not None and self._seen not in (before, None)
+        before, self._last_version = self._last_version, self._read_version()
+        return before is not None and self._last_version not in (before, None)
 
-    def _look(self) -> tuple[int, int, int] | None:
+    def _read_version(self) -> tuple[int, int, int] | None:
         try:
             found = self.path.stat()
         except OSError:
             return None
-        return _identity(found)
+        return _version_of(found)
 
 
-def _identity(found: stat_result) -> tuple[int, int, int]:
+def _version_of(found: stat_result) -> tuple[int, int, int]:
     return found.st_mtime_ns, found.st_size, found.st_ino
--- a/packages/daemon/src/plankspindle_daemon/sharing/list_history.py
+++ b/packages/daemon/src/plankspindle_daemon/sharing/list_history.py
@@ -40,7 +40,7 @@
 
     Parameters
     ----------
-    bases : tuple of (int, int)
+    base_spans : tuple of (int, int)
         Spans of versions that it can be applied to, as first and last version of each.
         A list of a version between two spans may hold entries that this VM never saw.
     version : int
@@ -51,14 +51,14 @@
         Upstreams that are no longer listed.
     """
 
-    bases: tuple[tuple[int, int], ...]
+    base_spans: tuple[tuple[int, int], ...]
     version: int
     changed: tuple[ListedVm, ...] = ()
     gone: tuple[str, ...] = ()
 
     def applies_to(self, version: int) -> bool:
         """Return whether the change can be applied to a version of the list."""
-        return any(first <= version <= last for first, last in self.bases)
+        return any(first <= version <= last for first, last in self.base_spans)
 
     def merged_with(self, later: ListChange) -> ListChange:
         """Return this change and a following one combined."""
@@ -66,7 +66,7 @@
         listed_again = {each.name for each in later.changed}
         gone = (set(self.gone) - listed_again) | set(later.gone)
         return ListChange(
-            bases=(*self.bases, *later.bases),
+            base_spans=(*self.base_spans, *later.base_spans),
             version=later.version,
             changed=tuple(each for name, each in latest.items() if name not in gone),
             gone=tuple(sorted(gone)),
@@ -75,7 +75,7 @@
     def fits_message(self) -> bool:
         """Return whether the change fits into one message."""
         return (
-            len(self.bases) <= MAX_BASES
+            len(self.base_spans) <= MAX_BASES
             and len(self.changed) <= MAX_CHANGED
             and len(self.gone) <= MAX_GONE
         )
@@ -94,7 +94,7 @@
             -(-len(self.changed) // MAX_CHANGED),
             -(-len(self.gone) // MAX_GONE),
         )
-        if count > MAX_PARTS or len(self.bases) > MAX_BASES:
+        if count > MAX_PARTS or len(self.base_spans) > MAX_BASES:
             return []
         return [
             evolve(
@@ -138,7 +138,7 @@
             self._unchanged_since = version
         elif changed or gone:
             change = ListChange(
-                bases=((self._unchanged_since, self._version),),
+                base_spans=((self._unchanged_since, self._version),),
                 version=version,
                 changed=changed,
                 gone=gone,
@@ -167,7 +167,7 @@
         if self._unchanged_since is None:
             raise ValueError("no list was recorded yet")
         recent = ListChange(
-            bases=((self._unchanged_since, self._version),), version=self._version
+            base_spans=((self._unchanged_since, self._version),), version=self._version
         )
         for change in reversed(self._changes):
             merged = change.merged_with(recent)
--- a/packages/daemon/src/plankspindle_daemon/sharing/shared_reads.py
+++ b/packages/daemon/src/plankspindle_daemon/sharing/shared_reads.py
@@ -250,7 +250,7 @@
         *,
         version: int | None,
         configuration_version: int,
-        kept_until: float,
+        retained_until: float,
         now: float,
     ) -> list[SendToPeer]:
         """Record a list that this VM has read, and broadcast its changes.
@@ -263,7 +263,7 @@
             Its version; a list without version cannot be shared.
         configuration_version : int
             Version of the configuration in force.
-        kept_until : float
+        retained_until : float
             Until when entries are retained that are missing since the platform was
             unavailable, in monotonic seconds.
         now : float
@@ -275,7 +275,7 @@
         self.list_version = version
         self._list.own_read_at = now
         self._assembler.reset()
-        self._retained_until = kept_until
+        self._retained_until = retained_until
         self._settled_at = min(self._settled_at, now + SETTLE_S)
         return self._broadcast(configuration_version, now, change=change)
 
@@ -319,7 +319,7 @@
     ) -> ListNews:
         return ListNews(
             sender=self.group.vm,
-            bases=tuple(end for span in change.bases for end in span),
+            bases=tuple(end for span in change.base_spans for end in span),
             version=change.version,
             list_age_ms=self._list.age_ms(now),
             configuration_age_ms=self._configuration.age_ms(now),
@@ -373,7 +373,7 @@
 
     def _apply_change(self, update: ListNews, now: float) -> ListChange | None:
         change = ListChange(
-            bases=tuple(zip(update.bases[::2], update.bases[1::2], strict=False)),
+            base_spans=tuple(zip(update.bases[::2], update.bases[1::2], strict=False)),
             version=update.version,
             changed=tuple(decode_upstream(each, now) for each in update.changed),
             gone=update.gone,
--- a/packages/daemon/src/plankspindle_daemon/shifts/shift_meter.py
+++ b/packages/daemon/src/plankspindle_daemon/shifts/shift_meter.py
@@ -40,28 +40,30 @@
     ----------
     shift : Shift
         The shift.
-    since : float
+    started_at : float
         When it came in force here, monotonic seconds.
-    total : int
+    request_count : int
         Requests of the service since the shift is in force here.
-    moved : int
+    moved_count : int
         Those that were moved.
     """
 
     shift: Shift
-    since: float
-    total: int = 0
-    moved: int = 0
+    started_at: float
+    request_count: int = 0
+    moved_count: int = 0
 
     def may_move(self) -> bool:
         """Tell whether one more moved request keeps within the cap."""
-        return (self.moved + 1) * 100 <= self.shift.cap_percent * self.total
+        return (
+            self.moved_count + 1
+        ) * 100 <= self.shift.cap_percent * self.request_count
 
     def ramped_percent(self, now: float) -> float:
         """Give the share of the callers that may move by now, in percent."""
         if self.shift.ramp_s == 0:
             return self.shift.cap_percent
-        done = min(1.0, max(0.0, now - self.since) / self.shift.ramp_s)
+        done = min(1.0, max(0.0, now - self.started_at) / self.shift.ramp_s)
         return self.shift.cap_percent * done
 
 
@@ -90,7 +92,7 @@
         """Make a meter without shifts."""
         return cls(region=region, by_id_by_service={})
 
-    def use_shifts(self, shifts_by_id: dict[str, Shift], now: float) -> None:
+    def apply_shifts(self, shifts_by_id: dict[str, Shift], now: float) -> None:
         """Take the shifts of another version; counts of unchanged ones are kept."""
         before = {
             shift_id: metered
@@ -103,7 +105,7 @@
                 continue
             metered = before.get(shift_id)
             if metered is None or metered.shift != shift:
-                metered = MeteredShift(shift=shift, since=now)
+                metered = MeteredShift(shift=shift, started_at=now)
             self._by_id_by_service.setdefault(shift.service, {})[shift_id] = metered
 
     def choose(self, *, service: str, caller_key: str, now: float) -> Stay | Move:
@@ -130,20 +132,21 @@
         begin = 0.0
         chosen: Stay | Move = Stay()
         for shift_id, metered in by_id.items():
-            metered.total += 1
+            metered.request_count += 1
             moving = begin + metered.ramped_percent(now)
             if begin <= place < moving and metered.may_move():
                 chosen = Move(shift_id, metered.shift.to_region)
             begin += metered.shift.cap_percent
         return chosen
 
-    def count_move(self, *, service: str, move: Move) -> None:
+    def record_move(self, *, service: str, move: Move) -> None:
         """Count a request that is moved."""
         metered = self._by_id_by_service[service][move.shift_id]
-        metered.moved += 1
+        metered.moved_count += 1
         check_invariant(
             "shift-within-cap",
-            metered.moved * 100 <= metered.shift.cap_percent * metered.total,
+            metered.moved_count * 100
+            <= metered.shift.cap_percent * metered.request_count,
             move.shift_id,
         )
 
--- a/packages/daemon/src/plankspindle_daemon/status_changes/member_monitor.py
+++ b/packages/daemon/src/plankspindle_daemon/status_changes/member_monitor.py
@@ -27,8 +27,8 @@
 
 
 @frozen
-class _Seen:
-    hearing: HeartbeatStatus
+class _ObservedMember:
+    heartbeat_status: HeartbeatStatus
     incarnation: int
     failure_domain: str | None
 
@@ -37,7 +37,7 @@
 class MemberMonitor:
     """Compare the members with those before."""
 
-    _seen_by_name: dict[str, _Seen] = field(factory=dict)
+    _observed_by_name: dict[str, _ObservedMember] = field(factory=dict)
     _lost_domains: set[str] = field(factory=set)
 
     def observe(self, membership: Membership, now: float) -> list[StatusChange]:
@@ -52,30 +52,37 @@
         """
         suspect_after_s = membership.suspect_after_s()
         seen = {
-            name: self._same_or_new(member, _hearing(member, suspect_after_s, now))
+            name: self._observe_member(
+                member, _heartbeat_status(member, suspect_after_s, now)
+            )
             for name, member in membership.members_by_name.items()
         }
-        beliefs = [*self._changes(membership, seen, now), *self._removed(seen)]
-        self._seen_by_name = seen
-        return [*beliefs, *self._domains()]
-
-    def _same_or_new(self, member: Member, hearing: HeartbeatStatus) -> _Seen:
+        beliefs = [
+            *self._member_changes(membership, seen, now),
+            *self._member_removals(seen),
+        ]
+        self._observed_by_name = seen
+        return [*beliefs, *self._domain_changes()]
+
+    def _observe_member(
+        self, member: Member, hearing: HeartbeatStatus
+    ) -> _ObservedMember:
         """Give what was seen before where it still holds, to compare little."""
-        was = self._seen_by_name.get(member.name)
+        was = self._observed_by_name.get(member.name)
         if (
             was is not None
-            and was.hearing is hearing
+            and was.heartbeat_status is hearing
             and was.incarnation == member.incarnation
             and was.failure_domain == member.failure_domain
         ):
             return was
-        return _Seen(hearing, member.incarnation, member.failure_domain)
+        return _ObservedMember(hearing, member.incarnation, member.failure_domain)
 
-    def _changes(
-        self, membership: Membership, seen: dict[str, _Seen], now: float
+    def _member_changes(
+        self, membership: Membership, seen: dict[str, _ObservedMember], now: float
     ) -> Iterator[StatusChange]:
         for name, found in seen.items():
-            was = self._seen_by_name.get(name)
+            was = self._observed_by_name.get(name)
             if was is found:
                 continue
             member = membership.members_by_name[name]
@@ -83,8 +90,8 @@
             fields = {
                 "member": name,
                 "domain": found.failure_domain,
-                "was": "new" if was is None else was.hearing.value,
-                "now": found.hearing.value,
+                "was": "new" if was is None else was.heartbeat_status.value,
+                "now": found.heartbeat_status.value,
                 "incarnation": f"{found.incarnation:016x}",
                 "restarted": was is not None and was.incarnation != found.incarnation,
                 "listed": name in membership.listed_by_name,
@@ -93,21 +100,23 @@
             }
             yield StatusChange(event="member_standing", fields=fields)
 
-    def _removed(self, seen: dict[str, _Seen]) -> Iterator[StatusChange]:
-        for name, was in self._seen_by_name.items():
+    def _member_removals(
+        self, seen: dict[str, _ObservedMember]
+    ) -> Iterator[StatusChange]:
+        for name, was in self._observed_by_name.items():
             if name not in seen:
                 fields = {"member": name, "domain": was.failure_domain}
-                standing = {"was": was.hearing.value, "now": "removed"}
+                standing = {"was": was.heartbeat_status.value, "now": "removed"}
                 yield StatusChange(
                     event="member_standing", fields={**fields, **standing}
                 )
 
-    def _domains(self) -> Iterator[StatusChange]:
+    def _domain_changes(self) -> Iterator[StatusChange]:
         """Notice domains none of whose members is heard any more, and their return."""
         heard_by_domain: dict[str, bool] = {}
-        for found in self._seen_by_name.values():
+        for found in self._observed_by_name.values():
             if found.failure_domain is not None:
-                is_heard = found.hearing is HeartbeatStatus.RECEIVED
+                is_heard = found.heartbeat_status is HeartbeatStatus.RECEIVED
                 known = heard_by_domain.get(found.failure_domain, False)
                 heard_by_domain[found.failure_domain] = known or is_heard
         for domain, is_heard in heard_by_domain.items():
@@ -119,7 +128,9 @@
                 yield StatusChange(event="domain_lost", fields={"domain": domain})
 
 
-def _hearing(member: Member, suspect_after_s: float, now: float) -> HeartbeatStatus:
+def _heartbeat_status(
+    member: Member, suspect_after_s: float, now: float
+) -> HeartbeatStatus:
     if member.last_heartbeat_at is None:
         return HeartbeatStatus.NEVER_RECEIVED
     is_silent = member.is_suspected(now=now, suspect_after_s=suspect_after_s)
--- a/packages/daemon/src/plankspindle_daemon/status_changes/plan_monitor.py
+++ b/packages/daemon/src/plankspindle_daemon/status_changes/plan_monitor.py
@@ -23,7 +23,7 @@
 class PlanMonitor:
     """Compare the plan of each service with the one that was logged last."""
 
-    _part_by_service: dict[str, float] = field(factory=dict)
+    _remote_share_by_service: dict[str, float] = field(factory=dict)
 
     def observe(
         self, dispatchers_by_service: Mapping[str, Dispatcher]
@@ -39,10 +39,10 @@
             if dispatcher.placement is None:
                 continue
             plan = dispatcher.placement.plan
-            was = self._part_by_service.get(service, 0.0)
+            was = self._remote_share_by_service.get(service, 0.0)
             if abs(plan.remote_share - was) < MIN_SHARE_CHANGE:
                 continue
-            self._part_by_service[service] = plan.remote_share
+            self._remote_share_by_service[service] = plan.remote_share
             yield StatusChange(
                 event="keys_leaving_region",
                 fields={
--- a/packages/daemon/src/plankspindle_daemon/status_changes/quarantine_changes.py
+++ b/packages/daemon/src/plankspindle_daemon/status_changes/quarantine_changes.py
@@ -13,7 +13,7 @@
     from plankspindle_daemon.quarantine.quarantine import Quarantine
 
 
-def take_changes(quarantine: Quarantine) -> Iterator[StatusChange]:
+def pop_changes(quarantine: Quarantine) -> Iterator[StatusChange]:
     """Take the changes since the last time out of a quarantine."""
     changes, quarantine.changes = quarantine.changes, []
     for change in changes:
--- a/packages/daemon/src/plankspindle_daemon/status_changes/status_monitor.py
+++ b/packages/daemon/src/plankspindle_daemon/status_changes/status_monitor.py
@@ -9,7 +9,7 @@
 from plankspindle_core.classes import define
 from plankspindle_daemon.status_changes.member_monitor import MemberMonitor
 from plankspindle_daemon.status_changes.plan_monitor import PlanMonitor
-from plankspindle_daemon.status_changes.quarantine_changes import take_changes
+from plankspindle_daemon.status_changes.quarantine_changes import pop_changes
 from plankspindle_daemon.status_changes.status_change import StatusChange
 from plankspindle_daemon.status_changes.upstream_monitor import UpstreamMonitor
 
@@ -41,9 +41,9 @@
     members: MemberMonitor = field(factory=MemberMonitor)
     plans: PlanMonitor = field(factory=PlanMonitor)
     _readiness: str | None = None
-    _role: str | None = None
-    _part: float = 0.0
-    _drains: frozenset[str] = frozenset()
+    _reader_role: str | None = None
+    _remote_share: float = 0.0
+    _drain_ids: frozenset[str] = frozenset()
     _platform_lost_at: float | None = None
 
     def observe(
@@ -64,45 +64,49 @@
             *self.upstreams.observe(node.dispatchers_by_service, now),
             *self.members.observe(node.membership, now),
             *self.plans.observe(node.dispatchers_by_service),
-            *self._platform(calls, now),
-            *self._drained(node),
-            *self._own(node),
-            *self._reads(node, now),
-            *take_changes(node.quarantine),
+            *self._platform_changes(calls, now),
+            *self._drain_changes(node),
+            *self._own_changes(node),
+            *self._reader_role_changes(node, now),
+            *pop_changes(node.quarantine),
         ]
 
-    def _platform(self, calls: BoundedCalls, now: float) -> Iterator[StatusChange]:
+    def _platform_changes(
+        self, calls: BoundedCalls, now: float
+    ) -> Iterator[StatusChange]:
         if not calls.available and self._platform_lost_at is None:
             self._platform_lost_at = now
-            yield StatusChange(event="platform_lost", fields={"seen": calls.failure})
+            yield StatusChange(
+                event="platform_lost", fields={"seen": calls.last_failure}
+            )
         elif calls.available and self._platform_lost_at is not None:
             away_ms = round(1000 * (now - self._platform_lost_at))
             self._platform_lost_at = None
             yield StatusChange(event="platform_regained", fields={"away_ms": away_ms})
 
-    def _drained(self, node: Node) -> Iterator[StatusChange]:
+    def _drain_changes(self, node: Node) -> Iterator[StatusChange]:
         if node.configuration is None:
             return
         drains = frozenset(node.configuration.drains_by_id)
-        for drain in sorted(drains - self._drains):
+        for drain in sorted(drains - self._drain_ids):
             yield StatusChange(event="drain_began", fields={"drain": drain})
-        for drain in sorted(self._drains - drains):
+        for drain in sorted(self._drain_ids - drains):
             yield StatusChange(event="drain_ended", fields={"drain": drain})
-        self._drains = drains
+        self._drain_ids = drains
 
-    def _reads(self, node: Node, now: float) -> Iterator[StatusChange]:
+    def _reader_role_changes(self, node: Node, now: float) -> Iterator[StatusChange]:
         role = node.shared_reads.role(now).value
-        if role != self._role:
-            was, self._role = self._role, role
+        if role != self._reader_role:
+            was, self._reader_role = self._reader_role, role
             yield StatusChange(event="platform_reads", fields={"was": was, "now": role})
 
-    def _own(self, node: Node) -> Iterator[StatusChange]:
+    def _own_changes(self, node: Node) -> Iterator[StatusChange]:
         readiness = node.readiness().value
         if readiness != self._readiness:
             was, self._readiness = self._readiness, readiness
             yield StatusChange(event="readiness", fields={"was": was, "now": readiness})
         part = node.services.limiter.share
-        if abs(part - self._part) >= MIN_SHARE_CHANGE:
-            was_part, self._part = self._part, part
+        if abs(part - self._remote_share) >= MIN_SHARE_CHANGE:
+            was_part, self._remote_share = self._remote_share, part
             fields = {"was": round(was_part, 3), "now": round(part, 3)}
             yield StatusChange(event="part_leaving_region", fields=fields)
--- a/packages/daemon/src/plankspindle_daemon/status_changes/upstream_monitor.py
+++ b/packages/daemon/src/plankspindle_daemon/status_changes/upstream_monitor.py
@@ -35,8 +35,8 @@
     """
 
     ejections_by_service: Counter[str] = field(factory=Counter)
-    _standing_by_service: dict[str, dict[str, UpstreamStatus]] = field(factory=dict)
-    _stated_by_name: dict[str, UpstreamStatement] = field(factory=dict)
+    _statuses_by_service: dict[str, dict[str, UpstreamStatus]] = field(factory=dict)
+    _statement_by_name: dict[str, UpstreamStatement] = field(factory=dict)
 
     def observe(
         self, dispatchers_by_service: Mapping[str, Dispatcher], now: float
@@ -53,9 +53,9 @@
         beliefs: list[StatusChange] = []
         for service, dispatcher in dispatchers_by_service.items():
             present = dispatcher.upstreams_by_name
-            known = self._standing_by_service.setdefault(service, {})
+            known = self._statuses_by_service.setdefault(service, {})
             for name, upstream in present.items():
-                beliefs += self._stated(service, upstream)
+                beliefs += self._statement_changes(service, upstream)
                 standing = upstream.status(now)
                 was = known.get(name)
                 if standing is was:
@@ -65,19 +65,21 @@
                     continue
                 if standing is UpstreamStatus.BACKED_OFF:
                     self.ejections_by_service[service] += 1
-                beliefs.append(_changed(service, upstream, was, now))
-            for gone in _gone(service, known, present):
-                self._stated_by_name.pop(str(gone.fields["upstream"]), None)
+                beliefs.append(_status_change(service, upstream, was, now))
+            for gone in _removals(service, known, present):
+                self._statement_by_name.pop(str(gone.fields["upstream"]), None)
                 beliefs.append(gone)
         return beliefs
 
-    def _stated(self, service: str, upstream: UpstreamState) -> Iterator[StatusChange]:
+    def _statement_changes(
+        self, service: str, upstream: UpstreamState
+    ) -> Iterator[StatusChange]:
         """Give what an upstream says of itself, where that is another than before."""
-        was = self._stated_by_name.get(upstream.name, NO_STATEMENT)
+        was = self._statement_by_name.get(upstream.name, NO_STATEMENT)
         stated = upstream.last_statement
         if stated == was:
             return
-        self._stated_by_name[upstream.name] = stated
+        self._statement_by_name[upstream.name] = stated
         fields = {
             "service": service,
             "upstream": upstream.name,
@@ -90,7 +92,7 @@
         yield StatusChange(event="upstream_stated", fields=fields)
 
 
-def _gone(
+def _removals(
     service: str, known: dict[str, UpstreamStatus], present: Mapping[str, UpstreamState]
 ) -> Iterator[StatusChange]:
     """Forget the upstreams that are there no more."""
@@ -100,7 +102,7 @@
         yield StatusChange(event="upstream_standing", fields={**fields, "now": REMOVED})
 
 
-def _changed(
+def _status_change(
     service: str, upstream: UpstreamState, was: UpstreamStatus | None, now: float
 ) -> StatusChange:
     seen, answered_at = upstream.evidence, upstream.answered_at
--- a/packages/daemon/src/plankspindle_daemon/ticker.py
+++ b/packages/daemon/src/plankspindle_daemon/ticker.py
@@ -24,16 +24,16 @@
 from plankspindle_daemon.quarantine.quarantine_store import QuarantineStore
 from plankspindle_daemon.status_changes.status_monitor import StatusMonitor
 
-TICK_S = 0.05
+TICK_PERIOD_S = 0.05
 """Period of looking at what waits, while requests wait, in seconds."""
-IDLE_TICK_S = 0.125
+IDLE_TICK_PERIOD_S = 0.125
 """The same while none waits; a request that begins to wait ends it.
 
 Each look wakes the process: twelve wake-ups a second fewer.
 """
-WATCH_PERIOD_S = 0.25
+MIN_STATUS_CHECK_PERIOD_S = 0.25
 """Period of comparing beliefs with those before; changes between are not seen."""
-WATCHED_PER_S = 1_000
+STATUS_CHECKS_PER_S = 1_000
 """Upstreams and members that are compared a second, at 2 us each 0.2 percent of a core.
 
 Beyond 250 of them the period is longer.
@@ -76,44 +76,44 @@
     supervisor: Supervisor
     running: Callable[[], int]
     log: KeyValueDestination | None = None
-    _next_watch: float = 0.0
+    _next_status_check_at: float = 0.0
 
     async def run(self) -> None:
         """Go on until the planned stop is complete."""
         while True:
-            await self._rest_until_tick()
-            self.supervisor.check()
+            await self._wait_for_tick()
+            self.supervisor.raise_if_failed()
             await self.pauses.check()
             now = monotonic()
             await self.effects.perform(self.node.tick(now=now, wall=time.time()))
             await self.quarantine.wake_if_needed()
-            self._watch(now)
+            self._log_status_changes(now)
             state = self.node.leave.advance(running=self.running(), now=now)
             if isinstance(state, Left):
-                log_event("left", cut_off=state.cut_off)
+                log_event("left", cut_off=state.aborted_requests)
                 await self.effects.send_final_heartbeats()
                 return
 
-    async def _rest_until_tick(self) -> None:
+    async def _wait_for_tick(self) -> None:
         begins_to_wait = self.dispatch.request_queued
         if not self.dispatch.has_waiting_requests and not self.node.leave.is_leaving:
             with suppress(TaskTimeout):
-                await within(IDLE_TICK_S, begins_to_wait.wait)
+                await within(IDLE_TICK_PERIOD_S, begins_to_wait.wait)
             if not begins_to_wait.is_set():
                 return
         begins_to_wait.clear()
-        await sleep(TICK_S)
+        await sleep(TICK_PERIOD_S)
 
-    def _watch(self, now: float) -> None:
+    def _log_status_changes(self, now: float) -> None:
         """Log what is believed newly, and hand on the log."""
-        if now >= self._next_watch:
-            self._next_watch = now + self._watch_period_s()
+        if now >= self._next_status_check_at:
+            self._next_status_check_at = now + self._status_check_period_s()
             for belief in self.status_monitor.observe(self.node, self.calls, now):
                 log_event(belief.event, **belief.fields)
         if self.log is not None:
             self.log.flush(now)
 
-    def _watch_period_s(self) -> float:
+    def _status_check_period_s(self) -> float:
         members = len(self.node.membership.members_by_name)
         watched = self.node.services.upstream_count() + members
-        return max(WATCH_PERIOD_S, watched / WATCHED_PER_S)
+        return max(MIN_STATUS_CHECK_PERIOD_S, watched / STATUS_CHECKS_PER_S)
--- a/packages/daemon/src/plankspindle_daemon/traces/request_trace_log.py
+++ b/packages/daemon/src/plankspindle_daemon/traces/request_trace_log.py
@@ -28,8 +28,8 @@
 """Late but served requests a second whose steps are logged."""
 SERVED_PER_S = 1.0
 """Served requests a second of which a summary is logged; the rest is counted."""
-_GOOD = frozenset({Completion.SERVED})
-_NAMES_BY_KIND: dict[type, list[str]] = {
+_SUCCESSFUL = frozenset({Completion.SERVED})
+_FIELD_NAMES_BY_STEP: dict[type, list[str]] = {
     kind: [each.name for each in attrs.fields(kind)] for kind in get_args(Step)
 }
 
@@ -58,17 +58,17 @@
     vm: str
     skipped_failed: int = 0
     skipped_served: int = 0
-    _numbers: count[int] = field(factory=lambda: count(1))
-    _failed: TokenBucket = field(
+    _sequence: count[int] = field(factory=lambda: count(1))
+    _failed_bucket: TokenBucket = field(
         factory=lambda: TokenBucket(per_s=FAILED_PER_S, burst=FAILED_BURST)
     )
-    _refused: TokenBucket = field(
+    _refused_bucket: TokenBucket = field(
         factory=lambda: TokenBucket(per_s=REFUSED_PER_S, burst=10 * REFUSED_PER_S)
     )
-    _late: TokenBucket = field(
+    _late_bucket: TokenBucket = field(
         factory=lambda: TokenBucket(per_s=LATE_PER_S, burst=10 * LATE_PER_S)
     )
-    _served: TokenBucket = field(
+    _served_bucket: TokenBucket = field(
         factory=lambda: TokenBucket(per_s=SERVED_PER_S, burst=10 * SERVED_PER_S)
     )
 
@@ -89,7 +89,7 @@
         if request_id:
             name = request_id.decode("latin-1")[:MAX_ID_CHARACTERS]
         else:
-            name = f"{self.vm}/{int(wall * 1000):x}-{next(self._numbers)}"
+            name = f"{self.vm}/{int(wall * 1000):x}-{next(self._sequence)}"
         return RequestTrace(
             request_id=name,
             id_is_from_caller=bool(request_id),
@@ -108,14 +108,14 @@
             Monotonic seconds.
         """
         is_late = trace.is_late(now)
-        if trace.completion in _GOOD and not is_late:
-            if self._served.take(now):
+        if trace.completion in _SUCCESSFUL and not is_late:
+            if self._served_bucket.take(now):
                 skipped, self.skipped_served = self.skipped_served, 0
-                self._summarise("request_served", trace, now, not_logged=skipped)
+                self._log_summary("request_served", trace, now, not_logged=skipped)
             else:
                 self.skipped_served += 1
             return
-        if not self._bucket_of(trace).take(now):
+        if not self._bucket_for(trace).take(now):
             self.skipped_failed += 1
             return
         for number, (at, step) in enumerate(trace.steps, start=1):
@@ -126,20 +126,20 @@
                 step=number,
                 **_fields_of(step),
             )
-        event = "request_late" if trace.completion in _GOOD else "request_failed"
+        event = "request_late" if trace.completion in _SUCCESSFUL else "request_failed"
         untold, self.skipped_failed = self.skipped_failed, 0
-        self._summarise(event, trace, now, not_logged=untold)
+        self._log_summary(event, trace, now, not_logged=untold)
 
-    def _bucket_of(self, trace: RequestTrace) -> TokenBucket:
+    def _bucket_for(self, trace: RequestTrace) -> TokenBucket:
         match trace.completion:
             case Completion.SERVED | Completion.CALLER_DISCONNECTED:
-                return self._late
+                return self._late_bucket
             case Completion.REFUSED:
-                return self._refused
+                return self._refused_bucket
             case _:
-                return self._failed
+                return self._failed_bucket
 
-    def _summarise(
+    def _log_summary(
         self, event: str, trace: RequestTrace, now: float, *, not_logged: int
     ) -> None:
         retry_after_s = trace.retry_after_s
@@ -162,11 +162,11 @@
 
 
 def _fields_of(step: Step) -> dict[str, Any]:
-    names = _NAMES_BY_KIND[type(step)]
-    return {name: _plain(getattr(step, name)) for name in names}
+    names = _FIELD_NAMES_BY_STEP[type(step)]
+    return {name: _log_value(getattr(step, name)) for name in names}
 
 
-def _plain(value: Any) -> Any:
+def _log_value(value: Any) -> Any:
     if isinstance(value, Enum):
         return value.value
     return round(value, 3) if isinstance(value, float) else value
--- a/packages/daemon/src/plankspindle_daemon/upstreams/connection_pool.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/connection_pool.py
@@ -67,7 +67,7 @@
         idle = self._idle_by_endpoint.get(endpoint, [])
         while idle and monotonic() - idle[-1].released_at < max_idle_s:
             connection = idle.pop()
-            if connection.is_quiet():
+            if connection.is_idle():
                 self.reused += 1
                 return Ok(connection)
             self.found_dirty += 1
@@ -113,7 +113,7 @@
     def has_live_idle(self, endpoint: Endpoint) -> bool:
         """Return whether an idle connection to an endpoint is still open."""
         idle = self._idle_by_endpoint.get(endpoint, [])
-        return any(connection.is_quiet() for connection in idle)
+        return any(connection.is_idle() for connection in idle)
 
     async def discard_stale(self) -> None:
         """Close idle connections that the peer has closed or written to."""
@@ -146,5 +146,5 @@
     live: list[ClientConnection] = []
     stale: list[ClientConnection] = []
     for connection in idle:
-        (live if connection.is_quiet() else stale).append(connection)
+        (live if connection.is_idle() else stale).append(connection)
     return live, stale
--- a/packages/daemon/src/plankspindle_daemon/wire/codec.py
+++ b/packages/daemon/src/plankspindle_daemon/wire/codec.py
@@ -46,7 +46,7 @@
 capnp.remove_import_hook()
 _SCHEMA: Any = capnp.load(str(Path(__file__).with_name("peer.capnp")))
 _SENDER = "sender"
-NOT_DECODABLE = (
+DECODE_ERRORS = (
     capnp.KjException,
     ValueError,
     KeyError,
@@ -54,7 +54,7 @@
     RuntimeError,
 )
 """Errors of reading a payload; the last is of a value that only newer schemas have."""
-NOT_ENCODABLE = (capnp.KjException, ValueError, OverflowError)
+ENCODE_ERRORS = (capnp.KjException, ValueError, OverflowError)
 """Errors of :func:`encode` for a field that the schema has no room for."""
 
 
@@ -68,7 +68,7 @@
 
 def _list_of(cls: type[Any]) -> _Conversion:
     return _Conversion(
-        write=lambda parts: [_as_mapping(each) for each in parts],
+        write=lambda parts: [_to_mapping(each) for each in parts],
         read=lambda read: tuple(_read_fields(cls, each, {}) for each in read),
     )
 
@@ -117,7 +117,14 @@
     "tokenGrant": TokenGrant,
     "limitNews": LimitNews,
 }
-_PARTS = (ServiceLoad, Suspect, ToldUpstream, CrashReport, Quarantined, Clearance)
+_ELEMENT_CLASSES = (
+    ServiceLoad,
+    Suspect,
+    ToldUpstream,
+    CrashReport,
+    Quarantined,
+    Clearance,
+)
 """Classes of which messages hold lists."""
 _UNION_MEMBER_BY_CLASS = {cls: name for name, cls in _CLASS_BY_UNION_MEMBER.items()}
 
@@ -129,7 +136,7 @@
 
 _KEYS_BY_CLASS: dict[type[Any], list[tuple[str, str]]] = {
     cls: [(field.name, _camel(field.name)) for field in fields(cls)]
-    for cls in (*_CLASS_BY_UNION_MEMBER.values(), *_PARTS)
+    for cls in (*_CLASS_BY_UNION_MEMBER.values(), *_ELEMENT_CLASSES)
 }
 
 
@@ -152,12 +159,12 @@
         If a field has no room in the schema, or is no text.
     """
     member = _UNION_MEMBER_BY_CLASS[type(message)]
-    content = {_SENDER: message.sender, member: _as_mapping(message)}
+    content = {_SENDER: message.sender, member: _to_mapping(message)}
     packed: bytes = _SCHEMA.PeerMessage.new_message(**content).to_bytes_packed()
     return packed
 
 
-def _as_mapping(message: Any) -> dict[str, Any]:
+def _to_mapping(message: Any) -> dict[str, Any]:
     mapping = {}
     for name, key in _KEYS_BY_CLASS[type(message)]:
         if name == _SENDER:
@@ -176,7 +183,7 @@
         cls = _CLASS_BY_UNION_MEMBER[member]
         sender = {_SENDER: reader.sender}
         return Ok(_read_fields(cls, getattr(reader, member), sender))
-    except NOT_DECODABLE as error:
+    except DECODE_ERRORS as error:
         return Err(BadFrame(f"message: {type(error).__name__}"))
 
 
--- a/packages/daemon/src/plankspindle_daemon/wire/frame.py
+++ b/packages/daemon/src/plankspindle_daemon/wire/frame.py
@@ -46,16 +46,16 @@
     """
 
     def __init__(self, *, keys: list[bytes]) -> None:
-        self.use(keys)
+        self.set_keys(keys)
 
-    def use(self, keys: list[bytes]) -> None:
+    def set_keys(self, keys: list[bytes]) -> None:
         """Take other keys from now on."""
-        self._keys_by_number = {_key_number(key): key for key in reversed(keys)}
+        self._key_by_id = {_key_id(key): key for key in reversed(keys)}
         self._signing_key = keys[0]
 
     def seal(self, payload: bytes) -> bytes:
         """Wrap a payload of at most ``MAX_FRAME_BYTES - HEAD_BYTES`` bytes."""
-        head = MAGIC + bytes((FORMAT, _key_number(self._signing_key)))
+        head = MAGIC + bytes((FORMAT, _key_id(self._signing_key)))
         return head + _mac(self._signing_key, head, payload) + payload
 
     def open(self, frame: bytes) -> Result[bytes, BadFrame]:
@@ -65,13 +65,13 @@
         head, mac, payload = frame[:4], frame[4:HEAD_BYTES], frame[HEAD_BYTES:]
         if head[:3] != MAGIC + bytes((FORMAT,)):
             return Err(BadFrame("format"))
-        key = self._keys_by_number.get(head[3])
+        key = self._key_by_id.get(head[3])
         if key is None or not hmac.compare_digest(mac, _mac(key, head, payload)):
             return Err(BadFrame("authentication"))
         return Ok(payload)
 
 
-def _key_number(key: bytes) -> int:
+def _key_id(key: bytes) -> int:
     return hashlib.sha256(key).digest()[0]
 
 
--- a/packages/daemon/tests/admission/test_caller_directory.py
+++ b/packages/daemon/tests/admission/test_caller_directory.py
@@ -86,9 +86,9 @@
     identity = before.identify_workspace(digest_of("k1"), route_class="gold").unwrap()
     revoked = workspaces(depot=build_workspace("k2"), yard=build_workspace())
     moved = workspaces(depot=build_workspace("k2"), yard=build_workspace("k1"))
-    assert before.admits(identity)
-    assert not revoked.admits(identity)
-    assert not moved.admits(identity)
+    assert before.is_key_valid(identity)
+    assert not revoked.is_key_valid(identity)
+    assert not moved.is_key_valid(identity)
 
 
 def test_an_identity_does_not_show_the_digest_of_its_key() -> None:
--- a/packages/daemon/tests/admission/test_class_queue.py
+++ b/packages/daemon/tests/admission/test_class_queue.py
@@ -8,9 +8,9 @@
 from hypothesis.stateful import precondition
 from hypothesis.stateful import rule
 
-from plankspindle_daemon.admission.class_queue import ClassQueue
-from plankspindle_daemon.admission.class_queue import Queued
-from plankspindle_daemon.admission.class_queue import QueueFull
+from plankspindle_daemon.admission.priority_queue import PriorityQueue
+from plankspindle_daemon.admission.priority_queue import Queued
+from plankspindle_daemon.admission.priority_queue import QueueFull
 from plankspindle_testkit.builders import build_ticket
 
 LIMIT = 5
@@ -21,7 +21,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.queue = ClassQueue(limit=LIMIT)
+        self.queue = PriorityQueue(limit=LIMIT)
         self.model: list[tuple[int, int]] = []
         self.number = 0
 
@@ -58,7 +58,7 @@
 
 
 def test_a_configuration_with_a_shorter_queue_stops_nothing() -> None:
-    queue = ClassQueue(limit=10)
+    queue = PriorityQueue(limit=10)
     for number in range(10):
         queue.offer(build_ticket(number, rank=2))
     queue.limit = 3
--- a/packages/daemon/tests/control/test_forecast.py
+++ b/packages/daemon/tests/control/test_forecast.py
@@ -9,14 +9,14 @@
 from plankspindle_core.configuration.shift import Shift
 from plankspindle_core.endpoint import Endpoint
 from plankspindle_daemon.control.forecast import Forecast
-from plankspindle_daemon.control.intents import ClassIntent
 from plankspindle_daemon.control.intents import DrainIntent
 from plankspindle_daemon.control.intents import Intent
+from plankspindle_daemon.control.intents import PriorityClassIntent
 from plankspindle_daemon.control.intents import ShiftIntent
 from plankspindle_daemon.control.intents import UndoDrainIntent
 from plankspindle_daemon.control.intents import apply_intent
 from plankspindle_daemon.control.intents import intent_from_mapping
-from plankspindle_daemon.digests.digest_book import DigestBook
+from plankspindle_daemon.digests.digest_table import DigestTable
 from plankspindle_daemon.peer_messages.load_digest import LoadDigest
 from plankspindle_daemon.peer_messages.load_digest import ServiceLoad
 from plankspindle_testkit.builders import build_configuration
@@ -42,8 +42,8 @@
     )
 
 
-def build_digests(in_flight: int, *, domains: tuple[str, ...] = DOMAINS) -> DigestBook:
-    book = DigestBook()
+def build_digests(in_flight: int, *, domains: tuple[str, ...] = DOMAINS) -> DigestTable:
+    book = DigestTable()
     for domain in domains:
         load = ServiceLoad(
             service="registry", capacity=10, in_flight=in_flight, queued=0
@@ -54,14 +54,14 @@
             configuration_version=1,
             loads=(load,),
         )
-        book.take(digest, NOW)
+        book.record(digest, NOW)
     return book
 
 
-def forecast(intent: Intent, digests: DigestBook) -> tuple[tuple[str, ...], str]:
+def forecast(intent: Intent, digests: DigestTable) -> tuple[tuple[str, ...], str]:
     base = build_base()
     wanted = apply_intent(intent, base).unwrap()
-    found = Forecast(base=base, wanted=wanted, digests=digests, now=NOW).effects_of(
+    found = Forecast(base=base, proposed=wanted, digests=digests, now=NOW).effects_of(
         intent
     )
     if found.is_ok():
@@ -112,9 +112,11 @@
     base = build_base()
     intent = shift(50.0)
     wanted = apply_intent(intent, base).unwrap()
-    late = Forecast(base=base, wanted=wanted, digests=build_digests(5), now=NOW + 31.0)
+    late = Forecast(
+        base=base, proposed=wanted, digests=build_digests(5), now=NOW + 31.0
+    )
     assert late.effects_of(intent).is_ok()
-    assert late.digests.heard_domains(NOW + 31.0) == set()
+    assert late.digests.reporting_domains(NOW + 31.0) == set()
 
 
 def test_a_shift_names_cap_cost_and_headroom() -> None:
@@ -132,7 +134,7 @@
 
 def test_a_class_change_is_a_plan_too() -> None:
     effects, _ = forecast(
-        ClassIntent(caller="desk", priority_class="gold"), build_digests(0)
+        PriorityClassIntent(caller="desk", priority_class="gold"), build_digests(0)
     )
     assert effects == ("requests of desk are served as gold (was bronze)",)
 
@@ -141,8 +143,8 @@
     base = build_base()
     for intent in (
         UndoDrainIntent(drain_id="none"),
-        ClassIntent(caller="nobody", priority_class="gold"),
-        ClassIntent(caller="desk", priority_class="platinum"),
+        PriorityClassIntent(caller="nobody", priority_class="gold"),
+        PriorityClassIntent(caller="desk", priority_class="platinum"),
         drain(DrainKind.REGION, "nowhere"),
     ):
         assert apply_intent(intent, base).is_err()
--- a/packages/daemon/tests/control/test_plan_store.py
+++ b/packages/daemon/tests/control/test_plan_store.py
@@ -17,7 +17,7 @@
 from plankspindle_daemon.configuration.head_row import HEAD_KEY
 from plankspindle_daemon.configuration.head_row import head_row_from_mapping
 from plankspindle_daemon.control.intents import ApplyIntent
-from plankspindle_daemon.control.intents import ClassIntent
+from plankspindle_daemon.control.intents import PriorityClassIntent
 from plankspindle_daemon.control.intents import ShiftIntent
 from plankspindle_daemon.control.intents import UndoIntent
 from plankspindle_daemon.control.plan import PlanState
@@ -25,11 +25,11 @@
 from plankspindle_daemon.control.plan_store import NotPossible
 from plankspindle_daemon.control.plan_store import PlanOvertaken
 from plankspindle_daemon.control.plan_store import PlanStore
-from plankspindle_daemon.digests.digest_book import DigestBook
+from plankspindle_daemon.digests.digest_table import DigestTable
 from plankspindle_testkit.builders import build_configuration
 from plankspindle_testkit.platform_stand_in.table_store import TableStore
 from plankspindle_testkit.trial.fake_platform import FakePlatform
-from plankspindle_testkit.trial.fake_platform import run_to_end
+from plankspindle_testkit.trial.fake_platform import run_to_completion
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -48,7 +48,7 @@
         platform=client,
         reader=ConfigurationReader(platform=client),
         random=Random(seed),
-        digests=DigestBook(),
+        digests=DigestTable(),
     )
 
 
@@ -56,17 +56,17 @@
     platform = FakePlatform(random=Random(seed), fault_rate=0.0)
     store = build_store(platform, seed=4)
     first = make(store, ApplyIntent(configuration=build_configuration()))
-    assert run_to_end(store.confirm(first.id, "operator")).is_ok()
+    assert run_to_completion(store.confirm(first.id, "operator")).is_ok()
     platform.fault_rate = fault_rate
     return platform
 
 
 def make(store: PlanStore, intent: object, operator: str = "operator") -> Plan:
-    return run_to_end(store.make(intent, operator)).unwrap()  # type: ignore[arg-type]
+    return run_to_completion(store.create(intent, operator)).unwrap()  # type: ignore[arg-type]
 
 
-def class_intent(priority_class: str) -> ClassIntent:
-    return ClassIntent(caller="desk", priority_class=priority_class)
+def class_intent(priority_class: str) -> PriorityClassIntent:
+    return PriorityClassIntent(caller="desk", priority_class=priority_class)
 
 
 def version(platform: FakePlatform) -> int:
@@ -79,8 +79,8 @@
     store = build_store(platform)
     one = make(store, class_intent("gold"), "jana")
     two = make(store, class_intent("silver"), "peter")
-    assert run_to_end(store.confirm(two.id, "peter")).is_ok()
-    lost = run_to_end(store.confirm(one.id, "jana")).unwrap_err()
+    assert run_to_completion(store.confirm(two.id, "peter")).is_ok()
+    lost = run_to_completion(store.confirm(one.id, "jana")).unwrap_err()
     assert isinstance(lost, PlanOvertaken)
     assert (lost.head.operator, lost.head.plan) == ("peter", two.id)
     assert version(platform) == 2
@@ -90,10 +90,10 @@
     platform = build_platform()
     store = build_store(platform)
     one = make(store, class_intent("gold"))
-    assert run_to_end(store.confirm(one.id, "a")).is_ok()
+    assert run_to_completion(store.confirm(one.id, "a")).is_ok()
     later = make(store, class_intent("silver"))
-    assert run_to_end(store.confirm(later.id, "a")).is_ok()
-    again = run_to_end(store.confirm(one.id, "a")).unwrap()
+    assert run_to_completion(store.confirm(later.id, "a")).is_ok()
+    again = run_to_completion(store.confirm(one.id, "a")).unwrap()
     assert again.state is PlanState.ACCEPTED
     assert version(platform) == 3
 
@@ -107,8 +107,8 @@
         to_region="kosice",
         cap_percent=20.0,
     )
-    refused = run_to_end(
-        build_store(platform).make(ShiftIntent(shift_id="s", shift=shift), "a")
+    refused = run_to_completion(
+        build_store(platform).create(ShiftIntent(shift_id="s", shift=shift), "a")
     )
     assert "no upstream in ke-1" in str(refused.unwrap_err())
     assert len(platform.table.rows_by_key) == rows
@@ -126,14 +126,14 @@
     refused: set[str] = set()
     for step in range(8):
         plan = plans[step % 2]
-        answer = run_to_end(store.confirm(plan.id, "a"))
+        answer = run_to_completion(store.confirm(plan.id, "a"))
         if answer.is_ok():
             accepted.add(plan.id)
         elif isinstance(answer.unwrap_err(), PlanOvertaken):
             refused.add(plan.id)
         else:
             assert isinstance(answer.unwrap_err(), ConfirmationUnknown | NotPossible)
-        platform.land_late_write()
+        platform.apply_delayed_write()
     assert len(accepted) <= 1
     assert not accepted & refused
     assert version(platform) <= 2
@@ -157,19 +157,19 @@
     platform = build_platform()
     store = build_store(platform)
     change = make(store, class_intent("gold"), "jana")
-    assert run_to_end(store.confirm(change.id, "jana")).is_ok()
-    stale = run_to_end(store.make(UndoIntent(version=1), "jana")).unwrap_err()
+    assert run_to_completion(store.confirm(change.id, "jana")).is_ok()
+    stale = run_to_completion(store.create(UndoIntent(version=1), "jana")).unwrap_err()
     assert "not the newest" in str(stale)
     undo = make(store, UndoIntent(version=2), "peter")
     assert undo.effects == ("callers: 0 added, 0 removed, 1 changed",)
-    assert run_to_end(store.confirm(undo.id, "peter")).is_ok()
+    assert run_to_completion(store.confirm(undo.id, "peter")).is_ok()
     listed = ListedPlatform(
         random=Random(1),
         fault_rate=0.0,
         table=platform.table,
         objects_by_name=platform.objects_by_name,
     )
-    history = run_to_end(build_store(listed).history()).unwrap()
+    history = run_to_completion(build_store(listed).history()).unwrap()
     assert [head.operator for head in history] == ["operator", "jana", "peter"]
     assert history[0].digest == history[2].digest
 
@@ -212,11 +212,11 @@
     dying.dies_at = dies_at
     dying.after_effect = after_effect
     with pytest.raises(KilledError):
-        run_to_end(build_store(dying, seed=5).confirm(plan.id, "a"))
+        run_to_completion(build_store(dying, seed=5).confirm(plan.id, "a"))
     took_effect = dies_at == 2 and after_effect
     assert version(platform) == (2 if took_effect else 1)
     other = build_store(platform, seed=6)
-    assert run_to_end(other.confirm(plan.id, "b")).is_ok()
+    assert run_to_completion(other.confirm(plan.id, "b")).is_ok()
     assert version(platform) == 2
 
 
--- a/packages/daemon/tests/dispatch/test_dispatcher.py
+++ b/packages/daemon/tests/dispatch/test_dispatcher.py
@@ -14,7 +14,7 @@
 from plankspindle_daemon.upstreams.health import Ramping
 from plankspindle_daemon.upstreams.load_report import LoadReport
 from plankspindle_testkit.builders import build_dispatcher
-from plankspindle_testkit.builders import build_reporting_dispatcher
+from plankspindle_testkit.builders import build_reported_slots_dispatcher
 from plankspindle_testkit.builders import build_ticket
 
 if TYPE_CHECKING:
@@ -279,7 +279,7 @@
 
 
 def test_request_is_rejected_with_retry_after_when_its_hold_time_ends() -> None:
-    dispatcher = build_reporting_dispatcher("u")
+    dispatcher = build_reported_slots_dispatcher("u")
     for number in range(2):
         assert assigned(arrive(dispatcher, number))
     assert not arrive(dispatcher, 9, hold_until=0.2)
@@ -291,14 +291,14 @@
 
 
 def test_request_runs_only_in_its_permitted_regions() -> None:
-    dispatcher = build_reporting_dispatcher("u")
+    dispatcher = build_reported_slots_dispatcher("u")
     assert assigned(arrive(dispatcher, 1, regions=frozenset({"bratislava"})))
     effects = arrive(dispatcher, 2, regions=frozenset({"kosice"}))
     assert rejected(effects) == [(2, d.RejectReason.NO_UPSTREAM)]
 
 
 def test_shedding_upstream_is_avoided_briefly() -> None:
-    dispatcher = build_reporting_dispatcher("u")
+    dispatcher = build_reported_slots_dispatcher("u")
     arrive(dispatcher, 1)
     complete(dispatcher, 1, "u", 0.1, d.AttemptOutcome.SHED)
     assert not assigned(arrive(dispatcher, 2, now=0.2))
@@ -306,7 +306,7 @@
 
 
 def test_shedding_upstream_that_reports_free_slots_is_not_avoided() -> None:
-    dispatcher = build_reporting_dispatcher("u")
+    dispatcher = build_reported_slots_dispatcher("u")
     arrive(dispatcher, 1)
     completed = d.AttemptCompleted(
         ticket=build_ticket(1),
@@ -319,7 +319,7 @@
 
 
 def test_consecutive_connection_losses_back_off_until_one_request_retries() -> None:
-    dispatcher = build_reporting_dispatcher("u")
+    dispatcher = build_reported_slots_dispatcher("u")
     for number in range(3):
         assert assigned(arrive(dispatcher, number, now=0.0))
         complete(dispatcher, number, "u", 0.0, d.AttemptOutcome.FAILED)
@@ -329,7 +329,7 @@
 
 
 def test_occasional_connection_losses_do_not_back_off() -> None:
-    dispatcher = build_reporting_dispatcher("u")
+    dispatcher = build_reported_slots_dispatcher("u")
     for number in range(12):
         assert assigned(arrive(dispatcher, number, now=0.0))
         is_lost = number % 3 == 0
@@ -338,7 +338,7 @@
 
 
 def test_connect_time_sets_round_trip_time_of_the_domain() -> None:
-    dispatcher = build_reporting_dispatcher("u")
+    dispatcher = build_reported_slots_dispatcher("u")
     ticket = build_ticket(1)
     dispatcher.handle(d.RequestArrived(ticket), 0.0)
     completed = d.AttemptCompleted(
@@ -357,7 +357,7 @@
 
 
 def test_retry_waits_beyond_its_hold_time_instead_of_being_rejected() -> None:
-    dispatcher = build_reporting_dispatcher("u", "v")
+    dispatcher = build_reported_slots_dispatcher("u", "v")
     for number in range(4):
         assert assigned(arrive(dispatcher, number))
     retry = build_ticket(9, hold_until=0.2).excluding(frozenset({"v"}))
@@ -378,7 +378,7 @@
 
 
 def test_upstream_that_answered_misdirected_gets_no_more_requests() -> None:
-    dispatcher = build_reporting_dispatcher("u", "v")
+    dispatcher = build_reported_slots_dispatcher("u", "v")
     ((_, first),) = assigned(arrive(dispatcher, 1))
     complete(dispatcher, 1, first, 0.1, d.AttemptOutcome.MISDIRECTED)
     for number in range(2, 10):
--- a/packages/daemon/tests/dispatch/test_placement.py
+++ b/packages/daemon/tests/dispatch/test_placement.py
@@ -14,7 +14,7 @@
 from plankspindle_daemon.dispatch.spillover_limiter import SpilloverLimiter
 from plankspindle_daemon.upstreams.health import BackedOff
 from plankspindle_testkit.builders import build_configuration
-from plankspindle_testkit.builders import build_reported_upstream
+from plankspindle_testkit.builders import build_reported_slots_upstream
 from plankspindle_testkit.builders import build_ticket
 
 if TYPE_CHECKING:
@@ -40,7 +40,9 @@
 
 def build_upstreams(**domains: str) -> dict[str, UpstreamState]:
     return {
-        name: build_reported_upstream(name, failure_domain=domain.replace("_", "-"))
+        name: build_reported_slots_upstream(
+            name, failure_domain=domain.replace("_", "-")
+        )
         for name, domain in domains.items()
     }
 
@@ -198,7 +200,9 @@
     upstreams = build_upstreams(a="ba_1", x="ke_1", z="zi_1")
     placement = make_all_keys_remote(build_placement(upstreams))
     for regions, name in ((("kosice",), "x"), (("bratislava", "kosice"), "a")):
-        restricted = evolve(build_ticket(1, affinity="k"), regions=frozenset(regions))
+        restricted = evolve(
+            build_ticket(1, affinity="k"), allowed_regions=frozenset(regions)
+        )
         chosen = placement.choose(
             restricted,
             upstreams,
@@ -265,7 +269,7 @@
     ticket = build_ticket(1, affinity="k").excluding(frozenset({first.upstream.name}))
 
     def fits(upstream: UpstreamState) -> bool:
-        return upstream.name not in ticket.excluded and upstream.usable_slots(
+        return upstream.name not in ticket.excluded_upstreams and upstream.usable_slots(
             2.0
         ) > upstream.load(2.0)
 
@@ -288,7 +292,7 @@
     assert not placement.has_candidate(
         ticket,
         upstreams,
-        fits=lambda each: each.name not in {*ranked_next, *ticket.excluded},
+        fits=lambda each: each.name not in {*ranked_next, *ticket.excluded_upstreams},
         now=0.0,
     )
     assert placement.has_candidate(
--- a/packages/daemon/tests/dispatch/test_rate_limited_upstreams.py
+++ b/packages/daemon/tests/dispatch/test_rate_limited_upstreams.py
@@ -14,7 +14,7 @@
 from plankspindle_daemon.upstreams.fleet_limiter import TOKEN_WAIT_S
 from plankspindle_daemon.upstreams.fleet_limiter import FleetLimiter
 from plankspindle_daemon.upstreams.fleet_limiter import incarnation_id_of
-from plankspindle_testkit.builders import build_reporting_dispatcher
+from plankspindle_testkit.builders import build_reported_slots_dispatcher
 from plankspindle_testkit.builders import build_ticket
 
 if TYPE_CHECKING:
@@ -40,7 +40,7 @@
 
 
 def test_request_waits_for_token_without_another_upstream() -> None:
-    dispatcher = build_reporting_dispatcher("u")
+    dispatcher = build_reported_slots_dispatcher("u")
     (limiter,) = limit(dispatcher, "u")
     assert arrive(dispatcher, 1) == [RequestToken(upstream="u", incarnation=0)]
     assert limiter.has_pending_request(NOW)
@@ -52,7 +52,7 @@
 
 
 def test_request_goes_to_unlimited_upstream_without_waiting() -> None:
-    dispatcher = build_reporting_dispatcher("u", "v")
+    dispatcher = build_reported_slots_dispatcher("u", "v")
     limit(dispatcher, "u")
     (assigned,) = arrive(dispatcher, 1)
     assert isinstance(assigned, Assign)
@@ -60,7 +60,7 @@
 
 
 def test_request_is_rejected_on_arrival_if_all_limits_are_exhausted() -> None:
-    dispatcher = build_reporting_dispatcher("u", "v")
+    dispatcher = build_reported_slots_dispatcher("u", "v")
     first, second = limit(dispatcher, "u", "v")
     first.block(NOW + 3.0)
     second.block(NOW + 2.0)
@@ -86,7 +86,7 @@
 
 
 def test_no_token_is_requested_for_a_forbidden_region() -> None:
-    dispatcher = build_reporting_dispatcher("u")
+    dispatcher = build_reported_slots_dispatcher("u")
     limit(dispatcher, "u")
     ticket = build_ticket(
         1, deadline=NOW + 5, hold_until=HOLD_UNTIL, regions=frozenset({"elsewhere"})
@@ -97,7 +97,7 @@
 
 
 def test_retry_does_not_wait_for_a_token() -> None:
-    dispatcher = build_reporting_dispatcher("u", "v")
+    dispatcher = build_reported_slots_dispatcher("u", "v")
     limit(dispatcher, "u")
     ticket = build_ticket(
         1, deadline=NOW + 5, hold_until=HOLD_UNTIL, excluded=frozenset({"v"})
--- a/packages/daemon/tests/dispatch/test_region_short_of_upstreams.py
+++ b/packages/daemon/tests/dispatch/test_region_short_of_upstreams.py
@@ -16,8 +16,8 @@
 from plankspindle_daemon.dispatch.messages import AttemptCompleted
 from plankspindle_daemon.dispatch.messages import AttemptOutcome
 from plankspindle_daemon.dispatch.messages import RequestArrived
-from plankspindle_testkit.builders import build_reported_upstream
-from plankspindle_testkit.builders import build_reporting_dispatcher
+from plankspindle_testkit.builders import build_reported_slots_dispatcher
+from plankspindle_testkit.builders import build_reported_slots_upstream
 from plankspindle_testkit.builders import build_ticket
 
 LOCAL_UPSTREAMS, REMOTE_UPSTREAMS = 2, 18
@@ -30,13 +30,13 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_every_request_reaches_the_upstream_planned_for_its_key(seed: int) -> None:
-    dispatcher = build_reporting_dispatcher()
+    dispatcher = build_reported_slots_dispatcher()
     placement = dispatcher.placement
     assert placement is not None
     domains = {f"near-{each}": "ba-1" for each in range(LOCAL_UPSTREAMS)}
     domains |= {f"far-{each}": "ke-1" for each in range(REMOTE_UPSTREAMS)}
     for name, domain in domains.items():
-        dispatcher.upstreams_by_name[name] = build_reported_upstream(
+        dispatcher.upstreams_by_name[name] = build_reported_slots_upstream(
             name, slots=6, failure_domain=domain
         )
     placement.rankings.set_upstreams(domains)
--- a/packages/daemon/tests/exchange/test_caller_request.py
+++ b/packages/daemon/tests/exchange/test_caller_request.py
@@ -57,6 +57,6 @@
 
 def test_peer_headers_carry_the_sealed_identity_but_not_the_key() -> None:
     received = [*RECEIVED, (header_names.IDENTITY, b"forged")]
-    forwarded = headers_for_peer(received, grant=None, sealed_identity=b"sealed")
+    forwarded = headers_for_peer(received, grant=None, signed_identity=b"sealed")
     assert values(forwarded, header_names.IDENTITY) == [b"sealed"]
     assert KEY not in repr(forwarded).encode()
--- a/packages/daemon/tests/exchange/test_event_loop_stall.py
+++ b/packages/daemon/tests/exchange/test_event_loop_stall.py
@@ -52,7 +52,7 @@
 from plankspindle_daemon.upstreams.connection_pool import ConnectionPool
 from plankspindle_testkit.builders import build_membership
 from plankspindle_testkit.builders import build_ticket
-from plankspindle_testkit.loopback_network import host_of_run
+from plankspindle_testkit.loopback_network import loopback_host
 
 _PORTS = count(18_980)
 HEAD = b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\n"
@@ -155,7 +155,7 @@
 
 async def run_during_stall() -> FakeSource:
     """Receive a head while the loop is stalled from attempt timeout to deadline."""
-    endpoint = Endpoint(host_of_run(7, 11), next(_PORTS))
+    endpoint = Endpoint(loopback_host(7, 11), next(_PORTS))
     stall_begins = curio.Event()
 
     async def stall_loop() -> None:
@@ -186,7 +186,7 @@
     async def raise_unexpected(self: Attempt, *_: object) -> None:
         raise UnexpectedError
 
-    endpoint = Endpoint(host_of_run(7, 11), next(_PORTS))
+    endpoint = Endpoint(loopback_host(7, 11), next(_PORTS))
     dispatch = FakeDispatch(endpoint, expected_s=DEADLINE_S)
     with socket.create_server((endpoint.host, endpoint.port)):
         monkeypatch.setattr(Attempt, step, raise_unexpected)
--- a/packages/daemon/tests/exchange/test_exchange.py
+++ b/packages/daemon/tests/exchange/test_exchange.py
@@ -151,7 +151,7 @@
         self._handle(m.CallerDisconnected())
         assert not any(
             isinstance(effect, m.ReleaseUpstream)
-            and effect.verdict is AttemptOutcome.ANSWERED
+            and effect.outcome is AttemptOutcome.ANSWERED
             for effect in self.effects
         )
 
@@ -227,7 +227,7 @@
 
 def test_first_unreachable_upstreams_use_no_retry_budget() -> None:
     budget = RetryBudget(percent=0, burst=0.0)
-    budget.note_fresh()
+    budget.record_fresh()
     exchange = build_idempotent(budget)
     for number in range(3):
         exchange.handle(m.Assigned(upstream=f"u{number}", endpoint=ENDPOINT))
@@ -295,7 +295,7 @@
 
 def test_retry_denied_by_an_exhausted_budget_is_recorded() -> None:
     exchange = fail_first_attempt()
-    while exchange.budget.take():
+    while exchange.budget.acquire():
         pass
     exchange.handle(m.Assigned(upstream="v", endpoint=ENDPOINT))
     exchange.handle(m.Connected())
--- a/packages/daemon/tests/idempotency/test_claim_sweeper.py
+++ b/packages/daemon/tests/idempotency/test_claim_sweeper.py
@@ -21,7 +21,7 @@
 from plankspindle_daemon.platform.table import RowWrite
 from plankspindle_daemon.platform.table import Transaction
 from plankspindle_testkit.trial.fake_platform import FakePlatform
-from plankspindle_testkit.trial.fake_platform import run_to_end
+from plankspindle_testkit.trial.fake_platform import run_to_completion
 
 if TYPE_CHECKING:
     from plankspindle_daemon.membership.membership import Membership
@@ -52,15 +52,15 @@
         writes.append(
             RowWrite(key=key, expected_version=ABSENT, value=row.to_mapping())
         )
-    run_to_end(platform.commit(Transaction(writes=writes)))
+    run_to_completion(platform.commit(Transaction(writes=writes)))
     sweeper = ClaimSweeper(
         platform=cast("PlatformClient", platform),
         membership=cast("Membership", None),
         random=Random(2),
         supervisor=Supervisor(),
     )
-    run_to_end(sweeper.sweep(50.0))
+    run_to_completion(sweeper.sweep(50.0))
     assert sweeper.removed == 2
     assert set(platform.table.rows_by_key) == {writes[1].key}
-    run_to_end(sweeper.sweep(50.0))
+    run_to_completion(sweeper.sweep(50.0))
     assert sweeper.removed == 2
--- a/packages/daemon/tests/leaving/test_leave.py
+++ b/packages/daemon/tests/leaving/test_leave.py
@@ -23,11 +23,11 @@
     leave = Leave(leave_s=60.0, linger_s=10.0)
     leave.begin(0.0)
     assert isinstance(leave.advance(running=2, now=59.0), Finishing)
-    assert leave.advance(running=0, now=59.5) == Left(cut_off=0)
+    assert leave.advance(running=0, now=59.5) == Left(aborted_requests=0)
 
 
 def test_it_gives_up_at_the_bound_and_says_so() -> None:
     leave = Leave(leave_s=60.0, linger_s=10.0)
     leave.begin(0.0)
     leave.begin(50.0)
-    assert leave.advance(running=2, now=60.0) == Left(cut_off=2)
+    assert leave.advance(running=2, now=60.0) == Left(aborted_requests=2)
--- a/packages/daemon/tests/listeners/test_request_reader.py
+++ b/packages/daemon/tests/listeners/test_request_reader.py
@@ -12,11 +12,11 @@
 import pytest
 
 from plankspindle_core import header_names
-from plankspindle_daemon.admission.identity_sealer import IdentitySealer
+from plankspindle_daemon.admission.identity_signer import IdentitySigner
 from plankspindle_daemon.exchange.dialect import Dialect
-from plankspindle_daemon.listeners.request_reader import AskedFor
-from plankspindle_daemon.listeners.request_reader import RequestReader
-from plankspindle_testkit.builders import VmPlace
+from plankspindle_daemon.listeners.request_resolver import RequestResolver
+from plankspindle_daemon.listeners.request_resolver import ResolvedRequest
+from plankspindle_testkit.builders import VmAddresses
 from plankspindle_testkit.builders import build_configuration
 from plankspindle_testkit.builders import build_route
 from plankspindle_testkit.builders import build_workspace
@@ -27,12 +27,12 @@
 
     from plankspindle_daemon.exchange.caller_request import BadRequest
 
-PLACE = VmPlace(name="a", failure_domain="ba-1", host="127.0.0.1", base_port=7000)
+PLACE = VmAddresses(name="a", failure_domain="ba-1", host="127.0.0.1", base_port=7000)
 KEY, HOME_KEY, NO_KEY = "k-any", "k-home", "k-gone"
-SEALER = IdentitySealer(keys=[b"k" * 16])
+SEALER = IdentitySigner(keys=[b"k" * 16])
 
 
-def build_reader(*, adopted: bool = True, **fields: Any) -> RequestReader:
+def build_reader(*, adopted: bool = True, **fields: Any) -> RequestResolver:
     node = TrialVm.start(PLACE, seeds=[], random=Random(1), now=0.0).node
     routes = {
         "r": build_route(host="desk.example", path_prefix="/r/"),
@@ -50,28 +50,28 @@
             routes_by_name=routes, workspaces_by_name=workspaces
         )
         node.adopt(configuration, version=1, now=0.0)
-    return RequestReader(
-        node=node, dialect=Dialect(key_scheme="Token"), sealer=SEALER, **fields
+    return RequestResolver(
+        node=node, dialect=Dialect(key_scheme="Token"), signer=SEALER, **fields
     )
 
 
 def read(
-    reader: RequestReader,
+    reader: RequestResolver,
     target: str,
     key: str | None,
     *more: tuple[bytes, bytes],
-) -> Result[AskedFor, BadRequest]:
+) -> Result[ResolvedRequest, BadRequest]:
     headers = [(b"host", b"desk.example"), *more]
     if key is not None:
         headers.append((header_names.AUTHORIZATION, f"Token {key}".encode()))
     source = SimpleNamespace(method="GET", target=target, headers=headers)
-    return reader.read(cast("Any", source))
+    return reader.resolve(cast("Any", source))
 
 
 def test_a_known_key_tells_workspace_and_class() -> None:
     asked = read(build_reader(), "/r/1", KEY).unwrap()
     assert (asked.identity.workspace, asked.identity.rank) == ("any", 0)
-    assert asked.regions == frozenset()
+    assert asked.allowed_regions == frozenset()
 
 
 @pytest.mark.parametrize("key", [None, NO_KEY])
@@ -94,8 +94,8 @@
 
 def test_homes_of_workspace_and_route_both_bind() -> None:
     reader = build_reader()
-    assert read(reader, "/r/1", HOME_KEY).unwrap().regions == {"kosice"}
-    assert read(reader, "/home/1", KEY).unwrap().regions == {"bratislava"}
+    assert read(reader, "/r/1", HOME_KEY).unwrap().allowed_regions == {"kosice"}
+    assert read(reader, "/home/1", KEY).unwrap().allowed_regions == {"bratislava"}
     assert read(reader, "/home/1", HOME_KEY).unwrap_err().status == 503
 
 
@@ -113,7 +113,7 @@
 
 def test_a_moved_request_is_known_by_what_the_other_vm_sealed() -> None:
     target = "/v1/services/registry/plates"
-    sealed = SEALER.seal("any", target=target, wall_ms=wall_ms())
+    sealed = SEALER.sign("any", target=target, wall_ms=wall_ms())
     headers = (
         (header_names.IDENTITY, sealed),
         (header_names.FORWARDED, b"1"),
--- a/packages/daemon/tests/membership/test_dead_vm_selector.py
+++ b/packages/daemon/tests/membership/test_dead_vm_selector.py
@@ -24,7 +24,7 @@
     membership = build_membership(vm)
     for name, last_heartbeat_at in last_heartbeat_by_name.items():
         membership.members_by_name[name] = build_member(
-            name, last_heard=last_heartbeat_at
+            name, last_heartbeat_at=last_heartbeat_at
         )
         membership.listed_by_name[name] = ListedVm(
             name=name, kind=VmKind.ENTRY, failure_domain="ba-1"
--- a/packages/daemon/tests/membership/test_peer_link.py
+++ b/packages/daemon/tests/membership/test_peer_link.py
@@ -17,7 +17,7 @@
 from plankspindle_daemon.peer_messages.list_news import ToldUpstream
 from plankspindle_daemon.wire.frame import FrameSealer
 from plankspindle_testkit.builders import build_membership
-from plankspindle_testkit.loopback_network import host_of_run
+from plankspindle_testkit.loopback_network import loopback_host
 
 if TYPE_CHECKING:
     from plankspindle_daemon.peer_messages.peer_message import PeerMessage
@@ -27,7 +27,7 @@
 
 def build_link(supervisor: Supervisor) -> PeerLink:
     return PeerLink(
-        endpoint=Endpoint(host_of_run(7, 12), next(_PORTS)),
+        endpoint=Endpoint(loopback_host(7, 12), next(_PORTS)),
         sealer=FrameSealer(keys=[b"k" * 16]),
         membership=build_membership("a"),
         random=Random(1),
@@ -89,5 +89,5 @@
 
     curio.run(run)
     assert len(received) == 2
-    assert supervisor.contained == 1
+    assert supervisor.contained_errors == 1
     assert supervisor.error is None
--- a/packages/daemon/tests/node/test_list_follower.py
+++ b/packages/daemon/tests/node/test_list_follower.py
@@ -25,7 +25,7 @@
 from plankspindle_daemon.sharing.shared_reads import SETTLE_S
 from plankspindle_daemon.sharing.shared_reads import SharedReads
 from plankspindle_daemon.sharing.upstream_codec import encode_upstream
-from plankspindle_testkit.builders import VmPlace
+from plankspindle_testkit.builders import VmAddresses
 from plankspindle_testkit.builders import build_configuration
 from plankspindle_testkit.builders import build_service
 from plankspindle_testkit.builders import build_upstream
@@ -35,7 +35,9 @@
     from collections.abc import Iterable
 
 NAMES = tuple(f"vm-{number}" for number in range(6))
-PLACE = VmPlace(name="vm-5", failure_domain="ba-1", host="127.0.0.1", base_port=7000)
+PLACE = VmAddresses(
+    name="vm-5", failure_domain="ba-1", host="127.0.0.1", base_port=7000
+)
 WATCH_S = 0.5
 PERIOD_S = 0.05
 
@@ -66,7 +68,7 @@
     list_version: int = 1
     unreadable_names: frozenset[str] = frozenset()
 
-    def take_list_change(
+    def apply_list_change(
         self, *, version: int, changed: Iterable[ListedVm], gone: Iterable[str]
     ) -> list[ListedVm]:
         self.by_name |= {each.name: each for each in changed}
@@ -156,8 +158,8 @@
     follower = build_follower("a", "b")
     curio.run(follower.apply_update, build_update(gone=("a",), after_gap=True))
     assert upstreams_of(follower) == {"a", "b"}
-    assert follower.node.services.listed.is_to_be_taken_again
-    follower.node.services.listed._lenient_until = 0.0
+    assert follower.node.services.listed.needs_reapplying
+    follower.node.services.listed._grace_until = 0.0
     curio.run(follower.apply_update, build_update(bases=(2, 2)))
     assert upstreams_of(follower) == {"b"}
 
@@ -220,13 +222,13 @@
         Pause before each read but the first, and the wait that it allowed, in seconds.
     """
 
-    watch_s: float = WATCH_S
+    long_poll_s: float = WATCH_S
     waits: list[tuple[float, float]] = Factory(list)
     _ended_at: float | None = None
 
     async def read_live_list(self, wait_s: float | None = None) -> Any:
         if self._ended_at is not None:
-            allowed_s = self.watch_s if wait_s is None else wait_s
+            allowed_s = self.long_poll_s if wait_s is None else wait_s
             self.waits.append((monotonic() - self._ended_at, allowed_s))
         await curio.sleep(0.0)
         self._ended_at = monotonic()
--- a/packages/daemon/tests/node/test_node.py
+++ b/packages/daemon/tests/node/test_node.py
@@ -14,7 +14,7 @@
 from plankspindle_daemon.platform.live_list import ListedVm
 from plankspindle_daemon.platform.live_list import VmKind
 from plankspindle_daemon.upstreams.slot_ledger import SlotLedger
-from plankspindle_testkit.builders import VmPlace
+from plankspindle_testkit.builders import VmAddresses
 from plankspindle_testkit.builders import build_configuration
 from plankspindle_testkit.builders import build_ticket
 from plankspindle_testkit.builders import build_upstream
@@ -30,7 +30,9 @@
 SLOTS = 4
 LONG_AGO = -10.0
 PLACES = {
-    name: VmPlace(name=name, failure_domain="ba-1", host="127.0.0.1", base_port=port)
+    name: VmAddresses(
+        name=name, failure_domain="ba-1", host="127.0.0.1", base_port=port
+    )
     for name, port in (("a", 7000), ("b", 7100))
 }
 
@@ -241,16 +243,16 @@
 def test_configuration_head_is_not_fresh_after_long_time_without_read() -> None:
     node = build_node("a")
     assert not node.versions.head.is_fresh(0.0)
-    node.versions.head.note_read(1.0)
+    node.versions.head.record_read(1.0)
     assert node.versions.head.is_fresh(31.0)
     assert not node.versions.head.is_fresh(31.1)
 
 
 def test_time_of_last_configuration_read_is_relayed_by_members() -> None:
     a, b = build_pair()
-    a.versions.head.note_read(10.0)
+    a.versions.head.record_read(10.0)
     send_heartbeat(a, b, 15.0)
-    assert b.versions.head.ago_s(16.0) == 6.0
+    assert b.versions.head.age_s(16.0) == 6.0
     assert b.versions.head.is_fresh(39.0)
     assert not b.versions.head.is_fresh(41.0)
 
--- a/packages/daemon/tests/node/test_node_cost_at_fleet_size.py
+++ b/packages/daemon/tests/node/test_node_cost_at_fleet_size.py
@@ -12,7 +12,7 @@
 from plankspindle_daemon.platform.bounded_calls import BoundedCalls
 from plankspindle_daemon.status_changes.status_monitor import StatusMonitor
 from plankspindle_testkit.call_count import count_calls
-from plankspindle_testkit.fleet_node import WALL
+from plankspindle_testkit.fleet_node import WALL_TIME_S
 from plankspindle_testkit.fleet_node import Fleet
 from plankspindle_testkit.fleet_node import build_empty_node
 from plankspindle_testkit.fleet_node import build_fleet_node
@@ -34,17 +34,19 @@
     """Count the function calls for the first heartbeats of the last ten members."""
     node = build_empty_node(fleet)
     node.adopt(fleet.configuration(), version=1, now=NOW)
-    node.handle_membership(LiveListRead(tuple(fleet.listed())), now=NOW, wall=WALL)
+    node.handle_membership(
+        LiveListRead(tuple(fleet.live_list())), now=NOW, wall=WALL_TIME_S
+    )
     heartbeats = [
         HeartbeatReceived(fleet.heartbeat(number, sequence=1))
         for number in range(1, fleet.vms)
     ]
     for event in heartbeats[:-10]:
-        node.handle_membership(event, now=NOW, wall=WALL)
+        node.handle_membership(event, now=NOW, wall=WALL_TIME_S)
 
     def receive() -> None:
         for event in heartbeats[-10:]:
-            node.handle_membership(event, now=NOW, wall=WALL)
+            node.handle_membership(event, now=NOW, wall=WALL_TIME_S)
 
     return count_calls(receive)
 
@@ -62,7 +64,7 @@
     def run_one_second() -> None:
         for tick in range(20):
             now = NOW + tick / 20
-            node.tick(now=now, wall=WALL + tick / 20)
+            node.tick(now=now, wall=WALL_TIME_S + tick / 20)
             if tick % 5 == 0:
                 monitor.observe(node, calls, now)
 
@@ -71,10 +73,10 @@
 
 def test_lookups_include_new_member_within_quarter_second() -> None:
     node = build_fleet_node(SMALL, now=NOW)
-    node.tick(now=NOW + 0.3, wall=WALL)
+    node.tick(now=NOW + 0.3, wall=WALL_TIME_S)
     joined = SMALL.heartbeat(SMALL.vms, sequence=1)
-    node.handle_membership(HeartbeatReceived(joined), now=NOW + 0.31, wall=WALL)
-    node.tick(now=NOW + 0.56, wall=WALL)
+    node.handle_membership(HeartbeatReceived(joined), now=NOW + 0.31, wall=WALL_TIME_S)
+    node.tick(now=NOW + 0.56, wall=WALL_TIME_S)
     assert node.steering is not None
     returned = [each.name for each in node.steering.nearest_vms(joined.failure_domain)]
     assert joined.sender in returned
@@ -93,8 +95,10 @@
 
 def test_lookups_are_not_recomputed_without_changes() -> None:
     node = build_fleet_node(LARGE, now=NOW)
-    node.tick(now=NOW, wall=WALL)
-    max_calls = MAX_GROWTH * count_calls(lambda: node.tick(now=NOW + 0.05, wall=WALL))
+    node.tick(now=NOW, wall=WALL_TIME_S)
+    max_calls = MAX_GROWTH * count_calls(
+        lambda: node.tick(now=NOW + 0.05, wall=WALL_TIME_S)
+    )
     refresh = count_calls(
         lambda: node.steering_updater.refresh(node.version, NOW + 0.5)
     )
--- a/packages/daemon/tests/node/test_node_with_listed_upstreams.py
+++ b/packages/daemon/tests/node/test_node_with_listed_upstreams.py
@@ -16,7 +16,7 @@
 from plankspindle_daemon.platform.live_list import ListedVm
 from plankspindle_daemon.platform.live_list import VmKind
 from plankspindle_daemon.upstreams.health import BackedOff
-from plankspindle_testkit.builders import VmPlace
+from plankspindle_testkit.builders import VmAddresses
 from plankspindle_testkit.builders import build_configuration
 from plankspindle_testkit.builders import build_service
 from plankspindle_testkit.builders import build_ticket
@@ -29,7 +29,7 @@
     from plankspindle_daemon.upstreams.upstream_state import UpstreamState
 
 WALL = 1000.0
-PLACE = VmPlace(name="a", failure_domain="ba-1", host="127.0.0.1", base_port=7000)
+PLACE = VmAddresses(name="a", failure_domain="ba-1", host="127.0.0.1", base_port=7000)
 
 
 def build_node() -> Node:
--- a/packages/daemon/tests/node/test_unresponsive_hints.py
+++ b/packages/daemon/tests/node/test_unresponsive_hints.py
@@ -12,7 +12,7 @@
 from plankspindle_daemon.dispatch.messages import RequestArrived
 from plankspindle_daemon.membership.messages import HeartbeatReceived
 from plankspindle_daemon.node.effects import ServiceEffect
-from plankspindle_testkit.builders import VmPlace
+from plankspindle_testkit.builders import VmAddresses
 from plankspindle_testkit.builders import build_configuration
 from plankspindle_testkit.builders import build_service
 from plankspindle_testkit.builders import build_ticket
@@ -25,12 +25,12 @@
 
 NOW = 100.0
 PLACES = [
-    VmPlace(name=name, failure_domain="ba-1", host="127.0.1.1", base_port=port)
+    VmAddresses(name=name, failure_domain="ba-1", host="127.0.1.1", base_port=port)
     for name, port in (("a", 7000), ("b", 7100))
 ]
 
 
-def build_node(place: VmPlace) -> Node:
+def build_node(place: VmAddresses) -> Node:
     node = TrialVm.start(place, seeds=PLACES, random=Random(1), now=NOW).node
     node.adopt(build_configuration_with_load_reports(), version=1, now=NOW)
     return node
--- a/packages/daemon/tests/node/test_upstream_incarnations.py
+++ b/packages/daemon/tests/node/test_upstream_incarnations.py
@@ -18,7 +18,7 @@
 from plankspindle_daemon.platform.live_list import ListedVm
 from plankspindle_daemon.platform.live_list import VmKind
 from plankspindle_daemon.upstreams.health import Warm
-from plankspindle_testkit.builders import VmPlace
+from plankspindle_testkit.builders import VmAddresses
 from plankspindle_testkit.builders import build_configuration
 from plankspindle_testkit.builders import build_service
 from plankspindle_testkit.builders import build_ticket
@@ -30,13 +30,13 @@
     from plankspindle_daemon.upstreams.upstream_state import UpstreamState
 
 PLACES = [
-    VmPlace(name=name, failure_domain="ba-1", host="127.0.1.1", base_port=port)
+    VmAddresses(name=name, failure_domain="ba-1", host="127.0.1.1", base_port=port)
     for name, port in (("a", 7000), ("b", 7100))
 ]
 FIRST, SECOND = 1_700_000_000_000, 1_700_000_009_000
 
 
-def build_node(place: VmPlace = PLACES[0]) -> Node:
+def build_node(place: VmAddresses = PLACES[0]) -> Node:
     node = TrialVm.start(place, seeds=PLACES, random=Random(1), now=0.0).node
     service = build_service(
         slot_sharing=SlotSharing.REPORTED, cold_requests_per_s=8.0, cold_ms=3_000
--- a/packages/daemon/tests/node/test_upstream_statements.py
+++ b/packages/daemon/tests/node/test_upstream_statements.py
@@ -17,7 +17,7 @@
 from plankspindle_daemon.platform.live_list import ListedVm
 from plankspindle_daemon.platform.live_list import VmKind
 from plankspindle_daemon.upstreams.upstream_statement import UpstreamStatement
-from plankspindle_testkit.builders import VmPlace
+from plankspindle_testkit.builders import VmAddresses
 from plankspindle_testkit.builders import build_configuration
 from plankspindle_testkit.builders import build_service
 from plankspindle_testkit.builders import build_ticket
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from plankspindle_daemon.node.node import Node
 
-PLACE = VmPlace(name="a", failure_domain="ba-1", host="127.0.1.1", base_port=7000)
+PLACE = VmAddresses(name="a", failure_domain="ba-1", host="127.0.1.1", base_port=7000)
 FIRST, SECOND = 1_700_000_000_000, 1_700_000_009_000
 LEAVING = UpstreamStatement(is_leaving=True)
 RETRY_LATER = UpstreamStatement(retry_after_s=3.0)
--- a/packages/daemon/tests/observability/test_metrics.py
+++ b/packages/daemon/tests/observability/test_metrics.py
@@ -12,10 +12,10 @@
 from hypothesis import strategies as st
 
 from plankspindle_core.histogram import Histogram
-from plankspindle_daemon.observability.measures import Measures
-from plankspindle_daemon.observability.metrics import RequestMetrics
+from plankspindle_daemon.observability.metric_sources import MetricSources
 from plankspindle_daemon.observability.metrics_reader import MetricsReader
-from plankspindle_daemon.observability.state_dump import dump_measures
+from plankspindle_daemon.observability.request_metrics import RequestMetrics
+from plankspindle_daemon.observability.state_dump import dump_metrics
 from plankspindle_daemon.platform.bounded_calls import BoundedCalls
 from plankspindle_daemon.platform.bounded_calls import CallKind
 from plankspindle_daemon.quarantine.quarantine import Quarantine
@@ -31,7 +31,7 @@
 PLACED = Placed(upstream="u", own_load=0, others_load=0.0, slots=4, latency=1.0)
 
 
-class BareNode:
+class StubNode:
     """The parts of a node that metrics read, with nothing in force."""
 
     dispatchers_by_service: dict[str, Any] = {}
@@ -41,7 +41,7 @@
         self.quarantine = Quarantine.create("a", "ba-1", build_membership("a"))
 
 
-def build_story() -> RequestTrace:
+def build_trace() -> RequestTrace:
     story = RequestTrace(
         request_id="r", id_is_from_caller=True, started_at=10.0, started_at_unix=0.0
     )
@@ -65,18 +65,18 @@
 
 
 @pytest.fixture
-def measures() -> Measures:
-    node: Any = BareNode()
+def measures() -> MetricSources:
+    node: Any = StubNode()
     calls = BoundedCalls(timeout_s=1.0)
-    calls.made_by_kind[CallKind.READ] = 3
-    found = Measures(
+    calls.calls_by_kind[CallKind.READ] = 3
+    found = MetricSources(
         node=node,
         requests=RequestMetrics(),
         calls=calls,
         ejections_by_service=Counter({"registry": 2}),
     )
-    found.requests.note_lookup()
-    found.requests.note_request(build_story(), 10.9)
+    found.requests.record_lookup()
+    found.requests.record_request(build_trace(), 10.9)
     return found
 
 
@@ -94,9 +94,9 @@
 
 
 def test_a_request_is_counted_with_its_wait_attempts_and_retries(
-    measures: Measures,
+    measures: MetricSources,
 ) -> None:
-    reader = MetricsReader(measures=measures)
+    reader = MetricsReader(sources=measures)
     found = samples(reader.render().decode())
     reader.close()
     of_request = "ending=served rank=1 service=registry"
@@ -114,13 +114,13 @@
     assert found["plankspindle_configuration_version"] == 7
 
 
-def test_requests_that_are_held_back_are_counted(measures: Measures) -> None:
+def test_requests_that_are_held_back_are_counted(measures: MetricSources) -> None:
     quarantine = measures.node.quarantine
     for life in "abc":
         quarantine.record_crash(7, life, at=1.0, now=1.0)
     quarantine.tick(2.0)
     assert quarantine.blocking_entry(7, 3.0) is not None
-    reader = MetricsReader(measures=measures)
+    reader = MetricsReader(sources=measures)
     found = samples(reader.render().decode())
     reader.close()
     assert found["plankspindle_upstream_crashes_reported_total"] == 3
@@ -128,11 +128,11 @@
     assert found["plankspindle_quarantined_requests"] == 1
 
 
-def test_metrics_and_state_dump_agree(measures: Measures) -> None:
-    reader = MetricsReader(measures=measures)
+def test_metrics_and_state_dump_agree(measures: MetricSources) -> None:
+    reader = MetricsReader(sources=measures)
     found = samples(reader.render().decode())
     reader.close()
-    dumped = dump_measures(measures)["measures"]
+    dumped = dump_metrics(measures)["measures"]
     assert found["plankspindle_lookups_total"] == dumped["lookups"]
     for each in dumped["requests"]:
         labels = (
@@ -160,7 +160,7 @@
 def test_buckets_count_what_lies_up_to_their_bound(values: list[float]) -> None:
     histogram = Histogram(bounds=(0.1, 1.0, 10.0))
     for value in values:
-        histogram.note(value)
+        histogram.record(value)
     for bound, count in histogram.cumulative():
         assert count == sum(value <= float(bound) for value in values)
     assert histogram.observations == len(values)
--- a/packages/daemon/tests/platform/test_bounded_calls.py
+++ b/packages/daemon/tests/platform/test_bounded_calls.py
@@ -61,7 +61,7 @@
     assert callee.calls == 3
     assert not calls.available
     assert calls.refused_by_breaker == 7
-    assert calls.failure is not None
+    assert calls.last_failure is not None
 
 
 @pytest.mark.parametrize("status", [200, 404, 410, 412])
@@ -75,7 +75,7 @@
 
     curio.run(run)
     assert calls.available
-    assert calls.made_by_kind == {CallKind.READ: 0, CallKind.WRITE: 10}
+    assert calls.calls_by_kind == {CallKind.READ: 0, CallKind.WRITE: 10}
 
 
 def test_a_silent_platform_is_left_after_the_time_out() -> None:
@@ -86,7 +86,7 @@
         return made.unwrap_err().detail
 
     assert curio.run(run) == "no answer in time"
-    assert calls.seconds_by_key["read", "failed"].observations == 1
+    assert calls.durations_by_kind_and_outcome["read", "failed"].observations == 1
 
 
 def test_waits_that_were_lost_keep_no_other_call_back() -> None:
@@ -94,7 +94,7 @@
 
     async def run() -> bool:
         for _ in range(5):
-            await calls.make(CallKind.READ, silent, extra_s=0.01)
+            await calls.make(CallKind.READ, silent, expected_delay_s=0.01)
         lost_waits = calls.available
         for _ in range(3):
             await calls.make(CallKind.READ, silent)
@@ -114,7 +114,7 @@
         return (await calls.make(CallKind.WRITE, callee.call)).is_ok()
 
     assert curio.run(run)
-    assert calls.made_by_kind[CallKind.READ] == most
+    assert calls.calls_by_kind[CallKind.READ] == most
     assert calls.refused_by_budget == 2 * most
     assert calls.available
 
--- a/packages/daemon/tests/platform/test_read_watch.py
+++ b/packages/daemon/tests/platform/test_read_watch.py
@@ -6,7 +6,7 @@
 
 from plankspindle_core.logs.key_value_destination import start_logging
 from plankspindle_core.logs.key_value_destination import stop_logging
-from plankspindle_daemon.platform.read_watch import ReadWatch
+from plankspindle_daemon.platform.read_failure_log import ReadFailureLog
 
 
 def test_a_row_of_failures_is_logged_at_its_beginning_and_its_end() -> None:
@@ -16,13 +16,13 @@
     stream = io.StringIO()
     destination = start_logging(stream=stream)
     try:
-        watch = ReadWatch(subject="list")
-        watch.note_read(1.0)
-        watch.note_failed("no answer in time", began=2.0, now=8.0, upstreams=3)
-        watch.note_failed("not tried", began=8.2, now=8.2, upstreams=3)
+        watch = ReadFailureLog(subject="list")
+        watch.record_success(1.0)
+        watch.record_failure("no answer in time", started_at=2.0, now=8.0, upstreams=3)
+        watch.record_failure("not tried", started_at=8.2, now=8.2, upstreams=3)
         assert watch.is_failing
-        watch.note_read(9.0)
-        watch.note_read(10.0)
+        watch.record_success(9.0)
+        watch.record_success(10.0)
         assert not watch.is_failing
     finally:
         stop_logging(destination)
--- a/packages/daemon/tests/platform/test_values_from_outside.py
+++ b/packages/daemon/tests/platform/test_values_from_outside.py
@@ -26,7 +26,7 @@
 from plankspindle_daemon.platform.platform_client import PlatformClient
 from plankspindle_daemon.platform.table import Transaction
 from plankspindle_daemon.upstreams.load_report import parse_load_report
-from plankspindle_testkit.loopback_network import host_of_run
+from plankspindle_testkit.loopback_network import loopback_host
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -111,7 +111,7 @@
     ],
 )
 def test_a_platform_that_answers_nonsense_counts_as_away(body: bytes) -> None:
-    endpoint = Endpoint(host_of_run(6, 2), next(_PORTS))
+    endpoint = Endpoint(loopback_host(6, 2), next(_PORTS))
 
     async def answer(source: ServerExchange) -> None:
         await source.read_body(max_bytes=10_000)
--- a/packages/daemon/tests/quarantine/test_crash_detector.py
+++ b/packages/daemon/tests/quarantine/test_crash_detector.py
@@ -18,7 +18,7 @@
 from plankspindle_daemon.upstreams.connection_pool import ConnectionPool
 from plankspindle_testkit.builders import build_membership
 from plankspindle_testkit.builders import build_ticket
-from plankspindle_testkit.loopback_network import host_of_run
+from plankspindle_testkit.loopback_network import loopback_host
 
 _PORTS = count(18_800)
 SETTLED_S = 0.1
@@ -26,7 +26,7 @@
 
 async def lose_requests(*, listening: bool, idle: bool) -> Quarantine:
     """Lose the connections of two requests at an upstream, listening or not."""
-    endpoint = Endpoint(host_of_run(7, 31), next(_PORTS))
+    endpoint = Endpoint(loopback_host(7, 31), next(_PORTS))
     pool = ConnectionPool(max_per_endpoint=4, connect_timeout_s=1.0)
     quarantine = Quarantine.create("a", "ba-1", build_membership("a"))
 
--- a/packages/daemon/tests/quarantine/test_probe_attempt_of_daemon_process.py
+++ b/packages/daemon/tests/quarantine/test_probe_attempt_of_daemon_process.py
@@ -17,14 +17,14 @@
 from plankspindle_core.endpoint import Endpoint
 from plankspindle_daemon.quarantine.crash_records import QUARANTINE_AFTER_CRASHES
 from plankspindle_testkit.builders import GOLD_KEY
-from plankspindle_testkit.builders import VmPlace
+from plankspindle_testkit.builders import VmAddresses
 from plankspindle_testkit.builders import build_configuration
 from plankspindle_testkit.builders import build_upstream
-from plankspindle_testkit.loopback_network import host_of_run
+from plankspindle_testkit.loopback_network import loopback_host
 from plankspindle_testkit.processes import Processes
+from plankspindle_testkit.processes import apply_configuration
 from plankspindle_testkit.processes import call
-from plankspindle_testkit.processes import put_in_force
-from plankspindle_testkit.processes import state_of
+from plankspindle_testkit.processes import read_state
 from plankspindle_testkit.processes import wait_for_operator_listener
 from plankspindle_testkit.processes import wait_until
 
@@ -32,11 +32,11 @@
     from collections.abc import Iterator
     from pathlib import Path
 
-PLATFORM = Endpoint(host_of_run(9, 1), 17000)
-PLACE = VmPlace(
-    name="ba-1-a", failure_domain="ba-1", host=host_of_run(9, 11), base_port=17100
+PLATFORM = Endpoint(loopback_host(9, 1), 17000)
+PLACE = VmAddresses(
+    name="ba-1-a", failure_domain="ba-1", host=loopback_host(9, 11), base_port=17100
 )
-UPSTREAM = build_upstream(endpoint=Endpoint(host_of_run(9, 21), 17200), slots=4)
+UPSTREAM = build_upstream(endpoint=Endpoint(loopback_host(9, 21), 17200), slots=4)
 GOLD = (header_names.AUTHORIZATION, b"Bearer " + GOLD_KEY.encode())
 TARGET = "/v1/services/registry/plates/crash"
 INCARNATION_S = 1.0
@@ -55,7 +55,9 @@
         start_upstream(started)
         started.start_daemon(PLACE, platform=PLATFORM, prelude=SHORT_TIMES)
         wait_for_operator_listener(PLACE)
-        put_in_force(PLACE, build_configuration(upstreams_by_name={"u": UPSTREAM}))
+        apply_configuration(
+            PLACE, build_configuration(upstreams_by_name={"u": UPSTREAM})
+        )
         wait_until(lambda: send_request() == 200, what="a request is served")
         yield started
     finally:
@@ -64,7 +66,7 @@
 
 def start_upstream(started: Processes) -> None:
     text = f"u={UPSTREAM.endpoint}={UPSTREAM.slots}"
-    name = f"u{len(started.by_name)}"
+    name = f"u{len(started.process_by_name)}"
     started.start_module(name, "plankspindle_testkit.upstream_stand_in", text)
     wait_until(lambda: call(UPSTREAM.endpoint, target="/load").status == 200, what=name)
 
@@ -74,7 +76,7 @@
 
 
 def is_quarantined() -> bool:
-    return bool(state_of(PLACE)["quarantine"]["requests"])
+    return bool(read_state(PLACE)["quarantine"]["requests"])
 
 
 def test_completed_probe_attempt_lifts_quarantine(processes: Processes) -> None:
--- a/packages/daemon/tests/quarantine/test_quarantine.py
+++ b/packages/daemon/tests/quarantine/test_quarantine.py
@@ -38,7 +38,7 @@
             for other, member in enumerate(names):
                 if other != own:
                     other_vm = build_member(
-                        member, failure_domain=DOMAINS[other % 3], last_heard=0.0
+                        member, failure_domain=DOMAINS[other % 3], last_heartbeat_at=0.0
                     )
                     other_vm.peer_endpoint = Endpoint(member, 1)
                     membership.members_by_name[member] = other_vm
--- a/packages/daemon/tests/quotas/test_limit_loads.py
+++ b/packages/daemon/tests/quotas/test_limit_loads.py
@@ -13,7 +13,7 @@
 
 from plankspindle_daemon.quotas.limit_holder import UNUSED_POOL_TTL_S
 from plankspindle_testkit.lab.statement_record import WINDOW_S
-from plankspindle_testkit.lab.statement_record import most_allowed
+from plankspindle_testkit.lab.statement_record import max_allowed_requests
 from plankspindle_testkit.quota_fleet import QuotaFleet
 
 if TYPE_CHECKING:
@@ -52,23 +52,23 @@
     fleet: QuotaFleet, limit_per_s: float, incarnation: str = INCARNATION
 ) -> None:
     """Announce a limit, and let all VMs receive it."""
-    fleet.limit_by_life[incarnation] = limit_per_s
+    fleet.limit_by_incarnation[incarnation] = limit_per_s
     fleet.run(0.5, load(fleet, HOT_PER_S, incarnation))
-    fleet.arrived_at_by_life.pop(incarnation, None)
+    fleet.arrived_at_by_incarnation.pop(incarnation, None)
 
 
 def assert_within_limit(
     fleet: QuotaFleet, incarnation: str = INCARNATION, since: float = 0.0
 ) -> None:
-    allowed = most_allowed(fleet.limit_by_life[incarnation])
-    assert fleet.most_arrived(incarnation, WINDOW_S, since) <= allowed
+    allowed = max_allowed_requests(fleet.limit_by_incarnation[incarnation])
+    assert fleet.max_arrived(incarnation, WINDOW_S, since) <= allowed
 
 
 def used_share(fleet: QuotaFleet, incarnation: str, seconds: float) -> float:
     """Return the share of a limit that was used in the last seconds."""
-    arrived = fleet.arrived_at_by_life.get(incarnation, [])
+    arrived = fleet.arrived_at_by_incarnation.get(incarnation, [])
     recent = [at for at in arrived if at > fleet.now - seconds]
-    return len(recent) / seconds / fleet.limit_by_life[incarnation]
+    return len(recent) / seconds / fleet.limit_by_incarnation[incarnation]
 
 
 @pytest.mark.parametrize(
@@ -90,7 +90,7 @@
     fleet = build_fleet(size)
     announce_limit(fleet, 6.0)
     half = {name for index, name in enumerate(fleet.vms_by_name) if index % 2}
-    fleet.cut(lambda one, other: (one in half) == (other in half))
+    fleet.partition(lambda one, other: (one in half) == (other in half))
     fleet.run(10.0, load(fleet))
     fleet.heal()
     fleet.run(8.0, load(fleet))
@@ -102,7 +102,7 @@
     fleet = build_fleet(size)
     announce_limit(fleet, 6.0)
     region = {vm.name: vm.region for vm in fleet.vms_by_name.values()}
-    fleet.cut(lambda one, other: region[one] == region[other])
+    fleet.partition(lambda one, other: region[one] == region[other])
     fleet.run(14.0, load(fleet))
     assert_within_limit(fleet)
     assert used_share(fleet, INCARNATION, 8.0) > 0.5
@@ -113,7 +113,7 @@
     fleet = build_fleet(size)
     announce_limit(fleet, 6.0)
     isolated = {name for index, name in enumerate(fleet.vms_by_name) if index % 3 == 0}
-    fleet.cut(lambda one, other: one not in isolated and other not in isolated)
+    fleet.partition(lambda one, other: one not in isolated and other not in isolated)
     fleet.run(10.0, load(fleet))
     fleet.heal()
     fleet.run(6.0, load(fleet))
@@ -150,7 +150,7 @@
 def test_limit_is_kept_when_messages_are_lost_and_delayed(seed: int) -> None:
     fleet = build_fleet(67, seed)
     announce_limit(fleet, 4.6)
-    fleet.loss, fleet.delay_s = 0.3, 0.5
+    fleet.loss_share, fleet.max_extra_delay_s = 0.3, 0.5
     fleet.run(15.0, load(fleet))
     assert_within_limit(fleet)
 
@@ -159,7 +159,7 @@
 def test_limit_is_kept_when_views_of_membership_are_wrong(mistakes: float) -> None:
     fleet = build_fleet(67)
     announce_limit(fleet, 4.6)
-    fleet.mistakes = mistakes
+    fleet.false_suspicion_share = mistakes
     fleet.run(15.0, load(fleet))
     assert_within_limit(fleet)
 
@@ -168,7 +168,7 @@
     fleet = build_fleet(67)
     announce_limit(fleet, 40.0)
     fleet.run(6.0, load(fleet))
-    fleet.limit_by_life[INCARNATION] = 4.0
+    fleet.limit_by_incarnation[INCARNATION] = 4.0
     fleet.run(1.0, load(fleet))
     since = fleet.now
     fleet.run(12.0, load(fleet))
@@ -180,7 +180,7 @@
     fleet = build_fleet(size)
     announce_limit(fleet, 4.6)
     fleet.run(4.0, load(fleet))
-    del fleet.limit_by_life[INCARNATION]
+    del fleet.limit_by_incarnation[INCARNATION]
     fleet.run(3.0, load(fleet))
     for vm in fleet.vms_by_name.values():
         assert not vm.quotas.limits.limiter_by_incarnation
@@ -213,8 +213,8 @@
     fleet = build_fleet(9)
     announce_limit(fleet, 0.0)
     fleet.run(40.0, load(fleet))
-    assert fleet.most_arrived(INCARNATION, WINDOW_S) <= most_allowed(0.0)
-    del fleet.limit_by_life[INCARNATION]
+    assert fleet.max_arrived(INCARNATION, WINDOW_S) <= max_allowed_requests(0.0)
+    del fleet.limit_by_incarnation[INCARNATION]
     fleet.run(40.0, load(fleet))
     gates = [
         vm.quotas.limits.limiter_by_incarnation for vm in fleet.vms_by_name.values()
--- a/packages/daemon/tests/quotas/test_limit_machine.py
+++ b/packages/daemon/tests/quotas/test_limit_machine.py
@@ -10,11 +10,11 @@
 from hypothesis.stateful import invariant
 from hypothesis.stateful import rule
 
-from plankspindle_testkit.lab.statement_record import KNOWN_S
+from plankspindle_testkit.lab.statement_record import STATEMENT_DELAY_S
 from plankspindle_testkit.lab.statement_record import WINDOW_S
-from plankspindle_testkit.lab.statement_record import most_allowed
+from plankspindle_testkit.lab.statement_record import max_allowed_requests
 from plankspindle_testkit.quota_fleet import QuotaFleet
-from plankspindle_testkit.quota_fleet import most_in_window
+from plankspindle_testkit.quota_fleet import max_in_window
 
 VMS = 6
 INCARNATIONS = ("u#1", "v#2")
@@ -40,12 +40,12 @@
 
     @rule(incarnation=incarnations, limit_per_s=st.sampled_from(LIMITS_PER_S))
     def announce_limit(self, incarnation: str, limit_per_s: float) -> None:
-        self.fleet.limit_by_life[incarnation] = limit_per_s
+        self.fleet.limit_by_incarnation[incarnation] = limit_per_s
         self.changed_at[incarnation] = self.fleet.now
 
     @rule(incarnation=incarnations)
     def lift_limit(self, incarnation: str) -> None:
-        self.fleet.limit_by_life.pop(incarnation, None)
+        self.fleet.limit_by_incarnation.pop(incarnation, None)
 
     @rule(vm=vms, incarnation=incarnations, number=st.integers(1, BURST))
     def send(self, vm: int, incarnation: str, number: int) -> None:
@@ -67,7 +67,7 @@
     @rule(part=st.sets(vms, min_size=1, max_size=VMS - 1))
     def cut(self, part: set[int]) -> None:
         names = set(map(self.name, part))
-        self.fleet.cut(lambda one, other: (one in names) == (other in names))
+        self.fleet.partition(lambda one, other: (one in names) == (other in names))
 
     @rule()
     def heal(self) -> None:
@@ -84,20 +84,20 @@
 
     @rule(loss=st.sampled_from([0.0, 0.3, 0.9]))
     def lose_messages(self, loss: float) -> None:
-        self.fleet.loss = loss
+        self.fleet.loss_share = loss
 
     @invariant()
     def no_upstream_gets_more_than_its_limit_from_vms_that_know_it(self) -> None:
-        for incarnation, limit_per_s in self.fleet.limit_by_life.items():
+        for incarnation, limit_per_s in self.fleet.limit_by_incarnation.items():
             # A VM applies the last limit that it received until an update arrives.
-            since = self.changed_at[incarnation] + KNOWN_S
+            since = self.changed_at[incarnation] + STATEMENT_DELAY_S
             arrived = [
                 at
-                for at in self.fleet.arrived_at_by_life.get(incarnation, [])
+                for at in self.fleet.arrived_at_by_incarnation.get(incarnation, [])
                 if at >= max(since, self.fleet.now - WINDOW_S)
             ]
-            most_arrived = most_in_window(arrived, WINDOW_S)
-            assert most_arrived <= most_allowed(
+            most_arrived = max_in_window(arrived, WINDOW_S)
+            assert most_arrived <= max_allowed_requests(
                 limit_per_s
             ) + VMS * self._changed_recently(incarnation)
 
--- a/packages/daemon/tests/quotas/test_quota_loads.py
+++ b/packages/daemon/tests/quotas/test_quota_loads.py
@@ -59,7 +59,7 @@
             number = int(wanted) + (self.random.random() < wanted % 1)
             self.sent[workspace] += number
             for _ in range(number):
-                self.fleet.request(self.random.choice(names), workspace)
+                self.fleet.receive_request(self.random.choice(names), workspace)
 
 
 def count_refused(fleet: QuotaFleet, workspace: str) -> int:
@@ -68,7 +68,7 @@
 
 def assert_within_quota(fleet: QuotaFleet) -> None:
     for name, quota in fleet.workspaces_by_name.items():
-        most = fleet.most_in_window(name, WINDOW_S)
+        most = fleet.max_admitted(name, WINDOW_S)
         assert most <= max_admitted(quota.rate_per_s, quota.burst), name
 
 
@@ -86,10 +86,10 @@
 def test_quota_is_kept_when_all_vms_get_requests_at_once(size: int) -> None:
     fleet = build_fleet(size, small=2.0)
     for name in fleet.vms_by_name:
-        fleet.request(name, "small")
+        fleet.receive_request(name, "small")
     fleet.run(1.0)
     for name in fleet.vms_by_name:
-        fleet.request(name, "small")
+        fleet.receive_request(name, "small")
     fleet.run(6.0)
     assert fleet.admitted_at_by_workspace["small"]
     assert_within_quota(fleet)
@@ -112,7 +112,7 @@
     half = {name for index, name in enumerate(fleet.vms_by_name) if index % 2}
     load = Load(fleet, small=40.0, large=1280.0)
     fleet.run(3.0, load)
-    fleet.cut(lambda one, other: (one in half) == (other in half))
+    fleet.partition(lambda one, other: (one in half) == (other in half))
     fleet.run(8.0, load)
     fleet.heal()
     fleet.run(8.0, load)
@@ -124,7 +124,7 @@
     fleet = build_fleet(size, small=5.0, large=160.0)
     load = Load(fleet, small=40.0, large=1280.0)
     isolated = {name for index, name in enumerate(fleet.vms_by_name) if index % 3 == 0}
-    fleet.cut(lambda one, other: one not in isolated and other not in isolated)
+    fleet.partition(lambda one, other: one not in isolated and other not in isolated)
     fleet.run(10.0, load)
     fleet.heal()
     fleet.run(6.0, load)
@@ -168,7 +168,7 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_quota_is_kept_when_messages_are_lost_and_delayed(seed: int) -> None:
     fleet = build_fleet(67, seed, small=5.0, large=160.0)
-    fleet.loss, fleet.delay_s = 0.3, 1.0
+    fleet.loss_share, fleet.max_extra_delay_s = 0.3, 1.0
     fleet.run(15.0, Load(fleet, small=40.0, large=1280.0))
     assert_within_quota(fleet)
 
@@ -176,14 +176,14 @@
 @pytest.mark.parametrize("mistakes", [0.2, 0.5, 0.9])
 def test_quota_is_kept_when_views_of_membership_are_wrong(mistakes: float) -> None:
     fleet = build_fleet(67, small=5.0, large=160.0)
-    fleet.mistakes = mistakes
+    fleet.false_suspicion_share = mistakes
     fleet.run(15.0, Load(fleet, small=40.0, large=1280.0))
     assert_within_quota(fleet)
 
 
 def test_message_loss_refuses_few_requests_below_quota() -> None:
     fleet = build_fleet(67, small=5.0, large=160.0)
-    fleet.loss = 0.025
+    fleet.loss_share = 0.025
     load = Load(fleet, small=3.0, large=100.0)
     fleet.run(20.0, load)
     sent = sum(load.sent.values())
@@ -210,8 +210,8 @@
     load = Load(fleet, large=1280.0)
     fleet.run(3.0, load)
     if cut:
-        fleet.cut(lambda one, other: int(one[3:]) % 2 == int(other[3:]) % 2)
-    fleet.use({"large": limited(16.0)})
+        fleet.partition(lambda one, other: int(one[3:]) % 2 == int(other[3:]) % 2)
+    fleet.apply_workspaces({"large": limited(16.0)})
     lowered_at = fleet.now
     fleet.run(14.0, load)
     fleet.admitted_at_by_workspace["large"] = [
@@ -226,12 +226,12 @@
     fleet = build_fleet(9, large=16.0)
     load = Load(fleet, large=100.0)
     fleet.run(3.0, load)
-    fleet.use({"large": limited(160.0)})
+    fleet.apply_workspaces({"large": limited(160.0)})
     fleet.run(4.0)
     before = count_refused(fleet, "large")
     fleet.run(4.0, load)
     assert count_refused(fleet, "large") == before
-    fleet.use({"large": build_workspace()})
+    fleet.apply_workspaces({"large": build_workspace()})
     fleet.run(4.0, Load(fleet, large=1000.0))
     assert count_refused(fleet, "large") == before
 
@@ -239,7 +239,7 @@
 def test_refusal_has_bounded_retry_after() -> None:
     fleet = build_fleet(9, small=5.0)
     for _ in range(40):
-        fleet.request("vm-0", "small")
+        fleet.receive_request("vm-0", "small")
     fleet.run(1.0)
     waits = [each.retry_after_s for each in fleet.refusals]
     assert waits
--- a/packages/daemon/tests/routes/test_route_table.py
+++ b/packages/daemon/tests/routes/test_route_table.py
@@ -45,8 +45,8 @@
     table = build_table(one="/a/")
     assert table.find(host="Registry.Example:8080", path="/a/") is not None
     assert table.find(host="other.example", path="/a/") is None
-    assert table.knows_host(HOST)
-    assert not table.knows_host("other.example")
+    assert table.has_host(HOST)
+    assert not table.has_host("other.example")
 
 
 def test_requests_are_divided_by_weight_in_every_stretch() -> None:
@@ -64,7 +64,7 @@
     table = RouteTable(routes_by_name={"r": route})
     for _ in range(40):
         counts[table.find(host=HOST, path="/").service] += 1
-        table = table.replaced_by({"r": route})
+        table = table.with_routes({"r": route})
     assert counts == {"a": 30, "b": 10}
 
 
--- a/packages/daemon/tests/settings/test_settings_file.py
+++ b/packages/daemon/tests/settings/test_settings_file.py
@@ -13,7 +13,7 @@
 from plankspindle_daemon.settings.reading import read_settings
 from plankspindle_daemon.settings.settings_file import SettingsChange
 from plankspindle_daemon.settings.settings_file import SettingsFile
-from plankspindle_testkit.builders import VmPlace
+from plankspindle_testkit.builders import VmAddresses
 from plankspindle_testkit.builders import build_settings_mapping
 
 if TYPE_CHECKING:
@@ -21,7 +21,7 @@
 
     from plankspindle_daemon.settings.daemon_settings import DaemonSettings
 
-PLACE = VmPlace(name="a", failure_domain="ba-1", host="127.0.3.1", base_port=18_000)
+PLACE = VmAddresses(name="a", failure_domain="ba-1", host="127.0.3.1", base_port=18_000)
 
 
 def build_text() -> str:
@@ -40,14 +40,16 @@
         timing=evolve(old.timing, probe_ms=7),
     )
     change = SettingsChange.between(old, new)
-    assert (change.live, change.at_start) == (("peers",), ("timing",))
-    assert SettingsChange.between(old, old) == SettingsChange(live=(), at_start=())
+    assert (change.reloadable, change.restart_required) == (("peers",), ("timing",))
+    assert SettingsChange.between(old, old) == SettingsChange(
+        reloadable=(), restart_required=()
+    )
 
 
 def test_a_file_has_changed_once_for_each_change(tmp_path: Path) -> None:
     path = tmp_path / "settings.yaml"
     path.write_text(build_text())
-    file = SettingsFile(path=path, reads=read_settings)
+    file = SettingsFile(path=path, reader=read_settings)
     assert file.read().is_ok()
     assert not file.has_changed()
     path.write_text(build_text() + "\n# longer\n")
@@ -58,7 +60,7 @@
 def test_a_file_that_is_away_for_a_moment_has_not_changed(tmp_path: Path) -> None:
     path = tmp_path / "settings.yaml"
     path.write_text(build_text())
-    file = SettingsFile(path=path, reads=read_settings)
+    file = SettingsFile(path=path, reader=read_settings)
     assert not file.has_changed()
     path.unlink()
     assert not file.has_changed()
@@ -80,4 +82,4 @@
 def test_a_file_of_any_form_is_refused(tmp_path: Path, text: str) -> None:
     path = tmp_path / "settings.yaml"
     path.write_text(text)
-    assert SettingsFile(path=path, reads=read_settings).read().is_err()
+    assert SettingsFile(path=path, reader=read_settings).read().is_err()
--- a/packages/daemon/tests/sharing/test_follower_checks.py
+++ b/packages/daemon/tests/sharing/test_follower_checks.py
@@ -41,7 +41,7 @@
         [listed],
         version=version,
         configuration_version=1,
-        kept_until=-math.inf,
+        retained_until=-math.inf,
         now=now,
     )
     return [each.message for each in sent]
--- a/packages/daemon/tests/sharing/test_platform_calls_at_start.py
+++ b/packages/daemon/tests/sharing/test_platform_calls_at_start.py
@@ -73,7 +73,7 @@
                 [LISTED],
                 version=1,
                 configuration_version=1,
-                kept_until=-math.inf,
+                retained_until=-math.inf,
                 now=now,
             )
         else:
--- a/packages/daemon/tests/sharing/test_shared_reads.py
+++ b/packages/daemon/tests/sharing/test_shared_reads.py
@@ -58,7 +58,7 @@
         vms,
         version=version,
         configuration_version=configuration,
-        kept_until=-math.inf,
+        retained_until=-math.inf,
         now=now,
     )
     broadcast = reads.record_configuration_read(configuration, now)
@@ -86,7 +86,7 @@
     reads = SharedReads(group=build_reader_group(NAMES[1], NAMES), period_s=0.0)
     assert (
         reads.record_list_read(
-            [], version=1, configuration_version=1, kept_until=-math.inf, now=0.0
+            [], version=1, configuration_version=1, retained_until=-math.inf, now=0.0
         )
         == []
     )
@@ -97,7 +97,7 @@
     reads = build_reads(NAMES[1])
     assert (
         reads.record_list_read(
-            [], version=None, configuration_version=1, kept_until=-math.inf, now=0.0
+            [], version=None, configuration_version=1, retained_until=-math.inf, now=0.0
         )
         == []
     )
@@ -159,7 +159,7 @@
         vms,
         version=version,
         configuration_version=1,
-        kept_until=-math.inf,
+        retained_until=-math.inf,
         now=now,
     )
     return list({each.message.part: each.message for each in sent}.values())
@@ -352,11 +352,11 @@
     """Updates of later reads carry it too, since the first message may be lost."""
     reads = build_reads("vm-0")
     reads.record_list_read(
-        [], version=1, configuration_version=1, kept_until=-math.inf, now=0.0
+        [], version=1, configuration_version=1, retained_until=-math.inf, now=0.0
     )
     now = SETTLE_S + 1.0
     broadcast = reads.record_list_read(
-        [], version=2, configuration_version=1, kept_until=now + 2.0, now=now
+        [], version=2, configuration_version=1, retained_until=now + 2.0, now=now
     )
     assert all(each.message.after_gap for each in broadcast)
     assert {each.message.keep_ms for each in broadcast} == {2_000}
--- a/packages/daemon/tests/shifts/test_shift_meter.py
+++ b/packages/daemon/tests/shifts/test_shift_meter.py
@@ -22,7 +22,7 @@
 
 def build_meter(**caps: float) -> ShiftMeter:
     meter = ShiftMeter.create(region="bratislava")
-    meter.use_shifts({name: build_shift(cap) for name, cap in caps.items()}, 0.0)
+    meter.apply_shifts({name: build_shift(cap) for name, cap in caps.items()}, 0.0)
     return meter
 
 
@@ -34,7 +34,7 @@
     chosen = meter.choose(service="registry", caller_key=caller, now=now)
     if not isinstance(chosen, Move):
         return None
-    meter.count_move(service="registry", move=chosen)
+    meter.record_move(service="registry", move=chosen)
     return chosen
 
 
@@ -74,16 +74,16 @@
 
 def test_a_meter_of_another_region_moves_nothing() -> None:
     meter = ShiftMeter.create(region="kosice")
-    meter.use_shifts({"s": build_shift(100.0)}, 0.0)
+    meter.apply_shifts({"s": build_shift(100.0)}, 0.0)
     assert moved(meter, ["dealer"] * 10) == []
 
 
 def test_counts_survive_another_version_of_the_configuration() -> None:
     meter = build_meter(s=20.0)
     moved(meter, ["dealer"] * 10)
-    meter.use_shifts({"s": build_shift(20.0), "t": build_shift(10.0)}, 1.0)
-    assert meter.counts_by_id()["s"].total == 10
-    assert meter.counts_by_id()["t"].total == 0
+    meter.apply_shifts({"s": build_shift(20.0), "t": build_shift(10.0)}, 1.0)
+    assert meter.counts_by_id()["s"].request_count == 10
+    assert meter.counts_by_id()["t"].request_count == 0
 
 
 def test_a_shift_grows_over_its_ramp() -> None:
@@ -91,7 +91,7 @@
     reached = []
     for now in (0.0, 15.0, 30.0, 60.0):
         meter = ShiftMeter.create(region="bratislava")
-        meter.use_shifts({"s": build_shift(40.0, ramp_s=30.0)}, 0.0)
+        meter.apply_shifts({"s": build_shift(40.0, ramp_s=30.0)}, 0.0)
         reached.append({caller for caller in callers if move(meter, caller, now)})
     assert reached[0] == set()
     assert reached[0] < reached[1] < reached[2]
--- a/packages/daemon/tests/status_changes/test_belief_watch.py
+++ b/packages/daemon/tests/status_changes/test_status_monitor.py
@@ -18,7 +18,7 @@
 from plankspindle_testkit.builders import build_dispatcher
 from plankspindle_testkit.builders import build_member
 from plankspindle_testkit.builders import build_membership
-from plankspindle_testkit.builders import build_reporting_dispatcher
+from plankspindle_testkit.builders import build_reported_slots_dispatcher
 from plankspindle_testkit.builders import build_ticket
 
 if TYPE_CHECKING:
@@ -56,8 +56,8 @@
     None
 ):
     membership, watch = build_membership("own", all_domains=True), MemberMonitor()
-    first = build_member("a", failure_domain="ke-1", last_heard=NOW)
-    second = build_member("b", failure_domain="ke-1", last_heard=NOW)
+    first = build_member("a", failure_domain="ke-1", last_heartbeat_at=NOW)
+    second = build_member("b", failure_domain="ke-1", last_heartbeat_at=NOW)
     membership.members_by_name |= {"a": first, "b": second}
     seen = watch.observe(membership, NOW)
     assert [each.fields["now"] for each in seen] == ["heard", "heard"]
@@ -78,7 +78,7 @@
 
 def test_a_restart_of_a_member_is_told_of() -> None:
     membership, watch = build_membership("own", all_domains=True), MemberMonitor()
-    member = build_member("a", failure_domain="ke-1", last_heard=NOW)
+    member = build_member("a", failure_domain="ke-1", last_heartbeat_at=NOW)
     membership.members_by_name["a"] = member
     watch.observe(membership, NOW)
     member.incarnation = 7
@@ -90,13 +90,13 @@
 def test_a_platform_that_goes_is_told_of_once(failures: int) -> None:
     calls, watch = BoundedCalls(timeout_s=1.0), StatusMonitor()
     for _ in range(failures):
-        calls.breaker.note(failed=True, now=NOW)
-    calls.failure = "status 503"
-    lost = list(watch._platform(calls, NOW))
+        calls.breaker.record(failed=True, now=NOW)
+    calls.last_failure = "status 503"
+    lost = list(watch._platform_changes(calls, NOW))
     assert [each.event for each in lost] == ["platform_lost"] * (failures - 2)
-    assert not list(watch._platform(calls, NOW))
-    calls.breaker.note(failed=False, now=NOW)
-    regained = list(watch._platform(calls, NOW + 1.5))
+    assert not list(watch._platform_changes(calls, NOW))
+    calls.breaker.record(failed=False, now=NOW)
+    regained = list(watch._platform_changes(calls, NOW + 1.5))
     assert [each.fields for each in regained] == [{"away_ms": 1_500}] * (failures - 2)
 
 
@@ -108,7 +108,7 @@
 
 
 def test_keys_that_begin_to_leave_the_region_are_told_of_with_how_busy_it_is() -> None:
-    dispatcher = build_reporting_dispatcher("u")
+    dispatcher = build_reported_slots_dispatcher("u")
     watch = PlanMonitor()
     by_service = {"registry": dispatcher}
     assert list(watch.observe(by_service)) == []
--- a/packages/daemon/tests/test_caller_page.py
+++ b/packages/daemon/tests/test_callers_page_examples.py
@@ -13,14 +13,14 @@
 
 from plankspindle_core.endpoint import Endpoint
 from plankspindle_testkit.builders import GOLD_KEY
-from plankspindle_testkit.builders import VmPlace
+from plankspindle_testkit.builders import VmAddresses
 from plankspindle_testkit.builders import build_configuration
 from plankspindle_testkit.builders import build_upstream
-from plankspindle_testkit.loopback_network import host_of_run
+from plankspindle_testkit.loopback_network import loopback_host
 from plankspindle_testkit.processes import Processes
+from plankspindle_testkit.processes import apply_configuration
 from plankspindle_testkit.processes import call
-from plankspindle_testkit.processes import put_in_force
-from plankspindle_testkit.processes import state_of
+from plankspindle_testkit.processes import read_state
 from plankspindle_testkit.processes import wait_for_operator_listener
 from plankspindle_testkit.processes import wait_until
 
@@ -28,10 +28,10 @@
     from plankspindle_core.http.fetch import HttpAnswer
 
 PAGE = Path(__file__).parents[3] / "docs" / "callers.md"
-PLATFORM = Endpoint(host_of_run(5, 1), 17000)
-UPSTREAM = Endpoint(host_of_run(5, 3), 17200)
-PLACE = VmPlace(
-    name="ba-1-a", failure_domain="ba-1", host=host_of_run(5, 2), base_port=17100
+PLATFORM = Endpoint(loopback_host(5, 1), 17000)
+UPSTREAM = Endpoint(loopback_host(5, 3), 17200)
+PLACE = VmAddresses(
+    name="ba-1-a", failure_domain="ba-1", host=loopback_host(5, 2), base_port=17100
 )
 EXAMPLE_HOST = "http://10.41.1.10:8080"
 
@@ -79,12 +79,12 @@
     processes.start_daemon(PLACE, platform=PLATFORM)
     wait_for_operator_listener(PLACE)
     upstreams = {"u": build_upstream(endpoint=UPSTREAM, slots=4)}
-    put_in_force(PLACE, build_configuration(upstreams_by_name=upstreams))
+    apply_configuration(PLACE, build_configuration(upstreams_by_name=upstreams))
     wait_until(lambda: share() == 4, what="shares")
 
 
 def share() -> int:
-    service = state_of(PLACE)["services"].get("registry", {"upstreams": {}})
+    service = read_state(PLACE)["services"].get("registry", {"upstreams": {}})
     return int(service["upstreams"].get("u", {"share": 0})["share"])
 
 
--- a/packages/daemon/tests/test_daemon.py
+++ b/packages/daemon/tests/test_daemon.py
@@ -19,16 +19,16 @@
 from plankspindle_core.invariants import check_invariant
 from plankspindle_core.logs.key_value_destination import start_logging
 from plankspindle_core.logs.key_value_destination import stop_logging
-from plankspindle_daemon.daemon_process import EXIT_ADDRESS
+from plankspindle_daemon.daemon_process import EXIT_ADDRESS_NOT_USABLE
 from plankspindle_daemon.daemon_process import EXIT_BROKEN_INVARIANT
 from plankspindle_daemon.daemon_process import run_daemon
 from plankspindle_daemon.listeners.caller_listener import CallerListener
 from plankspindle_daemon.node.list_follower import ListFollower
 from plankspindle_daemon.node.node import Node
 from plankspindle_daemon.settings.reading import parse_settings
-from plankspindle_testkit.builders import VmPlace
+from plankspindle_testkit.builders import VmAddresses
 from plankspindle_testkit.builders import build_settings_mapping
-from plankspindle_testkit.loopback_network import host_of_run
+from plankspindle_testkit.loopback_network import loopback_host
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -36,18 +36,21 @@
     from plankspindle_core.http.server_exchange import ServerExchange
     from plankspindle_daemon.settings.daemon_settings import DaemonSettings
 
-    Play = Callable[[str], tuple["Played", str]]
+    Play = Callable[[str], tuple["RequestOutcome", str]]
 
 _PORTS = count(18_600, 3)
-WHOLE_BYTES = 400_000
+BODY_BYTES = 400_000
 """Length of an answer that is still on its way when its sender has handed it over."""
 
 
 def build_settings() -> DaemonSettings:
-    place = VmPlace(
-        name="a", failure_domain="ba-1", host=host_of_run(3, 1), base_port=next(_PORTS)
+    place = VmAddresses(
+        name="a",
+        failure_domain="ba-1",
+        host=loopback_host(3, 1),
+        base_port=next(_PORTS),
     )
-    mapping = build_settings_mapping(place, platform=Endpoint(host_of_run(3, 9), 9))
+    mapping = build_settings_mapping(place, platform=Endpoint(loopback_host(3, 9), 9))
     return parse_settings(yaml.safe_dump(mapping)).unwrap()
 
 
@@ -95,7 +98,7 @@
 
 
 @frozen(kw_only=True)
-class Played:
+class RequestOutcome:
     """How a request that breaks ended beside another one.
 
     Parameters
@@ -113,7 +116,9 @@
     runs_on: bool
 
 
-async def ask_beside_a_running_one(settings: DaemonSettings, broken: str) -> Played:
+async def ask_beside_a_running_one(
+    settings: DaemonSettings, broken: str
+) -> RequestOutcome:
     """Send a request that breaks while another one runs."""
     daemon = await curio.spawn(run_daemon, settings)
     while (await fetch(settings.listen.caller, timeout_s=1.0)).is_err():
@@ -124,7 +129,7 @@
     await curio.sleep(0.2)
     runs_on = not daemon.terminated
     await daemon.cancel()
-    return Played(
+    return RequestOutcome(
         exit_status=0 if runs_on else daemon.result, statuses=statuses, runs_on=runs_on
     )
 
@@ -139,7 +144,7 @@
     if source.target == "/unexpected":
         raise ZeroDivisionError
     if source.target == "/after-answer":
-        await source.answer(status=200, body=b"w" * WHOLE_BYTES)
+        await source.answer(status=200, body=b"w" * BODY_BYTES)
         raise ZeroDivisionError
     if source.target == "/invariant":
         check_invariant("made-up", False, "for a test")
@@ -182,5 +187,5 @@
         taken.bind((settings.listen.operator.host, settings.listen.operator.port))
         taken.listen()
         status, log = run(settings)
-    assert status == EXIT_ADDRESS
+    assert status == EXIT_ADDRESS_NOT_USABLE
     assert "event=address_not_usable" in log
--- a/packages/daemon/tests/test_key_secrecy.py
+++ b/packages/daemon/tests/test_key_secrecy.py
@@ -12,16 +12,16 @@
 from plankspindle_core import header_names
 from plankspindle_core.configuration.caller import hash_api_key
 from plankspindle_core.endpoint import Endpoint
-from plankspindle_testkit.builders import VmPlace
+from plankspindle_testkit.builders import VmAddresses
 from plankspindle_testkit.builders import build_configuration
 from plankspindle_testkit.builders import build_route
 from plankspindle_testkit.builders import build_upstream
 from plankspindle_testkit.builders import build_workspace
-from plankspindle_testkit.loopback_network import host_of_run
+from plankspindle_testkit.loopback_network import loopback_host
 from plankspindle_testkit.processes import Processes
+from plankspindle_testkit.processes import apply_configuration
 from plankspindle_testkit.processes import call
-from plankspindle_testkit.processes import put_in_force
-from plankspindle_testkit.processes import state_of
+from plankspindle_testkit.processes import read_state
 from plankspindle_testkit.processes import wait_for_operator_listener
 from plankspindle_testkit.processes import wait_until
 
@@ -29,11 +29,11 @@
     from collections.abc import Iterator
     from pathlib import Path
 
-PLATFORM = Endpoint(host_of_run(10, 1), 17000)
-PLACE = VmPlace(
-    name="ba-1-a", failure_domain="ba-1", host=host_of_run(10, 11), base_port=17100
+PLATFORM = Endpoint(loopback_host(10, 1), 17000)
+PLACE = VmAddresses(
+    name="ba-1-a", failure_domain="ba-1", host=loopback_host(10, 11), base_port=17100
 )
-UPSTREAM = build_upstream(endpoint=Endpoint(host_of_run(10, 21), 17200), slots=4)
+UPSTREAM = build_upstream(endpoint=Endpoint(loopback_host(10, 21), 17200), slots=4)
 KEY, REVOKED, LIMITED = "ymh2rrytapjsujqurtyi", "k-revoked-93x", "k-limited-44y"
 WORKSPACE = "huka270"
 
@@ -103,7 +103,7 @@
             routes_by_name=routes,
             workspaces_by_name=workspaces,
         )
-        put_in_force(PLACE, configuration)
+        apply_configuration(PLACE, configuration)
         wait_until(lambda: ask("/r/1", KEY) == 200, what="a served request")
         yield started
     finally:
@@ -136,11 +136,11 @@
     assert b"authorization" not in b"".join(sent).lower()
     log_path = processes.folder.rglob("*")
     written = b"".join(path.read_bytes() for path in log_path if path.is_file())
-    shown = json.dumps(state_of(PLACE)).encode()
+    shown = json.dumps(read_state(PLACE)).encode()
     shown += call(PLACE.operator, target="/metrics").body
     shown += call(PLACE.operator, target="/v1/configuration").body
     for key in (KEY, REVOKED, LIMITED):
         for place in (written, shown, b"".join(sent)):
             assert key.encode() not in place
     for digest in map(hash_api_key, (KEY.encode(), LIMITED.encode())):
-        assert digest.encode() not in json.dumps(state_of(PLACE)).encode()
+        assert digest.encode() not in json.dumps(read_state(PLACE)).encode()
--- a/packages/daemon/tests/test_heads_from_outside.py
+++ b/packages/daemon/tests/test_malformed_requests.py
@@ -47,7 +47,7 @@
     listener = CallerListener.__new__(CallerListener)
     listener.node = cast("Any", FakeNode())
     source = FakeSource(target, method)
-    curio.run(listener._serve_own, source)
+    curio.run(listener._serve_builtin, source)
     (status,) = source.statuses
     return status
 
--- a/packages/daemon/tests/test_stopped_in_a_tick.py
+++ b/packages/daemon/tests/test_process_stopped_within_tick.py
@@ -22,25 +22,25 @@
 from plankspindle_core.endpoint import Endpoint
 from plankspindle_core.http.headers import find_header
 from plankspindle_testkit.builders import GOLD_KEY
-from plankspindle_testkit.builders import VmPlace
+from plankspindle_testkit.builders import VmAddresses
 from plankspindle_testkit.builders import build_configuration
 from plankspindle_testkit.builders import build_upstream
-from plankspindle_testkit.loopback_network import host_of_run
+from plankspindle_testkit.loopback_network import loopback_host
 from plankspindle_testkit.processes import Processes
+from plankspindle_testkit.processes import apply_configuration
 from plankspindle_testkit.processes import call
-from plankspindle_testkit.processes import put_in_force
 from plankspindle_testkit.processes import wait_for_operator_listener
 from plankspindle_testkit.processes import wait_until
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-PLATFORM = Endpoint(host_of_run(8, 1), 17000)
-PLACE = VmPlace(
-    name="ba-1-a", failure_domain="ba-1", host=host_of_run(8, 11), base_port=17100
+PLATFORM = Endpoint(loopback_host(8, 1), 17000)
+PLACE = VmAddresses(
+    name="ba-1-a", failure_domain="ba-1", host=loopback_host(8, 11), base_port=17100
 )
 UPSTREAMS = {
-    name: build_upstream(endpoint=Endpoint(host_of_run(8, 21 + n), 17200), slots=4)
+    name: build_upstream(endpoint=Endpoint(loopback_host(8, 21 + n), 17200), slots=4)
     for n, name in enumerate(("u1", "u2"))
 }
 GOLD = (header_names.AUTHORIZATION, b"Bearer " + GOLD_KEY.encode())
@@ -74,7 +74,7 @@
             timing={"live_list_ms": 200, "configuration_ms": 100, "probe_ms": 200},
         )
         wait_for_operator_listener(PLACE)
-        put_in_force(PLACE, build_configuration(upstreams_by_name=UPSTREAMS))
+        apply_configuration(PLACE, build_configuration(upstreams_by_name=UPSTREAMS))
         wait_until(lambda: served_by(0) is not None, what="a request is served")
         yield started
     finally:
@@ -95,7 +95,7 @@
     processes: Processes, tmp_path: Path
 ) -> None:
     (tmp_path / "stop").touch()
-    pid = processes.by_name[PLACE.name].pid
+    pid = processes.process_by_name[PLACE.name].pid
     wait_until(lambda: is_stopped(pid), what="it stands still")
     time.sleep(STOPPED_S)
     leaving = json.dumps({"leaving": True}).encode()
@@ -105,4 +105,4 @@
     # Shares are taken anew after a while; until then a request may be told not-run.
     assert found[-1] == b"ba-1-a/u2"
     assert b"ba-1-a/u1" not in found
-    assert "event=paused" in processes.log_of(PLACE.name)
+    assert "event=paused" in processes.read_log(PLACE.name)
--- a/packages/daemon/tests/test_real_processes.py
+++ b/packages/daemon/tests/test_real_processes.py
@@ -16,14 +16,14 @@
 from plankspindle_core.http.headers import find_header
 from plankspindle_testkit.builders import BRONZE_KEY
 from plankspindle_testkit.builders import GOLD_KEY
-from plankspindle_testkit.builders import VmPlace
+from plankspindle_testkit.builders import VmAddresses
 from plankspindle_testkit.builders import build_configuration
 from plankspindle_testkit.builders import build_upstream
-from plankspindle_testkit.loopback_network import host_of_run
+from plankspindle_testkit.loopback_network import loopback_host
 from plankspindle_testkit.processes import Processes
+from plankspindle_testkit.processes import apply_configuration
 from plankspindle_testkit.processes import call
-from plankspindle_testkit.processes import put_in_force
-from plankspindle_testkit.processes import state_of
+from plankspindle_testkit.processes import read_state
 from plankspindle_testkit.processes import wait_until
 
 if TYPE_CHECKING:
@@ -32,19 +32,19 @@
 
     from plankspindle_core.http.fetch import HttpAnswer
 
-PLATFORM = Endpoint(host_of_run(7, 1), 17000)
+PLATFORM = Endpoint(loopback_host(7, 1), 17000)
 PLACES = [
-    VmPlace(
-        name="ba-1-a", failure_domain="ba-1", host=host_of_run(7, 11), base_port=17100
+    VmAddresses(
+        name="ba-1-a", failure_domain="ba-1", host=loopback_host(7, 11), base_port=17100
     ),
-    VmPlace(
-        name="ba-1-b", failure_domain="ba-1", host=host_of_run(7, 12), base_port=17100
+    VmAddresses(
+        name="ba-1-b", failure_domain="ba-1", host=loopback_host(7, 12), base_port=17100
     ),
 ]
 FIRST, SECOND = PLACES
 UPSTREAMS = {
-    "u1": build_upstream(endpoint=Endpoint(host_of_run(7, 21), 17200), slots=4),
-    "u2": build_upstream(endpoint=Endpoint(host_of_run(7, 22), 17200), slots=4),
+    "u1": build_upstream(endpoint=Endpoint(loopback_host(7, 21), 17200), slots=4),
+    "u2": build_upstream(endpoint=Endpoint(loopback_host(7, 22), 17200), slots=4),
 }
 GOLD = (header_names.AUTHORIZATION, b"Bearer " + GOLD_KEY.encode())
 BRONZE = (header_names.AUTHORIZATION, b"Bearer " + BRONZE_KEY.encode())
@@ -75,13 +75,13 @@
         started.start_daemon(place, platform=PLATFORM, timing=TIMING)
     for place in PLACES:
         wait_for_health(place)
-    put_in_force(FIRST, build_configuration(upstreams_by_name=UPSTREAMS))
+    apply_configuration(FIRST, build_configuration(upstreams_by_name=UPSTREAMS))
     for place in PLACES:
         wait_for_shares(place)
 
 
 def list_vms(**leaving: bool) -> None:
-    vms = [place.listed() for place in PLACES]
+    vms = [place.list_entry() for place in PLACES]
     vms += [
         {"name": name, "kind": "upstream", "failure_domain": "ba-1", "leaving": True}
         for name in leaving
@@ -104,19 +104,19 @@
     return sum(control_upstream(name)["runs"] for name in UPSTREAMS)
 
 
-def wait_for_health(place: VmPlace) -> None:
+def wait_for_health(place: VmAddresses) -> None:
     wait_until(
         lambda: call(place.operator, target="/health").status == 200, what=place.name
     )
 
 
-def upstreams_at(place: VmPlace) -> dict[str, dict[str, object]]:
-    service = state_of(place)["services"].get("registry", {})
+def upstreams_at(place: VmAddresses) -> dict[str, dict[str, object]]:
+    service = read_state(place)["services"].get("registry", {})
     found: dict[str, dict[str, object]] = service.get("upstreams", {})
     return found
 
 
-def wait_for_shares(place: VmPlace) -> None:
+def wait_for_shares(place: VmAddresses) -> None:
     wait_until(
         lambda: (
             len(upstreams_at(place)) == len(UPSTREAMS)
@@ -131,7 +131,7 @@
 
 
 def transfer(
-    place: VmPlace,
+    place: VmAddresses,
     *,
     request_id: str | None = None,
     key: str | None = None,
@@ -148,7 +148,7 @@
     )
 
 
-def issue_id(place: VmPlace) -> str:
+def issue_id(place: VmAddresses) -> str:
     answer = call(place.caller, "POST", "/v1/request-ids")
     issued: str = json.loads(answer.body)["request_ids"][0]
     return issued
@@ -218,12 +218,12 @@
     processes: Processes,
 ) -> None:
     processes.send_signal(FIRST.name, signal.SIGKILL)
-    processes.wait(FIRST.name)
+    processes.wait_for_exit(FIRST.name)
     control_platform(faults={"down": True})
     peers = [str(SECOND.peer)]
     processes.start_daemon(FIRST, platform=PLATFORM, timing=TIMING, peers=peers)
     wait_for_shares(FIRST)
-    assert state_of(FIRST)["configuration"]["learned_from_members"] == 1
+    assert read_state(FIRST)["configuration"]["learned_from_members"] == 1
     answer = call(FIRST.caller, target=SERVICES + "/plates/1", headers=[GOLD])
     assert answer.status == 200
 
@@ -233,7 +233,7 @@
 ) -> None:
     request_id = issue_id(FIRST)
     processes.send_signal(FIRST.name, signal.SIGKILL)
-    processes.wait(FIRST.name)
+    processes.wait_for_exit(FIRST.name)
     answer = transfer(SECOND, request_id=request_id)
     assert (answer.status, outcome_of(answer)) == (502, "unknown")
     processes.start_daemon(FIRST, platform=PLATFORM, timing=TIMING)
@@ -371,7 +371,7 @@
         received = len(slow.recv(1000))
         processes.send_signal(FIRST.name, signal.SIGTERM)
         wait_until(
-            lambda: state_of(FIRST)["readiness"] == "leaving", what="leaving is known"
+            lambda: read_state(FIRST)["readiness"] == "leaving", what="leaving is known"
         )
         named = json.loads(
             call(SECOND.caller, target="/v1/lookup?service=registry").body
@@ -395,8 +395,8 @@
         while chunk := slow.recv(1_000_000):
             received += len(chunk)
     assert received > size
-    assert processes.wait(FIRST.name, timeout_s=30) == 0
-    assert "cut_off=0" in processes.log_of(FIRST.name)
+    assert processes.wait_for_exit(FIRST.name, timeout_s=30) == 0
+    assert "cut_off=0" in processes.read_log(FIRST.name)
 
 
 def test_a_leaving_upstream_gets_nothing_new(processes: Processes) -> None:
@@ -420,7 +420,7 @@
         target = f"{SERVICES}/plates/{number}"
         answer = call(FIRST.caller, target=target, headers=[GOLD])
         assert find_header(answer.headers, header_names.SERVED_BY) == b"ba-1-a/u2"
-    assert "event=paused" in processes.log_of(FIRST.name)
+    assert "event=paused" in processes.read_log(FIRST.name)
 
 
 def test_garbage_to_every_port_is_counted_and_refused(processes: Processes) -> None:
@@ -438,7 +438,7 @@
                 tcp.settimeout(5)
                 answer = tcp.recv(1000)
                 assert answer.startswith(b"HTTP/1.1 400")
-    dropped = state_of(FIRST)["peers"]["dropped"]
+    dropped = read_state(FIRST)["peers"]["dropped"]
     assert sum(dropped.values()) >= 2
     assert (
         call(FIRST.caller, target=SERVICES + "/plates/1", headers=[GOLD]).status == 200
--- a/packages/daemon/tests/test_reload.py
+++ b/packages/daemon/tests/test_reload.py
@@ -11,9 +11,9 @@
 
 from plankspindle_core import header_names
 from plankspindle_core.endpoint import Endpoint
-from plankspindle_testkit.builders import VmPlace
+from plankspindle_testkit.builders import VmAddresses
 from plankspindle_testkit.builders import build_settings_mapping
-from plankspindle_testkit.loopback_network import host_of_run
+from plankspindle_testkit.loopback_network import loopback_host
 from plankspindle_testkit.processes import Processes
 from plankspindle_testkit.processes import call
 from plankspindle_testkit.processes import wait_for_operator_listener
@@ -23,9 +23,9 @@
     from collections.abc import Iterator
     from pathlib import Path
 
-PLATFORM = Endpoint(host_of_run(9, 1), 17000)
-PLACE = VmPlace(
-    name="ke-1-a", failure_domain="ke-1", host=host_of_run(9, 2), base_port=17100
+PLATFORM = Endpoint(loopback_host(9, 1), 17000)
+PLACE = VmAddresses(
+    name="ke-1-a", failure_domain="ke-1", host=loopback_host(9, 2), base_port=17100
 )
 TOKEN = (header_names.AUTHORIZATION, b"Bearer fresh")
 
@@ -37,7 +37,9 @@
         started.start_platform(PLATFORM, [PLACE])
         started.start_daemon(PLACE, platform=PLATFORM)
         wait_for_operator_listener(PLACE)
-        wait_until(lambda: "event=started" in started.log_of(PLACE.name), what="start")
+        wait_until(
+            lambda: "event=started" in started.read_log(PLACE.name), what="start"
+        )
         yield started
     finally:
         started.close()
@@ -56,7 +58,7 @@
 
 
 def wait_for_line(processes: Processes, text: str) -> None:
-    wait_until(lambda: text in processes.log_of(PLACE.name), what=text)
+    wait_until(lambda: text in processes.read_log(PLACE.name), what=text)
 
 
 def test_a_running_daemon_takes_what_it_can_on_sighup(processes: Processes) -> None:
@@ -77,7 +79,7 @@
     processes.send_signal(PLACE.name, signal.SIGHUP)
     wait_for_line(processes, "event=reload_refused")
     assert call(PLACE.operator, target="/health").status == 200
-    assert processes.by_name[PLACE.name].poll() is None
+    assert processes.process_by_name[PLACE.name].poll() is None
 
 
 def test_a_change_without_a_signal_is_noticed(processes: Processes) -> None:
