--- a/packages/daemon/tests/traces/test_story_log.py
+++ b/packages/daemon/tests/traces/test_request_trace_log.py
@@ -32,7 +32,7 @@
 )
 
 
-class Captured:
+class CapturedLog:
     def __init__(self) -> None:
         self.stream = io.StringIO()
 
@@ -45,14 +45,14 @@
 
 
 @pytest.fixture
-def captured() -> Iterator[Captured]:
-    found = Captured()
+def captured() -> Iterator[CapturedLog]:
+    found = CapturedLog()
     destination = start_logging(stream=found.stream, vm="a")
     yield found
     stop_logging(destination)
 
 
-def build_story(
+def build_trace(
     log: RequestTraceLog, *, request: str = "r-1", at: float = 5.0
 ) -> RequestTrace:
     story = log.start_trace(request.encode(), now=at, wall=1_000.0)
@@ -61,9 +61,9 @@
     return story
 
 
-def test_a_failed_request_is_told_step_by_step(captured: Captured) -> None:
+def test_a_failed_request_is_told_step_by_step(captured: CapturedLog) -> None:
     log = RequestTraceLog(vm="a")
-    story = build_story(log)
+    story = build_trace(log)
     story.record(Queued(ahead=3, limit=9), 5.1)
     story.record(ENDED, 5.4)
     story.complete(Completion.UNKNOWN, status=502, reason="upstream-lost")
@@ -81,10 +81,12 @@
     assert times == ["40.100", "40.400", "40.500"]
 
 
-def test_a_served_request_gets_one_line_and_most_get_none(captured: Captured) -> None:
+def test_a_served_request_gets_one_line_and_most_get_none(
+    captured: CapturedLog,
+) -> None:
     log = RequestTraceLog(vm="a")
     for number in range(100):
-        story = build_story(log, request=f"r-{number}")
+        story = build_trace(log, request=f"r-{number}")
         story.record(ENDED, 5.1)
         story.complete(Completion.SERVED, status=200)
         log.log_completed(story, 5.2)
@@ -94,9 +96,9 @@
     assert len(events) <= 10
 
 
-def test_a_late_answer_is_told_step_by_step(captured: Captured) -> None:
+def test_a_late_answer_is_told_step_by_step(captured: CapturedLog) -> None:
     log = RequestTraceLog(vm="a")
-    story = build_story(log)
+    story = build_trace(log)
     story.target_s = 0.4
     story.record(ENDED, 5.1)
     story.complete(Completion.SERVED, status=200)
@@ -104,13 +106,15 @@
     assert captured.events() == ["attempt_ended", "request_late"]
 
 
-def test_a_flood_of_refused_requests_hides_no_lost_answer(captured: Captured) -> None:
+def test_a_flood_of_refused_requests_hides_no_lost_answer(
+    captured: CapturedLog,
+) -> None:
     log = RequestTraceLog(vm="a")
     for _ in range(1_000):
-        story = build_story(log, request="stranger")
+        story = build_trace(log, request="stranger")
         story.complete(Completion.REFUSED, status=404, reason="no route")
         log.log_completed(story, 5.1)
-    lost = build_story(log, request="lost")
+    lost = build_trace(log, request="lost")
     lost.record(ENDED, 5.2)
     lost.complete(Completion.UNKNOWN, status=502, reason="upstream-lost")
     log.log_completed(lost, 5.2)
@@ -119,10 +123,10 @@
     assert told[-1]["not_logged"] == str(1_000 - (len(captured.lines()) - 2))
 
 
-def test_failed_requests_beyond_the_bound_are_counted(captured: Captured) -> None:
+def test_failed_requests_beyond_the_bound_are_counted(captured: CapturedLog) -> None:
     log = RequestTraceLog(vm="a")
     for _ in range(2 * int(FAILED_BURST)):
-        story = build_story(log)
+        story = build_trace(log)
         story.complete(Completion.NOT_RUN, status=503, reason="busy")
         log.log_completed(story, 5.1)
     assert log.skipped_failed == FAILED_BURST
@@ -137,9 +141,9 @@
     assert first.request_id.startswith("a/")
 
 
-def test_an_id_is_bounded_and_steps_are(captured: Captured) -> None:
+def test_an_id_is_bounded_and_steps_are(captured: CapturedLog) -> None:
     log = RequestTraceLog(vm="a")
-    story = build_story(log, request="x" * 1_000)
+    story = build_trace(log, request="x" * 1_000)
     for _ in range(10 * MAX_STEPS):
         story.record(ENDED, 5.1)
     story.complete(Completion.UNKNOWN, status=502, reason="upstream-lost")
--- a/packages/daemon/tests/upstreams/test_connection_pool.py
+++ b/packages/daemon/tests/upstreams/test_connection_pool.py
@@ -14,7 +14,7 @@
 from plankspindle_core.http.server import HttpServer
 from plankspindle_daemon.upstreams.connection_pool import MAX_IDLE_PER_ENDPOINT
 from plankspindle_daemon.upstreams.connection_pool import ConnectionPool
-from plankspindle_testkit.loopback_network import host_of_run
+from plankspindle_testkit.loopback_network import loopback_host
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable
@@ -34,7 +34,7 @@
 def run(use: Callable[[ConnectionPool, HttpServer], Awaitable[Any]]) -> Any:
     async def run_with_server() -> Any:
         server = HttpServer(
-            endpoint=Endpoint(host_of_run(3, 2), next(_PORTS)),
+            endpoint=Endpoint(loopback_host(3, 2), next(_PORTS)),
             limits=HttpLimits(),
             handler=answer,
         )
--- a/packages/daemon/tests/upstreams/test_dirty_connection.py
+++ b/packages/daemon/tests/upstreams/test_dirty_connection.py
@@ -16,7 +16,7 @@
 from plankspindle_core.http.client_connection import ClientConnection
 from plankspindle_core.http.fetch import exchange_on
 from plankspindle_daemon.upstreams.connection_pool import ConnectionPool
-from plankspindle_testkit.loopback_network import host_of_run
+from plankspindle_testkit.loopback_network import loopback_host
 
 if TYPE_CHECKING:
     import pytest
@@ -51,7 +51,7 @@
 
 
 async def _second_answer() -> tuple[bytes, int]:
-    endpoint = Endpoint(host_of_run(7, 10), next(_PORTS))
+    endpoint = Endpoint(loopback_host(7, 10), next(_PORTS))
     listener = curio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     listener.bind((endpoint.host, endpoint.port))
@@ -86,5 +86,5 @@
 def test_reuse_of_dirty_connection_would_return_stray_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(ClientConnection, "is_quiet", lambda self: True)
+    monkeypatch.setattr(ClientConnection, "is_idle", lambda self: True)
     assert curio.run(_second_answer) == (b"stray", 0)
--- a/packages/testkit/src/plankspindle_testkit/bench/control_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/control_bench.py
@@ -13,29 +13,29 @@
 from plankspindle_core.endpoint import Endpoint
 from plankspindle_testkit.bench.table import print_table
 from plankspindle_testkit.bench.table import quantile
-from plankspindle_testkit.builders import VmPlace
+from plankspindle_testkit.builders import VmAddresses
 from plankspindle_testkit.builders import build_configuration
 from plankspindle_testkit.builders import build_upstream
 from plankspindle_testkit.processes import Processes
+from plankspindle_testkit.processes import apply_configuration
 from plankspindle_testkit.processes import call
 from plankspindle_testkit.processes import confirm_intent
-from plankspindle_testkit.processes import put_in_force
-from plankspindle_testkit.processes import state_of
+from plankspindle_testkit.processes import read_state
 from plankspindle_testkit.processes import wait_until
 
 PLATFORM = Endpoint("127.0.9.1", 17000)
 REGIONS = ("bratislava", "zilina", "kosice")
 DOMAINS = [f"{region}-{number}" for region in REGIONS for number in (1, 2)]
 CHANGES = 20
-QUIET_S = 10.0
+IDLE_S = 10.0
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
-def _places() -> list[VmPlace]:
+def _places() -> list[VmAddresses]:
     places = []
     for index, domain in enumerate(DOMAINS):
         for number in range(2 if domain.endswith("-1") else 1):
-            place = VmPlace(
+            place = VmAddresses(
                 name=f"{domain}-{number}",
                 failure_domain=domain,
                 host=f"127.0.9.{10 + 2 * index + number}",
@@ -53,22 +53,22 @@
         try:
             _start(processes, places)
             _measure_changes(places)
-            _measure_quiet(processes, places)
+            _measure_idle(processes, places)
         finally:
             processes.close()
 
 
-def _start(processes: Processes, places: list[VmPlace]) -> None:
+def _start(processes: Processes, places: list[VmAddresses]) -> None:
     processes.start_platform(PLATFORM, places)
     for place in places:
         processes.start_daemon(place, platform=PLATFORM)
     for place in places:
-        wait_until(lambda place=place: _answers(place), what=place.name)  # type: ignore[misc]
-    version = put_in_force(places[0], _configuration())
+        wait_until(lambda place=place: _is_healthy(place), what=place.name)  # type: ignore[misc]
+    version = apply_configuration(places[0], _configuration())
     _wait_for(places, version)
 
 
-def _answers(place: VmPlace) -> bool:
+def _is_healthy(place: VmAddresses) -> bool:
     return call(place.operator, target="/health").status == 200
 
 
@@ -92,17 +92,17 @@
     )
 
 
-def _wait_for(places: list[VmPlace], version: int) -> None:
+def _wait_for(places: list[VmAddresses], version: int) -> None:
     waiting = list(places)
     while waiting:
         waiting = [each for each in waiting if _version_of(each) < version]
 
 
-def _version_of(place: VmPlace) -> int:
-    return int(state_of(place)["configuration"]["version"])
+def _version_of(place: VmAddresses) -> int:
+    return int(read_state(place)["configuration"]["version"])
 
 
-def _measure_changes(places: list[VmPlace]) -> None:
+def _measure_changes(places: list[VmAddresses]) -> None:
     seconds = []
     for number in range(CHANGES):
         priority_class = ("gold", "silver")[number % 2]
@@ -119,9 +119,9 @@
     )
 
 
-def _measure_quiet(processes: Processes, places: list[VmPlace]) -> None:
+def _measure_idle(processes: Processes, places: list[VmAddresses]) -> None:
     before = _sample(processes, places)
-    time.sleep(QUIET_S)
+    time.sleep(IDLE_S)
     after = _sample(processes, places)
     rows = []
     for place in places:
@@ -132,28 +132,28 @@
         rows.append(
             [
                 place.name,
-                f"{100 * cpu / QUIET_S:.1f}",
-                f"{sent / QUIET_S:.0f}",
-                f"{reads / QUIET_S:.1f}",
-                f"{writes / QUIET_S:.1f}",
+                f"{100 * cpu / IDLE_S:.1f}",
+                f"{sent / IDLE_S:.0f}",
+                f"{reads / IDLE_S:.1f}",
+                f"{writes / IDLE_S:.1f}",
                 f"{_resident_mib(processes, place):.0f}",
             ]
         )
     print_table(
-        f"Control of nine quiet daemons over {QUIET_S:g} s (no upstream answers)",
+        f"Control of nine quiet daemons over {IDLE_S:g} s (no upstream answers)",
         ("VM", "% of a core", "bytes/s sent", "reads/s", "writes/s", "resident MiB"),
         rows,
     )
 
 
 def _sample(
-    processes: Processes, places: list[VmPlace]
+    processes: Processes, places: list[VmAddresses]
 ) -> dict[str, tuple[float, float, float, float]]:
     sampled = {}
     for place in places:
-        state = state_of(place)
+        state = read_state(place)
         sampled[place.name] = (
-            _cpu_s(processes.by_name[place.name].pid),
+            _cpu_s(processes.process_by_name[place.name].pid),
             float(state["peers"]["bytes_sent"]),
             float(state["platform"]["reads"]),
             float(state["platform"]["writes"]),
@@ -167,8 +167,8 @@
     return (int(user) + int(system)) / TICKS_PER_S
 
 
-def _resident_mib(processes: Processes, place: VmPlace) -> float:
-    path = Path(f"/proc/{processes.by_name[place.name].pid}/status")
+def _resident_mib(processes: Processes, place: VmAddresses) -> float:
+    path = Path(f"/proc/{processes.process_by_name[place.name].pid}/status")
     for line in path.read_text(encoding="utf-8").splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) / 1024
--- a/packages/testkit/src/plankspindle_testkit/bench/detection_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/detection_bench.py
@@ -13,8 +13,8 @@
 LOSSES = (0.0, 0.05)
 SEEDS = (1, 2, 3)
 SETTLED_S = 4.0
-LONGEST_S = 60.0
-QUIET_S = 10.0
+MAX_DETECTION_S = 60.0
+IDLE_S = 10.0
 """Time in which messages are counted while nobody dies, in seconds."""
 
 
@@ -42,12 +42,12 @@
     """Give the seconds until all know, and the messages a second and VM before."""
     fleet = MembershipFleet(fleet=Fleet(vms=vms, upstreams=0), random=Random(seed))
     fleet.run(SETTLED_S)
-    fleet.loss = loss
-    before = sum(each.sent for each in fleet.vms)
-    fleet.run(QUIET_S)
-    sent = sum(each.sent for each in fleet.vms) - before
+    fleet.loss_share = loss
+    before = sum(each.sent_count for each in fleet.vms)
+    fleet.run(IDLE_S)
+    sent = sum(each.sent_count for each in fleet.vms) - before
     fleet.stop([seed])
     took_s = fleet.seconds_until(
-        lambda: fleet.all_take_for_silent([seed]), at_most=LONGEST_S
+        lambda: fleet.all_suspect([seed]), limit_s=MAX_DETECTION_S
     )
-    return took_s, sent / QUIET_S / vms
+    return took_s, sent / IDLE_S / vms
--- a/packages/testkit/src/plankspindle_testkit/bench/drain_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/drain_bench.py
@@ -17,10 +17,10 @@
 
 LEAVES_AT_S = 300.0
 NOTICE_S = 240.0
-LONG_S = 180.0
-SHORT_S = 0.05
+LONG_REQUEST_S = 180.0
+SHORT_REQUEST_S = 0.05
 LONG_SHARE = 0.05
-RATE = 3.0
+RATE_PER_S = 3.0
 SEEDS = range(20)
 
 
@@ -53,17 +53,17 @@
     now, number, past = 0.0, 0, 0
     last_end = LEAVES_AT_S
     while now < LEAVES_AT_S:
-        now += random.expovariate(RATE)
+        now += random.expovariate(RATE_PER_S)
         _announce(dispatcher, now)
         for at, ticket, upstream in sorted(each for each in running if each[0] <= now):
-            dispatcher.handle(_ended(ticket, upstream), at)
+            dispatcher.handle(_completed(ticket, upstream), at)
         running = [each for each in running if each[0] > now]
         number += 1
-        took = LONG_S if random.random() < LONG_SHARE else SHORT_S
+        took = LONG_REQUEST_S if random.random() < LONG_SHARE else SHORT_REQUEST_S
         ticket = Ticket(
             id=number,
             rank=0,
-            operation="GET /bytes" if took == LONG_S else "GET /",
+            operation="GET /bytes" if took == LONG_REQUEST_S else "GET /",
             deadline=now + 600.0,
             expected_s=took if knows_durations else 0.0,
         )
@@ -82,7 +82,7 @@
         dispatcher.handle(d.ProbeCompleted(upstream="u0", report=report, wall=now), now)
 
 
-def _ended(ticket: Ticket, upstream: str) -> d.AttemptCompleted:
+def _completed(ticket: Ticket, upstream: str) -> d.AttemptCompleted:
     return d.AttemptCompleted(
         ticket=ticket, upstream=upstream, outcome=d.AttemptOutcome.CANCELLED
     )
--- a/packages/testkit/src/plankspindle_testkit/bench/headroom_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/headroom_bench.py
@@ -22,17 +22,17 @@
 SERVICE_S = 0.05
 LOAD = 0.7
 TIMEOUT_S = 1.0
-FAILS_AT_S = 10.0
+FAILURE_AT_S = 10.0
 SECONDS = 40.0
-LAG_S = 3.0
-ASK_S = 0.25
+REPORT_LAG_S = 3.0
+REQUEST_PERIOD_S = 0.25
 GRANT_S = 2.0
 REGION_DELAY_S = 0.035
 SEEDS = range(5)
 QUEUE_LIMIT = 256
 NO_LIMIT = 10**9
-LOST = "a"
-TARGETS = ("b", "c")
+FAILED_REGION = "a"
+REMAINING_REGIONS = ("b", "c")
 
 
 @define(kw_only=True)
@@ -42,12 +42,12 @@
     running: int = 0
     queue: deque[_Job] = field(factory=deque)
     ledger: HeadroomLedger = field(factory=HeadroomLedger)
-    most_wanted: int = 0
+    max_demand: int = 0
     reports: deque[tuple[float, int]] = field(factory=deque)
 
     def reported(self, now: float) -> int:
-        """Give the load as it was ``LAG_S`` ago."""
-        while len(self.reports) > 1 and self.reports[1][0] <= now - LAG_S:
+        """Give the load as it was ``REPORT_LAG_S`` ago."""
+        while len(self.reports) > 1 and self.reports[1][0] <= now - REPORT_LAG_S:
             self.reports.popleft()
         return self.reports[0][1] if self.reports else 0
 
@@ -57,7 +57,7 @@
     home: str
     region: str
     arrived_at: float
-    held: HeldGrant | None = None
+    grant: HeldGrant | None = None
 
 
 @define(kw_only=True)
@@ -81,16 +81,18 @@
     in_time_by_home: dict[str, int] = field(factory=dict)
     sent_by_home: dict[str, int] = field(factory=dict)
     _regions: dict[str, _Region] = field(factory=dict)
-    _books: dict[str, GrantTable] = field(factory=dict)
+    _grant_tables: dict[str, GrantTable] = field(factory=dict)
     _events: list[tuple[float, int, str, _Job | None]] = field(factory=list)
     _numbers: count[int] = field(factory=count)
 
     def run(self) -> None:
         """Run to the end."""
         random = Random(self.seed)
-        self._regions = {name: _Region() for name in TARGETS}
-        self._books = {name: GrantTable(incarnation=1) for name in TARGETS}
-        self._plan(random)
+        self._regions = {name: _Region() for name in REMAINING_REGIONS}
+        self._grant_tables = {
+            name: GrantTable(incarnation=1) for name in REMAINING_REGIONS
+        }
+        self._schedule_arrivals(random)
         while self._events:
             now, _, kind, job = heapq.heappop(self._events)
             if kind == "tick":
@@ -98,33 +100,33 @@
             elif kind == "arrive" and job is not None:
                 self._arrive(job, now, random)
             elif kind == "end" and job is not None:
-                self._end(job, now, random)
+                self._complete(job, now, random)
 
     def _push(self, at: float, kind: str, job: _Job | None = None) -> None:
         heapq.heappush(self._events, (at, next(self._numbers), kind, job))
 
-    def _plan(self, random: Random) -> None:
+    def _schedule_arrivals(self, random: Random) -> None:
         rate = LOAD * SLOTS / SERVICE_S
-        for home in (LOST, *TARGETS):
-            now = FAILS_AT_S if home == LOST else 0.0
+        for home in (FAILED_REGION, *REMAINING_REGIONS):
+            now = FAILURE_AT_S if home == FAILED_REGION else 0.0
             while (now := now + random.expovariate(rate)) < SECONDS:
                 self._push(now, "arrive", _Job(home=home, region=home, arrived_at=now))
-        for step in range(int(SECONDS / ASK_S)):
-            self._push(step * ASK_S, "tick")
+        for step in range(int(SECONDS / REQUEST_PERIOD_S)):
+            self._push(step * REQUEST_PERIOD_S, "tick")
 
     def _tick(self, now: float) -> None:
         for name, region in self._regions.items():
             region.reports.append((now, region.running + len(region.queue)))
-            if self.uses_grants and now >= FAILS_AT_S:
-                self._ask(name, region, now)
+            if self.uses_grants and now >= FAILURE_AT_S:
+                self._request_grant(name, region, now)
 
-    def _ask(self, name: str, region: _Region, now: float) -> None:
-        book = self._books[name]
+    def _request_grant(self, name: str, region: _Region, now: float) -> None:
+        book = self._grant_tables[name]
         wanted = book.take_demand(service="s", region=name, now=now)
         if wanted == 0 or region.queue:
             return
         request = HeadroomRequest(
-            sender=LOST,
+            sender=FAILED_REGION,
             request_id=next(self._numbers) + 1,
             service="s",
             count=min(wanted, 64),
@@ -152,31 +154,33 @@
             book.accept_grant(grant, now + 2 * REGION_DELAY_S)
 
     def _arrive(self, job: _Job, now: float, random: Random) -> None:
-        counted = now >= FAILS_AT_S
+        counted = now >= FAILURE_AT_S
         self.sent_by_home[job.home] = self.sent_by_home.get(job.home, 0) + counted
-        if job.home == LOST and not self._choose_target(job, now):
+        if job.home == FAILED_REGION and not self._choose_target(job, now):
             return
         region = self._regions[job.region]
         if len(region.queue) >= self.queue_limit:
             return
         region.queue.append(job)
         wanted = region.running + len(region.queue)
-        region.most_wanted = max(region.most_wanted, wanted)
+        region.max_demand = max(region.max_demand, wanted)
         self._serve(region, now, random)
 
     def _choose_target(self, job: _Job, now: float) -> bool:
         if not self.uses_grants:
-            loads = {name: self._regions[name].reported(now) for name in TARGETS}
-            job.region = min(TARGETS, key=lambda name: loads[name])
+            loads = {
+                name: self._regions[name].reported(now) for name in REMAINING_REGIONS
+            }
+            job.region = min(REMAINING_REGIONS, key=lambda name: loads[name])
             return True
-        for name in TARGETS:
-            held = self._books[name].acquire(service="s", region=name, now=now)
+        for name in REMAINING_REGIONS:
+            held = self._grant_tables[name].acquire(service="s", region=name, now=now)
             if held is None:
                 continue
             if not self._regions[name].ledger.begin(held.request_id, now):
-                self._books[name].release(held)
+                self._grant_tables[name].release(held)
                 continue
-            job.held = held
+            job.grant = held
             job.region = name
             return True
         return False
@@ -185,24 +189,24 @@
         while region.queue and region.running < SLOTS:
             job = region.queue.popleft()
             region.running += 1
-            delay = 2 * REGION_DELAY_S if job.home == LOST else 0.0
+            delay = 2 * REGION_DELAY_S if job.home == FAILED_REGION else 0.0
             took = random.expovariate(1 / SERVICE_S)
             self._push(now + took + delay, "end", job)
 
-    def _end(self, job: _Job, now: float, random: Random) -> None:
+    def _complete(self, job: _Job, now: float, random: Random) -> None:
         region = self._regions[job.region]
         region.running -= 1
-        if job.held is not None:
-            region.ledger.end(job.held.request_id)
-            self._books[job.region].release(job.held)
-        if now - job.arrived_at <= TIMEOUT_S and job.arrived_at >= FAILS_AT_S:
+        if job.grant is not None:
+            region.ledger.end(job.grant.request_id)
+            self._grant_tables[job.region].release(job.grant)
+        if now - job.arrived_at <= TIMEOUT_S and job.arrived_at >= FAILURE_AT_S:
             self.in_time_by_home[job.home] = self.in_time_by_home.get(job.home, 0) + 1
         self._serve(region, now, random)
 
     @property
     def worst_load(self) -> float:
         """Most requests that ran or waited at once in a region, over its slots."""
-        return max(each.most_wanted for each in self._regions.values()) / SLOTS
+        return max(each.max_demand for each in self._regions.values()) / SLOTS
 
 
 def run_headroom_bench() -> None:
@@ -220,19 +224,19 @@
         ]
         for model in models:
             model.run()
-        own = sum(_share(model, home) for model in models for home in TARGETS)
-        lost = sum(_share(model, LOST) for model in models)
+        own = sum(_share(model, home) for model in models for home in REMAINING_REGIONS)
+        lost = sum(_share(model, FAILED_REGION) for model in models)
         rows.append(
             [
                 name,
-                f"{own / len(models) / len(TARGETS):.1f}",
+                f"{own / len(models) / len(REMAINING_REGIONS):.1f}",
                 f"{lost / len(models):.1f}",
                 f"{max(model.worst_load for model in models):.2f}",
             ]
         )
     print_table(
         "A region of three fails at 70 percent load everywhere; 72 slots a region,"
-        f" 50 ms a request, reports lag {LAG_S:g} s, 5 seeds",
+        f" 50 ms a request, reports lag {REPORT_LAG_S:g} s, 5 seeds",
         (
             "way",
             "callers of the other regions in time %",
--- a/packages/testkit/src/plankspindle_testkit/bench/limit_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/limit_bench.py
@@ -11,22 +11,22 @@
 from plankspindle_core.stable_hash import stable_hash
 from plankspindle_testkit.bench.table import print_table
 from plankspindle_testkit.lab.statement_record import WINDOW_S
-from plankspindle_testkit.lab.statement_record import most_allowed
+from plankspindle_testkit.lab.statement_record import max_allowed_requests
 from plankspindle_testkit.quota_fleet import QuotaFleet
-from plankspindle_testkit.quota_fleet import most_in_window
+from plankspindle_testkit.quota_fleet import max_in_window
 
 SIZES = (9, 67, 195, 300)
-LIFE = "u#1"
+INCARNATION_ID = "u#1"
 LIMIT_PER_S = 4.6
 WANTED_PER_S = 20.0
 SENDERS = 8
 SETTLE_S = 3.0
-CALM_S = 12.0
-CUT_S = 12.0
+UNPARTITIONED_S = 12.0
+PARTITIONED_S = 12.0
 STEP_S = 0.1
 
 
-class Way(Enum):
+class Scheme(Enum):
     """Who may send how much to the upstream."""
 
     STATIC = "each VM its part of the limit"
@@ -53,17 +53,19 @@
     """VMs that keep to a part each, without a message."""
 
     names: list[str]
-    way: Way
+    way: Scheme
     sent_at: list[float] = Factory(list)
     _buckets: dict[str, _Bucket] = Factory(dict)
 
-    def use(self, parts: list[list[str]]) -> None:
+    def set_partitions(self, parts: list[list[str]]) -> None:
         """Take parts of the fleet that hear one another."""
         for part in parts:
-            ranked = sorted(part, key=lambda name: stable_hash(f"{name} {LIFE}"))
+            ranked = sorted(
+                part, key=lambda name: stable_hash(f"{name} {INCARNATION_ID}")
+            )
             for rank, name in enumerate(ranked):
                 per_s = LIMIT_PER_S / len(self.names)
-                if self.way is Way.SENDERS:
+                if self.way is Scheme.SENDERS:
                     per_s = LIMIT_PER_S / SENDERS if rank < SENDERS else 0.0
                 self._buckets.setdefault(name, _Bucket(per_s=per_s)).per_s = per_s
 
@@ -79,7 +81,7 @@
 
 def run_limit_bench() -> None:
     """Print what each way uses of a limit, and passes of its bound."""
-    rows = [_measure(size, way) for size in SIZES for way in Way]
+    rows = [_measure(size, way) for size in SIZES for way in Scheme]
     print_table(
         f"An upstream that gets {WANTED_PER_S:g} requests a second and names a limit "
         f"of {LIMIT_PER_S:g}",
@@ -95,54 +97,54 @@
     )
 
 
-def _measure(size: int, way: Way) -> list[str]:
-    if way is Way.LEASES:
+def _measure(size: int, way: Scheme) -> list[str]:
+    if way is Scheme.LEASES:
         sent_at, messages, began_at = _run_leases(size)
     else:
         sent_at, messages, began_at = _run_buckets(size, way)
-    cut_at = began_at + CALM_S
+    cut_at = began_at + UNPARTITIONED_S
     calm = sum(began_at <= at < cut_at for at in sent_at)
     cut = sum(at >= cut_at for at in sent_at)
-    most = most_in_window(sent_at, WINDOW_S) / most_allowed(LIMIT_PER_S)
+    most = max_in_window(sent_at, WINDOW_S) / max_allowed_requests(LIMIT_PER_S)
     return [
         str(size),
         way.value,
-        f"{calm / CALM_S / LIMIT_PER_S:.2f}",
-        f"{cut / CUT_S / LIMIT_PER_S:.2f}",
+        f"{calm / UNPARTITIONED_S / LIMIT_PER_S:.2f}",
+        f"{cut / PARTITIONED_S / LIMIT_PER_S:.2f}",
         f"{most:.2f}",
-        f"{messages / size / (CALM_S + CUT_S):.1f}",
+        f"{messages / size / (UNPARTITIONED_S + PARTITIONED_S):.1f}",
     ]
 
 
 def _run_leases(size: int) -> tuple[list[float], int, float]:
     fleet, random = QuotaFleet(random=Random(1), workspaces_by_name={}), Random(2)
     fleet.add_vms(size)
-    fleet.limit_by_life[LIFE] = LIMIT_PER_S
+    fleet.limit_by_incarnation[INCARNATION_ID] = LIMIT_PER_S
     names = list(fleet.vms_by_name)
 
     def load(now: float) -> None:
         del now
         for _ in range(round(WANTED_PER_S * STEP_S)):
-            fleet.send_to_upstream(random.choice(names), LIFE)
+            fleet.send_to_upstream(random.choice(names), INCARNATION_ID)
 
     fleet.run(SETTLE_S, load)
-    fleet.arrived_at_by_life.clear()
+    fleet.arrived_at_by_incarnation.clear()
     sent, began_at = fleet.sent_by_kind.total(), fleet.now
-    fleet.run(CALM_S, load)
+    fleet.run(UNPARTITIONED_S, load)
     half = {name for index, name in enumerate(names) if index % 2}
-    fleet.cut(lambda one, other: (one in half) == (other in half))
-    fleet.run(CUT_S, load)
-    arrived = fleet.arrived_at_by_life.get(LIFE, [])
+    fleet.partition(lambda one, other: (one in half) == (other in half))
+    fleet.run(PARTITIONED_S, load)
+    arrived = fleet.arrived_at_by_incarnation.get(INCARNATION_ID, [])
     return arrived, fleet.sent_by_kind.total() - sent, began_at
 
 
-def _run_buckets(size: int, way: Way) -> tuple[list[float], int, float]:
+def _run_buckets(size: int, way: Scheme) -> tuple[list[float], int, float]:
     names = [f"vm-{number}" for number in range(size)]
     buckets, random = _Buckets(names=names, way=way), Random(2)
-    buckets.use([names])
+    buckets.set_partitions([names])
     began_at = buckets.run(0.0, SETTLE_S, random)
     buckets.sent_at.clear()
-    cut_at = buckets.run(began_at, CALM_S, random)
-    buckets.use([names[::2], names[1::2]])
-    buckets.run(cut_at, CUT_S, random)
+    cut_at = buckets.run(began_at, UNPARTITIONED_S, random)
+    buckets.set_partitions([names[::2], names[1::2]])
+    buckets.run(cut_at, PARTITIONED_S, random)
     return buckets.sent_at, 0, began_at
--- a/packages/testkit/src/plankspindle_testkit/bench/log_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/log_bench.py
@@ -13,7 +13,7 @@
 
 from plankspindle_core.logs.key_value_destination import KeyValueDestination
 from plankspindle_core.logs.line_writer import LineWriter
-from plankspindle_daemon.observability.metrics import RequestMetrics
+from plankspindle_daemon.observability.request_metrics import RequestMetrics
 from plankspindle_daemon.traces.request_trace import Completion
 from plankspindle_daemon.traces.request_trace_log import RequestTraceLog
 from plankspindle_daemon.traces.steps import AttemptEnded
@@ -34,7 +34,7 @@
 
     from plankspindle_daemon.traces.request_trace import RequestTrace
 
-STORIES = 5_000
+TRACES = 5_000
 RUNNING = 1_000
 """Requests at once whose memory is measured."""
 RATES_PER_S = (67, 18)
@@ -45,7 +45,7 @@
     """Print processor time and memory of the log beside those of a whole request."""
     whole_us = _whole_request_us()
     rows = [
-        _row(name, _story_us(make), whole_us)
+        _row(name, _trace_us(make), whole_us)
         for name, make in (
             ("served, most not logged", _serve),
             ("rejected, all steps logged", _reject),
@@ -60,7 +60,7 @@
     print_table(
         "Memory of the steps of a running request",
         ("bytes a request",),
-        [[f"{_bytes_a_story():.0f}"]],
+        [[f"{_bytes_per_trace():.0f}"]],
     )
 
 
@@ -75,7 +75,7 @@
         processes = Processes(folder=Path(folder))
         try:
             start_proxy(processes)
-            pid = processes.by_name[PLACE.name].pid
+            pid = processes.process_by_name[PLACE.name].pid
             load_endpoint(PLACE.caller, "GET", f"{SERVICES}/plates/1", 1)
             before = _processor_s(pid)
             found = load_endpoint(PLACE.caller, "GET", f"{SERVICES}/plates/1", 1)
@@ -91,7 +91,7 @@
     return ticks / os.sysconf("SC_CLK_TCK")
 
 
-def _story_us(make: Callable[[RequestTraceLog], RequestTrace]) -> float:
+def _trace_us(make: Callable[[RequestTraceLog], RequestTrace]) -> float:
     """Processor time of a story, its lines written to a file, bounds lifted."""
     metrics = RequestMetrics()
     with Path(os.devnull).open("wb") as sink:
@@ -99,18 +99,18 @@
         eliot.add_destinations(destination)
         log = RequestTraceLog(vm="a")
         began = time.process_time()
-        for _ in range(STORIES):
+        for _ in range(TRACES):
             if make is not _serve:
                 # A bucket that was never used is full, so all steps are logged.
                 log = RequestTraceLog(vm="a")
                 destination._buckets_by_event.clear()
             story = make(log)
-            metrics.note_request(story, 1.0)
+            metrics.record_request(story, 1.0)
             log.log_completed(story, 1.0)
             destination.flush(1.0)
         used_s = time.process_time() - began
         eliot.remove_destination(destination)
-    return 1e6 * used_s / STORIES
+    return 1e6 * used_s / TRACES
 
 
 def _begin(log: RequestTraceLog) -> RequestTrace:
@@ -130,7 +130,7 @@
     return story
 
 
-def _note_attempt(story: RequestTrace, *, came: str, ran: Executed) -> None:
+def _record_attempt(trace: RequestTrace, *, came: str, ran: Executed) -> None:
     placed = Placed(
         upstream="i-7f3a91c2",
         own_load=1,
@@ -142,10 +142,10 @@
         hit=True,
         leaves_region=False,
     )
-    story.record(placed, 0.0)
+    trace.record(placed, 0.0)
     to = "10.1.64.3:8080"
     sent = Sent(attempt=1, to=to, connection="reused", deadline_ms=2_480, rested_ms=90)
-    story.record(sent, 0.0)
+    trace.record(sent, 0.0)
     ended = AttemptEnded(
         attempt=1,
         upstream="i-7f3a91c2",
@@ -154,12 +154,12 @@
         ran=ran,
         took_ms=180,
     )
-    story.record(ended, 0.2)
+    trace.record(ended, 0.2)
 
 
 def _serve(log: RequestTraceLog) -> RequestTrace:
     story = _begin(log)
-    _note_attempt(story, came="status 200", ran=Executed.YES)
+    _record_attempt(story, came="status 200", ran=Executed.YES)
     story.complete(Completion.SERVED, status=200)
     return story
 
@@ -182,12 +182,12 @@
 
 def _lose(log: RequestTraceLog) -> RequestTrace:
     story = _begin(log)
-    _note_attempt(story, came="connection lost: reset", ran=Executed.MAYBE)
+    _record_attempt(story, came="connection lost: reset", ran=Executed.MAYBE)
     story.complete(Completion.UNKNOWN, status=502, reason="upstream-lost")
     return story
 
 
-def _bytes_a_story() -> float:
+def _bytes_per_trace() -> float:
     log = RequestTraceLog(vm="a")
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
--- a/packages/testkit/src/plankspindle_testkit/bench/lookup_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/lookup_bench.py
@@ -23,14 +23,14 @@
 REGIONS = 9
 VMS = 4_500
 LOOKUPS = 20_000
-BLOCK_BITS = 12
+HOST_BITS = 12
 
 
 def build_blocks(count: int) -> dict[str, str]:
     """Build distinct /20 blocks, each with another site than its neighbour."""
     first = 16 << 24
     return {
-        f"{ip_address(first + (number << BLOCK_BITS))}/20": f"site-{number % SITES}"
+        f"{ip_address(first + (number << HOST_BITS))}/20": f"site-{number % SITES}"
         for number in range(count)
     }
 
@@ -60,7 +60,7 @@
     build_s = time.perf_counter() - began
     random = Random(1)
     addresses = [
-        str(ip_address((16 << 24) + random.randrange(count << BLOCK_BITS)))
+        str(ip_address((16 << 24) + random.randrange(count << HOST_BITS)))
         for _ in range(LOOKUPS)
     ]
     table_us = [_time_us(table.site_of, address) for address in addresses]
--- a/packages/testkit/src/plankspindle_testkit/bench/policy_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/policy_bench.py
@@ -5,13 +5,13 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from plankspindle_testkit.bench.policy_model import BlindPolicy
 from plankspindle_testkit.bench.policy_model import DispatcherPolicy
 from plankspindle_testkit.bench.policy_model import FifoPolicy
 from plankspindle_testkit.bench.policy_model import Load
+from plankspindle_testkit.bench.policy_model import LoadObliviousPolicy
 from plankspindle_testkit.bench.policy_model import ModelUpstream
-from plankspindle_testkit.bench.policy_model import Outcome
 from plankspindle_testkit.bench.policy_model import PolicyModel
+from plankspindle_testkit.bench.policy_model import RequestResult
 from plankspindle_testkit.bench.table import print_table
 from plankspindle_testkit.bench.table import quantile
 
@@ -37,11 +37,11 @@
     rows = []
     for factor in LOAD_FACTORS:
         load = Load(
-            rate=capacity * factor,
+            rate_per_s=capacity * factor,
             share_by_rank=SHARES,
             service_s=SERVICE_S,
             timeout_s=TIMEOUT_S,
-            seconds=SECONDS,
+            duration_s=SECONDS,
         )
         for name, policy in _priority_policies():
             model = PolicyModel(upstreams=EVEN, policy=policy, load=load)
@@ -71,7 +71,7 @@
     ]
 
 
-def _priority_row(load: str, policy: str, outcomes: list[Outcome]) -> list[str]:
+def _priority_row(load: str, policy: str, outcomes: list[RequestResult]) -> list[str]:
     first = [
         each.latency_s * 1000
         for each in outcomes
@@ -92,16 +92,16 @@
     capacity = sum(each.slots / (SERVICE_S * each.slowness) for each in UNEVEN)
     for factor in (0.5, 0.8, 0.95):
         load = Load(
-            rate=capacity * factor,
+            rate_per_s=capacity * factor,
             share_by_rank=(1.0,),
             service_s=SERVICE_S,
             timeout_s=TIMEOUT_S,
-            seconds=SECONDS,
+            duration_s=SECONDS,
         )
         policies: list[tuple[str, Policy]] = [
             ("own counts", DispatcherPolicy(upstreams=UNEVEN, queue_limit=QUEUE_LIMIT)),
-            ("round robin", BlindPolicy(upstreams=UNEVEN)),
-            ("random", BlindPolicy(upstreams=UNEVEN, random=Random(5))),
+            ("round robin", LoadObliviousPolicy(upstreams=UNEVEN)),
+            ("random", LoadObliviousPolicy(upstreams=UNEVEN, random=Random(5))),
         ]
         for name, policy in policies:
             model = PolicyModel(upstreams=UNEVEN, policy=policy, load=load)
@@ -113,7 +113,7 @@
     )
 
 
-def _balancing_row(load: str, policy: str, outcomes: list[Outcome]) -> list[str]:
+def _balancing_row(load: str, policy: str, outcomes: list[RequestResult]) -> list[str]:
     latencies = [
         each.latency_s * 1000 for each in outcomes if each.latency_s is not None
     ]
--- a/packages/testkit/src/plankspindle_testkit/bench/policy_model.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/policy_model.py
@@ -46,7 +46,7 @@
 
     Parameters
     ----------
-    rate : float
+    rate_per_s : float
         Requests a second, all classes.
     share_by_rank : tuple of float
         Share of each class.
@@ -54,22 +54,22 @@
         Mean service time in seconds; lognormal with sigma 0.5.
     timeout_s : float
         Time that each request is given, in seconds.
-    seconds : float
+    duration_s : float
         Length of the run.
     seed : int
         Seed of arrivals and service times.
     """
 
-    rate: float
+    rate_per_s: float
     share_by_rank: tuple[float, ...]
     service_s: float
     timeout_s: float
-    seconds: float
+    duration_s: float
     seed: int = 1
 
 
 @frozen(kw_only=True)
-class Outcome:
+class RequestResult:
     """What became of one request.
 
     Parameters
@@ -96,7 +96,7 @@
 
 
 @frozen
-class Refuse:
+class Reject:
     """The policy rejects a request."""
 
     ticket: Ticket
@@ -107,15 +107,15 @@
 
     cancels_at_deadline: bool
 
-    def arrive(self, ticket: Ticket, now: float) -> list[Start | Refuse]:
+    def arrive(self, ticket: Ticket, now: float) -> list[Start | Reject]:
         """Take a new request."""
 
-    def end(
+    def complete(
         self, ticket: Ticket, upstream: str, took_s: float, now: float
-    ) -> list[Start | Refuse]:
+    ) -> list[Start | Reject]:
         """Take the end of a request."""
 
-    def tick(self, now: float) -> list[Start | Refuse]:
+    def tick(self, now: float) -> list[Start | Reject]:
         """Let time pass."""
 
 
@@ -138,13 +138,13 @@
             queue_limit=queue_limit,
         )
 
-    def arrive(self, ticket: Ticket, now: float) -> list[Start | Refuse]:
+    def arrive(self, ticket: Ticket, now: float) -> list[Start | Reject]:
         """Take a new request."""
         return self._handle(d.RequestArrived(ticket), now)
 
-    def end(
+    def complete(
         self, ticket: Ticket, upstream: str, took_s: float, now: float
-    ) -> list[Start | Refuse]:
+    ) -> list[Start | Reject]:
         """Take the end of a request."""
         in_time = now < ticket.deadline
         ended = d.AttemptCompleted(
@@ -158,18 +158,18 @@
         )
         return self._handle(ended, now)
 
-    def tick(self, now: float) -> list[Start | Refuse]:
+    def tick(self, now: float) -> list[Start | Reject]:
         """Let time pass."""
         return self._handle(d.TimePassed(), now)
 
-    def _handle(self, event: d.DispatchEvent, now: float) -> list[Start | Refuse]:
-        decisions: list[Start | Refuse] = []
+    def _handle(self, event: d.DispatchEvent, now: float) -> list[Start | Reject]:
+        decisions: list[Start | Reject] = []
         for effect in self.dispatcher.handle(event, now):
             match effect:
                 case d.Assign(ticket=ticket, upstream=upstream):
                     decisions.append(Start(ticket, upstream))
                 case d.Reject(ticket=ticket):
-                    decisions.append(Refuse(ticket))
+                    decisions.append(Reject(ticket))
                 case d.SendProbe(upstream=upstream):
                     report = LoadReport()
                     probed = d.ProbeCompleted(
@@ -199,26 +199,26 @@
         self._queue: deque[Ticket] = deque()
         self._queue_limit = queue_limit
 
-    def arrive(self, ticket: Ticket, now: float) -> list[Start | Refuse]:
+    def arrive(self, ticket: Ticket, now: float) -> list[Start | Reject]:
         """Take a new request."""
         if len(self._queue) >= self._queue_limit:
-            return [Refuse(ticket)]
+            return [Reject(ticket)]
         self._queue.append(ticket)
         return self._serve()
 
-    def end(
+    def complete(
         self, ticket: Ticket, upstream: str, took_s: float, now: float
-    ) -> list[Start | Refuse]:
+    ) -> list[Start | Reject]:
         """Take the end of a request."""
         self._free_by_upstream[upstream] += 1
         return self._serve()
 
-    def tick(self, now: float) -> list[Start | Refuse]:
+    def tick(self, now: float) -> list[Start | Reject]:
         """Let time pass."""
         return []
 
-    def _serve(self) -> list[Start | Refuse]:
-        started: list[Start | Refuse] = []
+    def _serve(self) -> list[Start | Reject]:
+        started: list[Start | Reject] = []
         while self._queue:
             name, free = max(self._free_by_upstream.items(), key=lambda each: each[1])
             if free == 0:
@@ -228,7 +228,7 @@
         return started
 
 
-class BlindPolicy:
+class LoadObliviousPolicy:
     """Baseline: round robin or random choice, with a queue at each upstream.
 
     Parameters
@@ -252,7 +252,7 @@
         self._random = random
         self._turn = count()
 
-    def arrive(self, ticket: Ticket, now: float) -> list[Start | Refuse]:
+    def arrive(self, ticket: Ticket, now: float) -> list[Start | Reject]:
         """Take a new request."""
         if self._random is not None:
             name = self._random.choice(self._names)
@@ -261,18 +261,18 @@
         self._queue_by_upstream[name].append(ticket)
         return self._serve(name)
 
-    def end(
+    def complete(
         self, ticket: Ticket, upstream: str, took_s: float, now: float
-    ) -> list[Start | Refuse]:
+    ) -> list[Start | Reject]:
         """Take the end of a request."""
         self._free_by_upstream[upstream] += 1
         return self._serve(upstream)
 
-    def tick(self, now: float) -> list[Start | Refuse]:
+    def tick(self, now: float) -> list[Start | Reject]:
         """Let time pass."""
         return []
 
-    def _serve(self, name: str) -> list[Start | Refuse]:
+    def _serve(self, name: str) -> list[Start | Reject]:
         queue = self._queue_by_upstream[name]
         if not queue or self._free_by_upstream[name] == 0:
             return []
@@ -297,39 +297,39 @@
     upstreams: list[ModelUpstream]
     policy: Policy
     load: Load
-    outcomes: list[Outcome] = field(factory=list)
+    results: list[RequestResult] = field(factory=list)
     _events: list[tuple[float, int, Ticket | None, str]] = field(factory=list)
     _numbers: count[int] = field(factory=count)
     _arrived_at: dict[int, float] = field(factory=dict)
     _started_at: dict[int, float] = field(factory=dict)
 
-    def run(self) -> list[Outcome]:
+    def run(self) -> list[RequestResult]:
         """Run to the end and give the outcome of every request."""
         random = Random(self.load.seed)
-        self._plan_arrivals(random)
+        self._schedule_arrivals(random)
         slowness = {each.name: each.slowness for each in self.upstreams}
         while self._events:
             now, _, ticket, upstream = heapq.heappop(self._events)
             if ticket is None:
                 decisions = self.policy.tick(now)
             elif upstream:
-                decisions = self._end(ticket, upstream, now)
+                decisions = self._complete(ticket, upstream, now)
             else:
                 self._arrived_at[ticket.id] = now
                 decisions = self.policy.arrive(ticket, now)
             for decision in decisions:
-                self._carry_out(decision, now, random, slowness)
-        return self.outcomes
+                self._apply_decisions(decision, now, random, slowness)
+        return self.results
 
     def _push(self, at: float, ticket: Ticket | None, upstream: str) -> None:
         heapq.heappush(self._events, (at, next(self._numbers), ticket, upstream))
 
-    def _plan_arrivals(self, random: Random) -> None:
+    def _schedule_arrivals(self, random: Random) -> None:
         ranks = range(len(self.load.share_by_rank))
         now = 0.0
         for number in count():
-            now += random.expovariate(self.load.rate)
-            if now > self.load.seconds:
+            now += random.expovariate(self.load.rate_per_s)
+            if now > self.load.duration_s:
                 break
             rank = random.choices(ranks, self.load.share_by_rank)[0]
             ticket = Ticket(
@@ -340,12 +340,12 @@
                 expected_s=self.load.service_s,
             )
             self._push(now, ticket, "")
-        for step in range(int(self.load.seconds / TICK_S)):
+        for step in range(int(self.load.duration_s / TICK_S)):
             self._push(step * TICK_S, None, "")
 
-    def _carry_out(
+    def _apply_decisions(
         self,
-        decision: Start | Refuse,
+        decision: Start | Reject,
         now: float,
         random: Random,
         slowness: dict[str, float],
@@ -360,15 +360,17 @@
                 if self.policy.cancels_at_deadline:
                     ends_at = min(ends_at, ticket.deadline)
                 self._push(ends_at, ticket, upstream)
-            case Refuse(ticket=ticket):
-                outcome = Outcome(rank=ticket.rank, latency_s=None, in_time=False)
-                self.outcomes.append(outcome)
+            case Reject(ticket=ticket):
+                outcome = RequestResult(rank=ticket.rank, latency_s=None, in_time=False)
+                self.results.append(outcome)
 
-    def _end(self, ticket: Ticket, upstream: str, now: float) -> list[Start | Refuse]:
+    def _complete(
+        self, ticket: Ticket, upstream: str, now: float
+    ) -> list[Start | Reject]:
         latency = now - self._arrived_at[ticket.id]
-        outcome = Outcome(
+        outcome = RequestResult(
             rank=ticket.rank, latency_s=latency, in_time=now < ticket.deadline
         )
-        self.outcomes.append(outcome)
+        self.results.append(outcome)
         took = now - self._started_at[ticket.id]
-        return self.policy.end(ticket, upstream, took, now)
+        return self.policy.complete(ticket, upstream, took, now)
--- a/packages/testkit/src/plankspindle_testkit/bench/proxy_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/proxy_bench.py
@@ -14,17 +14,19 @@
 from plankspindle_core.endpoint import Endpoint
 from plankspindle_testkit.bench.table import print_table
 from plankspindle_testkit.bench.table import quantile
-from plankspindle_testkit.builders import VmPlace
+from plankspindle_testkit.builders import VmAddresses
 from plankspindle_testkit.builders import build_configuration
 from plankspindle_testkit.builders import build_upstream
 from plankspindle_testkit.processes import Processes
-from plankspindle_testkit.processes import put_in_force
-from plankspindle_testkit.processes import state_of
+from plankspindle_testkit.processes import apply_configuration
+from plankspindle_testkit.processes import read_state
 from plankspindle_testkit.processes import wait_for_operator_listener
 from plankspindle_testkit.processes import wait_until
 
 PLATFORM = Endpoint("127.0.8.1", 17000)
-PLACE = VmPlace(name="ba-1-a", failure_domain="ba-1", host="127.0.8.2", base_port=17100)
+PLACE = VmAddresses(
+    name="ba-1-a", failure_domain="ba-1", host="127.0.8.2", base_port=17100
+)
 UPSTREAM = Endpoint("127.0.8.3", 17200)
 PLATES = "/plates/1"
 TRANSFERS = "/transfers/1"
@@ -59,12 +61,12 @@
     processes.start_daemon(PLACE, platform=PLATFORM)
     wait_for_operator_listener(PLACE)
     upstreams = {"u": build_upstream(endpoint=UPSTREAM, slots=64)}
-    put_in_force(PLACE, build_configuration(upstreams_by_name=upstreams))
+    apply_configuration(PLACE, build_configuration(upstreams_by_name=upstreams))
     wait_until(lambda: _share() == 64, what="shares")
 
 
 def _share() -> int:
-    service = state_of(PLACE)["services"].get("registry", {"upstreams": {}})
+    service = read_state(PLACE)["services"].get("registry", {"upstreams": {}})
     return int(service["upstreams"].get("u", {"share": 0})["share"])
 
 
@@ -118,7 +120,7 @@
 
 
 def _download(processes: Processes) -> None:
-    process = processes.by_name[PLACE.name]
+    process = processes.process_by_name[PLACE.name]
     before = _resident_kb(process.pid)
     received, worst = 0, before
     began = time.perf_counter()
--- a/packages/testkit/src/plankspindle_testkit/bench/quota_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/quota_bench.py
@@ -18,8 +18,8 @@
 WORKSPACES = 76
 LARGEST_PER_S = 100.0
 SKEW = 0.85
-QUOTA_OF_USE = 1.6
-LEAST_RATE_PER_S = 5.0
+QUOTA_PER_DEMAND = 1.6
+MIN_RATE_PER_S = 5.0
 HOT_FACTOR = 4.2
 SETTLE_S = 8.0
 LOAD_S = 20.0
@@ -28,7 +28,7 @@
 SLACK = 20.0
 
 
-class Way(Enum):
+class Scheme(Enum):
     """Where the shares of the VMs go."""
 
     STATIC = "each VM keeps its own"
@@ -41,7 +41,7 @@
     """Requests of many workspaces, the first of them hot if wanted."""
 
     fleet: QuotaFleet
-    use_by_workspace: dict[str, float]
+    demand_by_workspace: dict[str, float]
     random: Random
     sent: int = 0
     names: list[str] = field(init=False)
@@ -51,12 +51,12 @@
 
     def __call__(self, now: float) -> None:
         del now
-        for workspace, per_s in self.use_by_workspace.items():
+        for workspace, per_s in self.demand_by_workspace.items():
             wanted = per_s / 10
             number = int(wanted) + (self.random.random() < wanted % 1)
             self.sent += number
             for _ in range(number):
-                self.fleet.request(self.random.choice(self.names), workspace)
+                self.fleet.receive_request(self.random.choice(self.names), workspace)
 
 
 def run_quota_bench() -> None:
@@ -65,7 +65,7 @@
         _measure(size, way, is_hot=is_hot)
         for size in SIZES
         for is_hot in (False, True)
-        for way in Way
+        for way in Scheme
     ]
     print_table(
         "Quotas of 76 workspaces at 1.6 of their use",
@@ -84,10 +84,10 @@
     )
 
 
-def _measure(size: int, way: Way, *, is_hot: bool) -> list[str]:
+def _measure(size: int, way: Scheme, *, is_hot: bool) -> list[str]:
     use = {f"w{rank}": LARGEST_PER_S / (rank + 1) ** SKEW for rank in range(WORKSPACES)}
     rates = {
-        name: max(LEAST_RATE_PER_S, round(QUOTA_OF_USE * per_s))
+        name: max(MIN_RATE_PER_S, round(QUOTA_PER_DEMAND * per_s))
         for name, per_s in use.items()
     }
     fleet = QuotaFleet(
@@ -96,23 +96,23 @@
             name: build_workspace(rate_per_s=rate, burst=rate)
             for name, rate in rates.items()
         },
-        regions=REGIONS[:1] if way is Way.FLEET else REGIONS,
+        regions=REGIONS[:1] if way is Scheme.FLEET else REGIONS,
     )
     fleet.add_vms(size)
-    if way is Way.STATIC:
-        fleet.cut(lambda one, other: False)
+    if way is Scheme.STATIC:
+        fleet.partition(lambda one, other: False)
     fleet.run(SETTLE_S)
-    at_rest, rest_us = dict(fleet.sent_by_kind), _rest_us(fleet, size)
+    at_rest, rest_us = dict(fleet.sent_by_kind), _idle_us(fleet, size)
     claims = sum(fleet.sent_by_kind.values()) - sum(at_rest.values())
     if is_hot:
         use["w0"] *= HOT_FACTOR
-    load = _Load(fleet=fleet, use_by_workspace=use, random=Random(2))
+    load = _Load(fleet=fleet, demand_by_workspace=use, random=Random(2))
     fleet.run(LOAD_S, load)
     refused = {name: len(at) for name, at in fleet.refused_at_by_workspace.items()}
     below = sum(number for name, number in refused.items() if name != "w0")
     asks = fleet.sent_by_kind["TokenRequest"] + fleet.sent_by_kind["TokenGrant"]
     fullest = max(
-        fleet.most_in_window(name, WINDOW_S)
+        fleet.max_admitted(name, WINDOW_S)
         / ((rate * WINDOW_S + rate) * OVERAGE + SLACK)
         for name, rate in rates.items()
     )
@@ -129,7 +129,7 @@
     ]
 
 
-def _rest_us(fleet: QuotaFleet, size: int) -> float:
+def _idle_us(fleet: QuotaFleet, size: int) -> float:
     """Let a window pass without requests, and give its processor time."""
     began = time.process_time()
     fleet.run(WINDOW_S)
--- a/packages/testkit/src/plankspindle_testkit/bench/sharing_slopes.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/sharing_slopes.py
@@ -27,12 +27,12 @@
     )
     for number in range(232)
 )
-LONG_S = 100.0
+READ_INTERVAL_S = 100.0
 """Time between two reads, in which a VM comes to share them."""
 KEY = b"k" * 16
 
 
-def told_ms(members: int) -> float:
+def broadcast_ms(members: int) -> float:
     """Read a list of 232 upstreams and tell all members of the domain."""
     reads = _build_reads("vm-0000", members)
     sealer = FrameSealer(keys=[KEY])
@@ -45,7 +45,7 @@
     return median_ms(tell)
 
 
-def heard_ms(members: int) -> float:
+def receive_ms(members: int) -> float:
     """Take what a reader tells."""
     reader = _build_reads("vm-0000", members)
     reads = _build_reads("vm-0001", members)
@@ -55,7 +55,7 @@
     def hear() -> None:
         news = sealer.open(frame).and_then(decode).unwrap()
         assert isinstance(news, ListNews)
-        reads.apply_update(news, LONG_S)
+        reads.apply_update(news, READ_INTERVAL_S)
 
     return median_ms(hear)
 
@@ -73,6 +73,6 @@
         UPSTREAMS,
         version=version,
         configuration_version=1,
-        kept_until=0.0,
-        now=LONG_S * version,
+        retained_until=0.0,
+        now=READ_INTERVAL_S * version,
     )
--- a/packages/testkit/src/plankspindle_testkit/bench/shift_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/shift_bench.py
@@ -52,14 +52,14 @@
         cap_percent=CAP_PERCENT,
         ramp_s=0.0,
     )
-    meter.use_shifts({"shift": shift}, 0.0)
+    meter.apply_shifts({"shift": shift}, 0.0)
     salt = random.random()
     callers = [f"caller-{salt}-{number}" for number in range(len(weights))]
     moved, most = 0, 0.0
     for total, caller in enumerate(random.choices(callers, weights, k=REQUESTS), 1):
         chosen = meter.choose(service="s", caller_key=caller, now=0.0)
         if isinstance(chosen, Move):
-            meter.count_move(service="s", move=chosen)
+            meter.record_move(service="s", move=chosen)
             moved += 1
         most = max(most, 100 * moved / total)
     return 100 * moved / REQUESTS, most
--- a/packages/testkit/src/plankspindle_testkit/bench/slopes_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/slopes_bench.py
@@ -27,11 +27,11 @@
 from plankspindle_testkit.bench.lookup_bench import build_blocks
 from plankspindle_testkit.bench.median_time import REPEATS
 from plankspindle_testkit.bench.median_time import median_ms
-from plankspindle_testkit.bench.sharing_slopes import heard_ms
-from plankspindle_testkit.bench.sharing_slopes import told_ms
+from plankspindle_testkit.bench.sharing_slopes import broadcast_ms
+from plankspindle_testkit.bench.sharing_slopes import receive_ms
 from plankspindle_testkit.bench.slope import Slope
 from plankspindle_testkit.bench.table import print_table
-from plankspindle_testkit.builders import VmPlace
+from plankspindle_testkit.builders import VmAddresses
 from plankspindle_testkit.builders import build_configuration
 from plankspindle_testkit.builders import build_service
 from plankspindle_testkit.builders import build_ticket
@@ -68,8 +68,8 @@
     print_table(f"Slopes, median of {REPEATS} repeats each", columns, rows)
 
 
-def _place(number: int) -> VmPlace:
-    return VmPlace(
+def _place(number: int) -> VmAddresses:
+    return VmAddresses(
         name=f"vm-{number:04}",
         failure_domain="ba-1",
         host=f"10.0.{number // 250}.{number % 250 + 1}",
@@ -92,7 +92,7 @@
     return node
 
 
-def _placed_ms(upstreams: int) -> float:
+def _place_request_ms(upstreams: int) -> float:
     """Place one request by its affinity key and take its end."""
     node = _build_reported_node(upstreams)
     numbers = iter(range(10**6))
@@ -107,7 +107,7 @@
     return median_ms(serve) / 50
 
 
-def _order_kib(upstreams: int) -> float:
+def _ranking_kib(upstreams: int) -> float:
     """Remember the order of the upstreams for one affinity key."""
     node = _build_reported_node(upstreams)
     keys = 50
@@ -290,7 +290,7 @@
         node.dispatchers_by_service, node.version, 3.0
     )
     for number in range(senders):
-        node.digest_exchange.digests.take(evolve(digest, sender=f"vm-{number}"), 3.0)
+        node.digest_exchange.digests.record(evolve(digest, sender=f"vm-{number}"), 3.0)
     return median_ms(
         lambda: node.digest_exchange.digests.load_of(
             service="registry", domains={"ba-1"}, now=3.0
@@ -321,13 +321,13 @@
         name="request placed by its key, by upstreams of the service",
         unit="ms",
         sizes=(24, 100, 200, 400),
-        measure=_placed_ms,
+        measure=_place_request_ms,
     ),
     Slope(
         name="order of the upstreams for a key, by upstreams",
         unit="KiB",
         sizes=(24, 100, 200, 400),
-        measure=_order_kib,
+        measure=_ranking_kib,
     ),
     Slope(
         name="upstream that comes and one that goes, 400 keys remembered, by upstreams",
@@ -339,13 +339,13 @@
         name="list of 232 read and told, by members of the domain",
         unit="ms",
         sizes=(8, 16, 32),
-        measure=told_ms,
+        measure=broadcast_ms,
     ),
     Slope(
         name="reader's word heard, by members of the domain",
         unit="ms",
         sizes=(8, 16, 32),
-        measure=heard_ms,
+        measure=receive_ms,
     ),
     Slope(
         name="version adopted, by client blocks",
--- a/packages/testkit/src/plankspindle_testkit/bench/spread_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/spread_bench.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from random import Random
 
-from plankspindle_daemon.configuration.spread_targets import spread_targets
+from plankspindle_daemon.configuration.broadcast_targets import broadcast_targets
 from plankspindle_testkit.bench.table import print_table
 
 SIZES = (205, 4_500)
@@ -14,7 +14,7 @@
 MESSAGE_BYTES = 200
 MAX_ROUNDS = 60
 
-Way = Callable[[str, list[str], Random], list[str]]
+Strategy = Callable[[str, list[str], Random], list[str]]
 
 
 def run_spread_bench() -> None:
@@ -22,7 +22,7 @@
     rows = []
     for size in SIZES:
         for dead_share in DEAD_SHARES:
-            for name, way in _ways():
+            for name, way in _strategies():
                 rows.append(_row(size, dead_share, name, way))
     print_table(
         "Spreading of a version from one node over 20 seeds; dead nodes are not known"
@@ -41,7 +41,7 @@
     )
 
 
-def _ways() -> list[tuple[str, Way]]:
+def _strategies() -> list[tuple[str, Strategy]]:
     return [
         ("ring", _ring_and_random(0)),
         ("ring and 1 random", _ring_and_random(1)),
@@ -53,23 +53,26 @@
     ]
 
 
-def _ring_and_random(random_targets: int) -> Way:
+def _ring_and_random(random_targets: int) -> Strategy:
     def choose(me: str, members: list[str], random: Random) -> list[str]:
-        return spread_targets(
-            me=me, members=members, random=random, random_targets=random_targets
+        return broadcast_targets(
+            own_name=me,
+            members=members,
+            random=random,
+            random_target_count=random_targets,
         )
 
     return choose
 
 
-def _random(fanout: int) -> Way:
+def _random(fanout: int) -> Strategy:
     def choose(me: str, members: list[str], random: Random) -> list[str]:
         return [members[random.randrange(len(members))] for _ in range(fanout)]
 
     return choose
 
 
-def _tree(fanout: int) -> Way:
+def _tree(fanout: int) -> Strategy:
     def choose(me: str, members: list[str], random: Random) -> list[str]:
         first = int(me) * fanout + 1
         return members[first : first + fanout]
@@ -81,7 +84,7 @@
     return members[1:] if int(me) == 0 else []
 
 
-def _row(size: int, dead_share: float, name: str, way: Way) -> list[str]:
+def _row(size: int, dead_share: float, name: str, way: Strategy) -> list[str]:
     missed, rounds, messages, most = [], [], [], 0
     for seed in SEEDS:
         result = _spread(size, dead_share, way, Random(seed))
@@ -103,7 +106,7 @@
 
 
 def _spread(
-    size: int, dead_share: float, way: Way, random: Random
+    size: int, dead_share: float, way: Strategy, random: Random
 ) -> tuple[int, int, int, int]:
     """Give live nodes missed, rounds, messages, and most messages of one node."""
     members = [f"{number:05}" for number in range(size)]
--- a/packages/testkit/src/plankspindle_testkit/builders.py
+++ b/packages/testkit/src/plankspindle_testkit/builders.py
@@ -21,7 +21,7 @@
 from plankspindle_core.configuration.upstream import Upstream
 from plankspindle_core.configuration.workspace import Workspace
 from plankspindle_core.endpoint import Endpoint
-from plankspindle_daemon.admission.class_queue import ClassQueue
+from plankspindle_daemon.admission.priority_queue import PriorityQueue
 from plankspindle_daemon.admission.ticket import Ticket
 from plankspindle_daemon.dispatch.dispatcher import Dispatcher
 from plankspindle_daemon.dispatch.domain_distances import DomainDistances
@@ -151,7 +151,7 @@
 
 
 @frozen(kw_only=True)
-class VmPlace:
+class VmAddresses:
     """An entry VM and its addresses on loopback.
 
     Parameters
@@ -184,7 +184,7 @@
         """Peer listener."""
         return Endpoint(self.host, self.base_port + 2)
 
-    def listed(self, *, leaving: bool = False) -> dict[str, Any]:
+    def list_entry(self, *, leaving: bool = False) -> dict[str, Any]:
         """Give its line in the platform's list of VMs."""
         return {
             "name": self.name,
@@ -197,13 +197,13 @@
 
 
 def build_settings_mapping(
-    place: VmPlace, *, platform: Endpoint, **sections: Any
+    addresses: VmAddresses, *, platform: Endpoint, **sections: Any
 ) -> dict[str, Any]:
     """Build the settings document of a daemon.
 
     Parameters
     ----------
-    place : VmPlace
+    addresses : VmAddresses
         The VM.
     platform : Endpoint
         The platform.
@@ -216,12 +216,12 @@
         To be written as YAML.
     """
     return {
-        "vm": place.name,
-        "failure_domain": place.failure_domain,
+        "vm": addresses.name,
+        "failure_domain": addresses.failure_domain,
         "listen": {
-            "caller": str(place.caller),
-            "operator": str(place.operator),
-            "peer": str(place.peer),
+            "caller": str(addresses.caller),
+            "operator": str(addresses.operator),
+            "peer": str(addresses.peer),
         },
         "platform": str(platform),
         "secrets": {"peer_keys": [PEER_KEY]},
@@ -268,13 +268,13 @@
         vm=vm,
         incarnation=1,
         random=random,
-        queue=ClassQueue(limit=queue_limit),
+        queue=PriorityQueue(limit=queue_limit),
         probe_period_s=1.0,
         upstreams_by_name=upstreams,
     )
 
 
-def build_reporting_dispatcher(*names: str) -> Dispatcher:
+def build_reported_slots_dispatcher(*names: str) -> Dispatcher:
     """Build a dispatcher of upstreams of one slot that any entry VM may use.
 
     Parameters
@@ -290,7 +290,9 @@
     )
     dispatcher.placement.rankings.set_upstreams(dict.fromkeys(names, "ba-1"))
     for name in names:
-        dispatcher.upstreams_by_name[name] = build_reported_upstream(name, slots=1)
+        dispatcher.upstreams_by_name[name] = build_reported_slots_upstream(
+            name, slots=1
+        )
     return dispatcher
 
 
@@ -317,7 +319,7 @@
 
 
 def build_member(
-    name: str, *, failure_domain: str = "ba-1", last_heard: float | None = None
+    name: str, *, failure_domain: str = "ba-1", last_heartbeat_at: float | None = None
 ) -> Member:
     """Build a member of a failure domain.
 
@@ -325,7 +327,7 @@
     ----------
     name, failure_domain : str
         Its name, and where it stands.
-    last_heard : float, optional
+    last_heartbeat_at : float, optional
         Monotonic time of its newest heartbeat, in seconds.
     """
     return Member(
@@ -333,7 +335,7 @@
         peer_endpoint=Endpoint("127.0.0.1", 1),
         known_since=0.0,
         failure_domain=failure_domain,
-        last_heartbeat_at=last_heard,
+        last_heartbeat_at=last_heartbeat_at,
     )
 
 
@@ -366,7 +368,7 @@
     return Route(**{**defaults, **fields})
 
 
-def build_reported_upstream(
+def build_reported_slots_upstream(
     name: str, *, slots: int = 4, **fields: Any
 ) -> UpstreamState:
     """Build a warm upstream that any entry VM may use.
--- a/packages/testkit/src/plankspindle_testkit/demo.py
+++ b/packages/testkit/src/plankspindle_testkit/demo.py
@@ -12,15 +12,15 @@
 from plankspindle_core import header_names
 from plankspindle_core.endpoint import Endpoint
 from plankspindle_core.http.headers import find_header
-from plankspindle_testkit.builders import VmPlace
+from plankspindle_testkit.builders import VmAddresses
 from plankspindle_testkit.builders import build_caller
 from plankspindle_testkit.builders import build_configuration
 from plankspindle_testkit.builders import build_upstream
 from plankspindle_testkit.processes import Processes
+from plankspindle_testkit.processes import apply_configuration
 from plankspindle_testkit.processes import call
 from plankspindle_testkit.processes import confirm_intent
-from plankspindle_testkit.processes import put_in_force
-from plankspindle_testkit.processes import state_of
+from plankspindle_testkit.processes import read_state
 from plankspindle_testkit.processes import wait_for_operator_listener
 from plankspindle_testkit.processes import wait_until
 
@@ -28,10 +28,16 @@
     from plankspindle_core.configuration.configuration import Configuration
 
 PLATFORM = Endpoint("127.0.0.1", 17000)
-PLACES = [
-    VmPlace(name="ba-1-a", failure_domain="ba-1", host="127.0.0.11", base_port=17100),
-    VmPlace(name="ba-1-b", failure_domain="ba-1", host="127.0.0.12", base_port=17100),
-    VmPlace(name="ke-1-a", failure_domain="ke-1", host="127.0.0.13", base_port=17100),
+VMS = [
+    VmAddresses(
+        name="ba-1-a", failure_domain="ba-1", host="127.0.0.11", base_port=17100
+    ),
+    VmAddresses(
+        name="ba-1-b", failure_domain="ba-1", host="127.0.0.12", base_port=17100
+    ),
+    VmAddresses(
+        name="ke-1-a", failure_domain="ke-1", host="127.0.0.13", base_port=17100
+    ),
 ]
 UPSTREAMS = {
     "registry-ba-1": build_upstream(endpoint=Endpoint("127.0.0.21", 17200), slots=9),
@@ -65,20 +71,20 @@
 
 
 def _start(processes: Processes) -> None:
-    processes.start_platform(PLATFORM, PLACES)
+    processes.start_platform(PLATFORM, VMS)
     upstreams = [
         f"{name}={each.endpoint}={each.slots}" for name, each in UPSTREAMS.items()
     ]
     processes.start_module(
         "upstreams", "plankspindle_testkit.upstream_stand_in", *upstreams
     )
-    for place in PLACES:
+    for place in VMS:
         processes.start_daemon(place, platform=PLATFORM)
         wait_for_operator_listener(place)
-    version = put_in_force(PLACES[0], _configuration())
-    for place in PLACES:
+    version = apply_configuration(VMS[0], _configuration())
+    for place in VMS:
         _wait_for_version(place, version)
-    print(f"started {len(PLACES)} entry VMs, version {version} is in force on each")
+    print(f"started {len(VMS)} entry VMs, version {version} is in force on each")
 
 
 def _configuration() -> Configuration:
@@ -93,18 +99,18 @@
     return f"key-of-dealer-{number:02}"
 
 
-def _wait_for_version(place: VmPlace, version: int) -> None:
+def _wait_for_version(addresses: VmAddresses, version: int) -> None:
     def has_it() -> bool:
-        found = state_of(place)
+        found = read_state(addresses)
         upstreams = found["services"].get("registry", {}).get("upstreams", {})
         in_force = bool(found["configuration"]["version"] >= version)
         return in_force and all(each["share"] for each in upstreams.values())
 
-    wait_until(has_it, what=f"version {version} at {place.name}")
+    wait_until(has_it, what=f"version {version} at {addresses.name}")
 
 
 def _show_lookup() -> None:
-    answer = call(PLACES[2].caller, target="/v1/lookup?service=registry")
+    answer = call(VMS[2].caller, target="/v1/lookup?service=registry")
     print("look-up for a caller of 127.0.0.1:")
     for vm in json.loads(answer.body)["vms"]:
         print(f"  {vm['vm']} {vm['ip']}:{vm['port']} ({vm['reason']})")
@@ -113,7 +119,7 @@
 def _show_requests(title: str) -> None:
     served: Counter[str] = Counter()
     for number in range(REQUESTS):
-        place = PLACES[number % 2]
+        place = VMS[number % 2]
         key = b"Bearer " + _dealer_key(number % DEALERS).encode()
         answer = call(
             place.caller, target=PLATE, headers=[(header_names.AUTHORIZATION, key)]
@@ -126,10 +132,10 @@
 
 
 def _show_transfer() -> None:
-    issued = call(PLACES[0].caller, "POST", "/v1/request-ids")
+    issued = call(VMS[0].caller, "POST", "/v1/request-ids")
     request_id = json.loads(issued.body)["request_ids"][0]
     print("one transfer with an issued request id, sent three times to two VMs:")
-    for place in (PLACES[0], PLACES[0], PLACES[1]):
+    for place in (VMS[0], VMS[0], VMS[1]):
         answer = call(
             place.caller,
             "POST",
@@ -144,17 +150,17 @@
         replayed = find_header(answer.headers, header_names.REPLAYED) is not None
         how = "replayed" if replayed else "run"
         print(f"  {place.name}: {answer.status} {outcome.decode()} ({how})")
-    runs = sum(_runs(each.endpoint) for each in UPSTREAMS.values())
+    runs = sum(_count_runs(each.endpoint) for each in UPSTREAMS.values())
     print(f"  executions at the upstreams: {runs}")
 
 
-def _runs(endpoint: Endpoint) -> int:
+def _count_runs(endpoint: Endpoint) -> int:
     counts = json.loads(call(endpoint, "POST", "/control").body)
     return int(counts["runs"])
 
 
 def _show_shift() -> None:
-    wait_until(_every_domain_is_heard, what="digests of every failure domain")
+    wait_until(_all_domains_are_reachable, what="digests of every failure domain")
     intent = {
         "kind": "shift",
         "shift_id": "relief",
@@ -166,8 +172,8 @@
             "ramp_s": 0.0,
         },
     }
-    version = confirm_intent(PLACES[0], intent)
-    for place in PLACES:
+    version = confirm_intent(VMS[0], intent)
+    for place in VMS:
         _wait_for_version(place, version)
     print(f"20 percent shift to Košice: confirmed, version {version} is in force")
 
@@ -180,7 +186,7 @@
     ]
     for plan in reversed(plans):
         target = f"/v1/plans/{plan['id']}/confirm"
-        answer = call(PLACES[0].operator, "POST", target)
+        answer = call(VMS[0].operator, "POST", target)
         content = json.loads(answer.body)
         said = content.get("error", "accepted")
         print(f"  {plan['effects'][0]}: {said}")
@@ -188,7 +194,7 @@
 
 def _plan(intent: dict[str, Any]) -> dict[str, Any]:
     body = json.dumps(intent).encode()
-    made = call(PLACES[0].operator, "POST", "/v1/plans", body=body)
+    made = call(VMS[0].operator, "POST", "/v1/plans", body=body)
     plan: dict[str, Any] = json.loads(made.body)
     return plan
 
@@ -199,21 +205,21 @@
     print("plan to drain failure domain ba-1:")
     for effect in plan["effects"]:
         print(f"  {effect}")
-    confirmed = call(PLACES[0].operator, "POST", f"/v1/plans/{plan['id']}/confirm")
+    confirmed = call(VMS[0].operator, "POST", f"/v1/plans/{plan['id']}/confirm")
     print(f"  confirmed: {confirmed.status}")
-    wait_until(_only_kosice_is_named, what="look-ups name Košice only")
+    wait_until(_only_kosice_is_resolved, what="look-ups name Košice only")
     print("look-ups at every entry VM name Košice only")
 
 
-def _every_domain_is_heard() -> bool:
-    domains = state_of(PLACES[0])["failure_domains"]
+def _all_domains_are_reachable() -> bool:
+    domains = read_state(VMS[0])["failure_domains"]
     return all(domains[name]["heard_vms"] for name in ("ba-1", "ke-1"))
 
 
-def _only_kosice_is_named() -> bool:
+def _only_kosice_is_resolved() -> bool:
     named = {
         vm["vm"]
-        for place in PLACES
+        for place in VMS
         for vm in json.loads(
             call(place.caller, target="/v1/lookup?service=registry").body
         )["vms"]
@@ -222,8 +228,8 @@
 
 
 def _show_meter() -> None:
-    for place in PLACES[:2]:
-        shift = state_of(place)["shifts"]["relief"]
+    for place in VMS[:2]:
+        shift = read_state(place)["shifts"]["relief"]
         print(f"  {place.name}: moved {shift['moved']} of {shift['total']}")
 
 
--- a/packages/testkit/src/plankspindle_testkit/fleet_node.py
+++ b/packages/testkit/src/plankspindle_testkit/fleet_node.py
@@ -26,11 +26,11 @@
 from plankspindle_daemon.platform.live_list import VmKind
 
 REGIONS = ("bratislava", "kosice", "zilina")
-DOMAINS_PER_REGION = 3
+FAILURE_DOMAINS_PER_REGION = 3
 SLOTS = 9
-SMALL_SERVICE_EVERY = 8
+UPSTREAMS_PER_SMALL_SERVICE_UPSTREAM = 8
 """Of so many upstreams one is of the smaller of two services."""
-WALL = 1_000.0
+WALL_TIME_S = 1_000.0
 
 
 @frozen(kw_only=True)
@@ -46,44 +46,44 @@
     vms: int
     upstreams: int
 
-    def domain(self, number: int) -> str:
+    def failure_domain(self, number: int) -> str:
         """Give the failure domain of the VM or upstream of a number."""
         region = REGIONS[number % len(REGIONS)]
-        return f"{region}-{number // len(REGIONS) % DOMAINS_PER_REGION}"
+        return f"{region}-{number // len(REGIONS) % FAILURE_DOMAINS_PER_REGION}"
 
-    def vm(self, number: int) -> str:
+    def vm_name(self, number: int) -> str:
         """Name an entry VM."""
         return f"vm-{number:04}"
 
-    def listed(self) -> list[ListedVm]:
+    def live_list(self) -> list[ListedVm]:
         """Give the platform's list of upstreams and entry VMs."""
         return [
             *(self._listed_upstream(number) for number in range(self.upstreams)),
-            *(self.listed_vm(number) for number in range(self.vms)),
+            *(self.listed_entry_vm(number) for number in range(self.vms)),
         ]
 
     def _listed_upstream(self, number: int) -> ListedVm:
-        is_small = number % SMALL_SERVICE_EVERY == 0
+        is_small = number % UPSTREAMS_PER_SMALL_SERVICE_UPSTREAM == 0
         return ListedVm(
             name=f"u{number}",
             kind=VmKind.UPSTREAM,
-            failure_domain=self.domain(number),
+            failure_domain=self.failure_domain(number),
             upstream=Upstream(
                 service="documents" if is_small else "registry",
-                failure_domain=self.domain(number),
+                failure_domain=self.failure_domain(number),
                 endpoint=Endpoint(f"10.9.{number // 250}.{number % 250 + 1}", 9000),
                 slots=SLOTS,
             ),
             incarnation=1,
         )
 
-    def listed_vm(self, number: int) -> ListedVm:
+    def listed_entry_vm(self, number: int) -> ListedVm:
         """Give the entry of an entry VM in the platform's list."""
         host = f"10.0.{number // 250}.{number % 250 + 1}"
         return ListedVm(
-            name=self.vm(number),
+            name=self.vm_name(number),
             kind=VmKind.ENTRY,
-            failure_domain=self.domain(number),
+            failure_domain=self.failure_domain(number),
             caller_endpoint=Endpoint(host, 7000),
             peer_endpoint=Endpoint(host, 7002),
         )
@@ -92,7 +92,7 @@
         self, number: int, *, sequence: int, is_watched: bool = False
     ) -> Heartbeat:
         """Give a heartbeat of an entry VM."""
-        listed = self.listed_vm(number)
+        listed = self.listed_entry_vm(number)
         assert listed.caller_endpoint is not None
         assert listed.peer_endpoint is not None
         return Heartbeat(
@@ -113,8 +113,8 @@
         """Build the membership of an entry VM that knows nobody yet."""
         return Membership(
             options=MembershipOptions(
-                vm=self.vm(number),
-                failure_domain=self.domain(number),
+                vm=self.vm_name(number),
+                failure_domain=self.failure_domain(number),
                 incarnation=1,
                 heartbeat_s=0.5,
                 suspect_after_s=2.0,
@@ -126,8 +126,8 @@
         """Give the configuration: two services whose upstreams tell their load."""
         return Configuration(
             failure_domains_by_name={
-                self.domain(number): FailureDomain(region=REGIONS[number % 3])
-                for number in range(len(REGIONS) * DOMAINS_PER_REGION)
+                self.failure_domain(number): FailureDomain(region=REGIONS[number % 3])
+                for number in range(len(REGIONS) * FAILURE_DOMAINS_PER_REGION)
             },
             distances=Distances(between_failure_domains_ms=0.5, between_regions_ms=35),
             priority_classes=["gold", "bronze"],
@@ -146,7 +146,7 @@
 
 def build_empty_node(fleet: Fleet) -> Node:
     """Build entry VM 0 of a fleet, which has just started."""
-    own = fleet.listed_vm(0)
+    own = fleet.listed_entry_vm(0)
     assert own.caller_endpoint is not None
     assert own.peer_endpoint is not None
     return Node(
@@ -167,8 +167,8 @@
         ),
         leave=Leave(leave_s=60.0),
         needs_list=True,
-        shared_read_s=1.3,
-        probe_s=1.0,
+        shared_read_period_s=1.3,
+        probe_period_s=1.0,
         started_at=0.0,
         settle_s=2.0,
     )
@@ -186,8 +186,10 @@
     """
     node = build_empty_node(fleet)
     node.adopt(fleet.configuration(), version=1, now=now)
-    node.handle_membership(LiveListRead(tuple(fleet.listed())), now=now, wall=WALL)
+    node.handle_membership(
+        LiveListRead(tuple(fleet.live_list())), now=now, wall=WALL_TIME_S
+    )
     for number in range(1, fleet.vms):
         event = HeartbeatReceived(fleet.heartbeat(number, sequence=1))
-        node.handle_membership(event, now=now, wall=WALL)
+        node.handle_membership(event, now=now, wall=WALL_TIME_S)
     return node
--- a/packages/testkit/src/plankspindle_testkit/lab/__main__.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/__main__.py
@@ -13,38 +13,38 @@
 from plankspindle_testkit.bench.table import print_table
 from plankspindle_testkit.lab.lab_run import LabRun
 from plankspindle_testkit.lab.mechanisms import MECHANISMS
-from plankspindle_testkit.lab.mechanisms import setting
+from plankspindle_testkit.lab.mechanisms import override_constant
 from plankspindle_testkit.lab.outcomes import Outcome
-from plankspindle_testkit.lab.pattern import PATTERNS
+from plankspindle_testkit.lab.pattern import PATTERNS_FOLDER
 from plankspindle_testkit.lab.pattern import Pattern
 from plankspindle_testkit.lab.pattern import read_pattern
-from plankspindle_testkit.lab.plot import plot_of
+from plankspindle_testkit.lab.plot import render_plot
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
     from plankspindle_testkit.lab.outcomes import Outcomes
 
-SEEDS = 3
+DEFAULT_SEED_COUNT = 3
 
 
 @frozen(kw_only=True)
-class _Set:
+class _Override:
     module: str
     constant: str
     value: float
 
 
-class _SettingType(click.ParamType[_Set]):
+class _SettingType(click.ParamType[_Override]):
     name = "MODULE.CONSTANT=VALUE"
 
     def convert(
         self, value: object, param: click.Parameter | None, ctx: click.Context | None
-    ) -> _Set:
+    ) -> _Override:
         place, _, number = str(value).partition("=")
         module, _, constant = place.rpartition(".")
         try:
-            return _Set(module=module, constant=constant, value=float(number))
+            return _Override(module=module, constant=constant, value=float(number))
         except ValueError:
             self.fail(f"{value!r} is not MODULE.CONSTANT=NUMBER", param, ctx)
 
@@ -52,7 +52,7 @@
 def _pattern(name: str) -> Pattern:
     path = Path(name)
     if not path.exists():
-        path = PATTERNS / f"{name}.yaml"
+        path = PATTERNS_FOLDER / f"{name}.yaml"
     read = read_pattern(path)
     if read.is_err():
         raise click.ClickException(read.unwrap_err())
@@ -60,10 +60,12 @@
 
 
 def _names(patterns: Sequence[str]) -> list[str]:
-    return list(patterns) or sorted(path.stem for path in PATTERNS.glob("*.yaml"))
+    return list(patterns) or sorted(
+        path.stem for path in PATTERNS_FOLDER.glob("*.yaml")
+    )
 
 
-def _played(
+def _run_seeds(
     pattern: Pattern, seeds: int, *, uses_oracle: bool = False
 ) -> list[Outcomes]:
     return [
@@ -72,8 +74,8 @@
     ]
 
 
-def _mean_worths(patterns: Sequence[Pattern], seeds: int) -> list[float]:
-    return [mean(each.worth for each in _played(one, seeds)) for one in patterns]
+def _mean_values(patterns: Sequence[Pattern], seeds: int) -> list[float]:
+    return [mean(each.worth for each in _run_seeds(one, seeds)) for one in patterns]
 
 
 def _row(name: str, played: list[Outcomes]) -> list[str]:
@@ -96,7 +98,9 @@
 
 @lab.command()
 @click.argument("patterns", nargs=-1)
-@click.option("--seeds", default=SEEDS, show_default=True, help="Runs of each.")
+@click.option(
+    "--seeds", default=DEFAULT_SEED_COUNT, show_default=True, help="Runs of each."
+)
 @click.option("--oracle/--no-oracle", default=True, help="Also with full knowledge.")
 @click.option("--plot", type=click.Path(path_type=Path), help="Write an SVG here.")
 def run(patterns: Sequence[str], seeds: int, oracle: bool, plot: Path | None) -> None:
@@ -104,42 +108,46 @@
     rows = []
     for name in _names(patterns):
         pattern = _pattern(name)
-        played = _played(pattern, seeds)
+        played = _run_seeds(pattern, seeds)
         rows.append(_row(pattern.name, played))
         if oracle:
-            best = _played(pattern, seeds, uses_oracle=True)
+            best = _run_seeds(pattern, seeds, uses_oracle=True)
             rows.append(_row("  with full knowledge", best))
         if plot is not None:
-            plot.write_text(plot_of(pattern.name, played[0]))
+            plot.write_text(render_plot(pattern.name, played[0]))
     print_table("Lab", _HEAD, rows)
 
 
 @lab.command()
 @click.argument("pattern")
 @click.option("--set", "sets", type=_SettingType(), multiple=True, required=True)
-@click.option("--seeds", default=SEEDS, show_default=True)
-def compare(pattern: str, sets: Sequence[_Set], seeds: int) -> None:
+@click.option("--seeds", default=DEFAULT_SEED_COUNT, show_default=True)
+def compare(pattern: str, sets: Sequence[_Override], seeds: int) -> None:
     """Run a pattern as it is, and with constants set otherwise."""
     found = _pattern(pattern)
-    rows = [_row("as it is", _played(found, seeds))]
+    rows = [_row("as it is", _run_seeds(found, seeds))]
     with ExitStack() as stack:
         for each in sets:
-            stack.enter_context(setting(each.module, each.constant, each.value))
-        rows.append(_row("as set", _played(found, seeds)))
+            stack.enter_context(
+                override_constant(each.module, each.constant, each.value)
+            )
+        rows.append(_row("as set", _run_seeds(found, seeds)))
     print_table("Lab", _HEAD, rows)
 
 
 @lab.command()
 @click.argument("patterns", nargs=-1)
-@click.option("--seeds", default=SEEDS, show_default=True)
+@click.option("--seeds", default=DEFAULT_SEED_COUNT, show_default=True)
 def ablate(patterns: Sequence[str], seeds: int) -> None:
     """Switch off each mechanism in turn."""
     found = [_pattern(name) for name in _names(patterns)]
-    bases = _mean_worths(found, seeds)
+    bases = _mean_values(found, seeds)
     rows = [["as it is", *(f"{base:.3f}" for base in bases)]]
     for mechanism in MECHANISMS:
-        with setting(mechanism.module, mechanism.constant, mechanism.off):
-            worths = _mean_worths(found, seeds)
+        with override_constant(
+            mechanism.module, mechanism.constant, mechanism.disabled_value
+        ):
+            worths = _mean_values(found, seeds)
         changes = [f"{w - base:+.3f}" for w, base in zip(worths, bases, strict=True)]
         rows.append([f"without: {mechanism.name}", *changes])
     print_table("Change of the worth", ["", *(each.name for each in found)], rows)
--- a/packages/testkit/src/plankspindle_testkit/lab/ends.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/completions.py
@@ -10,14 +10,14 @@
 
 if TYPE_CHECKING:
     from plankspindle_daemon.upstreams.upstream_statement import UpstreamStatement
-    from plankspindle_testkit.lab.requests import AnswerTold
-    from plankspindle_testkit.lab.requests import Handled
+    from plankspindle_testkit.lab.requests import ActiveRequest
+    from plankspindle_testkit.lab.requests import ReportedAnswer
 
 
-def ended_of(
-    handled: Handled,
+def completion_of(
+    handled: ActiveRequest,
     upstream: str,
-    verdict: AttemptOutcome,
+    outcome: AttemptOutcome,
     now: float,
     load: int | None = None,
 ) -> AttemptCompleted:
@@ -25,11 +25,11 @@
 
     Parameters
     ----------
-    handled : Handled
+    handled : ActiveRequest
         The request.
     upstream : str
         Where it was.
-    verdict : AttemptOutcome
+    outcome : AttemptOutcome
         How it ended.
     now : float
         Seconds of the run.
@@ -39,25 +39,29 @@
     return AttemptCompleted(
         ticket=handled.ticket,
         upstream=upstream,
-        outcome=verdict,
+        outcome=outcome,
         reported_load=load,
         incarnation=handled.incarnation,
         waited_s=now - handled.sent_at,
     )
 
 
-def answered_of(
-    handled: Handled, upstream: str, told: AnswerTold, connect_s: float, now: float
+def answered_completion_of(
+    handled: ActiveRequest,
+    upstream: str,
+    answer: ReportedAnswer,
+    connect_s: float,
+    now: float,
 ) -> AttemptCompleted:
     """Give the end of the present attempt of a request that was answered.
 
     Parameters
     ----------
-    handled : Handled
+    handled : ActiveRequest
         The request.
     upstream : str
         What answered it.
-    told : AnswerTold
+    answer : ReportedAnswer
         What its answer told.
     connect_s, now : float
         Time that a connection needs, and now, in seconds.
@@ -70,12 +74,14 @@
         head_s=took_s,
         total_s=took_s,
         connect_s=connect_s,
-        reported_load=told.load,
+        reported_load=answer.load,
         incarnation=handled.incarnation,
     )
 
 
-def given_back(handled: Handled, upstream: str, incarnation: int) -> AttemptCompleted:
+def unsent_completion_of(
+    handled: ActiveRequest, upstream: str, incarnation: int
+) -> AttemptCompleted:
     """Give the end of a request that is not sent to the upstream that it got."""
     return AttemptCompleted(
         ticket=handled.ticket,
@@ -85,8 +91,8 @@
     )
 
 
-def stated_of(
-    handled: Handled, upstream: str, statement: UpstreamStatement
+def statement_event_of(
+    handled: ActiveRequest, upstream: str, statement: UpstreamStatement
 ) -> StatementReceived:
     """Give what an upstream said of itself in its answer to a request."""
     return StatementReceived(
--- a/packages/testkit/src/plankspindle_testkit/lab/crash_record.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/crash_record.py
@@ -7,7 +7,7 @@
 from attrs import Factory
 from attrs import define
 
-MANY = 3
+CRASH_THRESHOLD = 3
 """Upstreams that end under a request before it is to be held back."""
 
 
@@ -24,15 +24,15 @@
     crashed_at_by_identity: dict[int, list[float]] = Factory(lambda: defaultdict(list))
     sent_at_by_identity: dict[int, list[float]] = Factory(lambda: defaultdict(list))
 
-    def note_sent(self, identity: int, now: float) -> None:
+    def record_sent(self, identity: int, now: float) -> None:
         """Note that such a request is sent to an upstream."""
         self.sent_at_by_identity[identity].append(now)
 
-    def note_crash(self, identity: int, now: float) -> None:
+    def record_crash(self, identity: int, now: float) -> None:
         """Note that an upstream ended under it."""
         self.crashed_at_by_identity[identity].append(now)
 
-    def sent_late(self, identity: int, *, within_s: float) -> int:
+    def count_late_sends(self, identity: int, *, within_s: float) -> int:
         """Count how often it was sent on, long after the third upstream had ended.
 
         Parameters
@@ -43,7 +43,7 @@
             Time after the end of the third upstream that does not count, in seconds.
         """
         crashed_at = self.crashed_at_by_identity[identity]
-        if len(crashed_at) < MANY:
+        if len(crashed_at) < CRASH_THRESHOLD:
             return 0
-        due = crashed_at[MANY - 1] + within_s
+        due = crashed_at[CRASH_THRESHOLD - 1] + within_s
         return sum(at > due for at in self.sent_at_by_identity[identity])
--- a/packages/testkit/src/plankspindle_testkit/lab/crashing_requests.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/crashing_requests.py
@@ -8,12 +8,12 @@
 
 from attrs import frozen
 
-from plankspindle_testkit.lab.clock import Clock
 from plankspindle_testkit.lab.pattern import EventKind
 from plankspindle_testkit.lab.pattern import Pattern
 from plankspindle_testkit.lab.pattern import PatternEvent
 from plankspindle_testkit.lab.requests import Crash
 from plankspindle_testkit.lab.requests import Request
+from plankspindle_testkit.lab.simulated_clock import SimulatedClock
 
 CRASH_AFTER_S = (0.03, 0.1)
 """Time from the begin of a request to the end of its upstream, in seconds."""
@@ -25,7 +25,7 @@
 
     Parameters
     ----------
-    clock : Clock
+    clock : SimulatedClock
         The clock.
     pattern : Pattern
         What is modelled.
@@ -35,24 +35,24 @@
         Sends a request to an entry VM.
     """
 
-    clock: Clock
+    clock: SimulatedClock
     pattern: Pattern
     random: Random
     send: Callable[[Request], None]
 
-    def plan(self) -> None:
+    def schedule_all(self) -> None:
         """Plan the first coming of each."""
         for number, event in enumerate(self.pattern.events):
             if event.kind is EventKind.CRASHING_REQUEST:
-                come = partial(self._come, event, identity=-1 - number)
-                self.clock.after(event.at_s, come)
+                come = partial(self._arrive, event, identity=-1 - number)
+                self.clock.schedule(event.at_s, come)
 
-    def _come(self, event: PatternEvent, identity: int) -> None:
+    def _arrive(self, event: PatternEvent, identity: int) -> None:
         now = self.clock.now
         if not event.is_on(now):
             return
-        again = partial(self._come, event, identity)
-        self.clock.after(self.random.expovariate(event.per_s), again)
+        again = partial(self._arrive, event, identity)
+        self.clock.schedule(self.random.expovariate(event.per_s), again)
         operation = self.pattern.operations_by_name[event.operation or ""]
         request = Request(
             operation=event.operation or "",
--- a/packages/testkit/src/plankspindle_testkit/lab/deployment.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/deployment.py
@@ -34,7 +34,7 @@
         The upstreams.
     vms_by_name : dict of str to LabVm
         The entry VMs.
-    drained : set of str
+    drained_domains : set of str
         Failure domains whose upstreams get nothing.
     """
 
@@ -42,7 +42,7 @@
     random: Random
     upstreams_by_name: dict[str, ModelledUpstream] = field(init=False)
     vms_by_name: dict[str, LabVm] = field(init=False)
-    drained: set[str] = Factory(set)
+    drained_domains: set[str] = Factory(set)
     _configuration: Configuration = field(init=False)
 
     def __attrs_post_init__(self) -> None:
@@ -77,7 +77,7 @@
                 pattern=self.pattern,
                 seed=self.random.getrandbits(64),
                 now=now,
-                drained=self.drained,
+                drained=self.drained_domains,
             )
             vm.read_list(self.upstreams_by_name.values(), now)
             self.vms_by_name[name] = vm
@@ -86,7 +86,7 @@
         """Give the entry VMs that run."""
         return [each for each in self.vms_by_name.values() if each.is_up]
 
-    def vm_for(self, domain: str) -> LabVm | None:
+    def choose_vm(self, domain: str) -> LabVm | None:
         """Choose an entry VM as look-ups name them: of the domain, or of its region."""
         regions = self.pattern.region_by_domain
         up = self.running_vms()
--- a/packages/testkit/src/plankspindle_testkit/lab/strikes.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/event_scheduler.py
@@ -8,16 +8,16 @@
 
 from attrs import frozen
 
-from plankspindle_testkit.lab.clock import Clock
 from plankspindle_testkit.lab.deployment import Deployment
-from plankspindle_testkit.lab.exchanges import Exchanges
 from plankspindle_testkit.lab.pattern import EventKind
 from plankspindle_testkit.lab.pattern import PatternEvent
+from plankspindle_testkit.lab.request_simulator import RequestSimulator
+from plankspindle_testkit.lab.simulated_clock import SimulatedClock
 
 if TYPE_CHECKING:
     from plankspindle_testkit.lab.modelled_upstream import ModelledUpstream
 
-_OF_UPSTREAMS = (
+_UPSTREAM_KINDS = (
     EventKind.SLOW,
     EventKind.SHED,
     EventKind.CRASH,
@@ -29,48 +29,48 @@
 
 
 @frozen(kw_only=True)
-class Strikes:
+class EventScheduler:
     """Begin and end the events of a pattern.
 
     Parameters
     ----------
-    clock : Clock
+    clock : SimulatedClock
         The clock.
     deployment : Deployment
         What is struck.
-    exchanges : Exchanges
+    simulator : RequestSimulator
         Requests, which end where entry VMs end.
     seed : int
         Seed of the choice of upstreams.
     """
 
-    clock: Clock
+    clock: SimulatedClock
     deployment: Deployment
-    exchanges: Exchanges
+    simulator: RequestSimulator
     seed: int
 
-    def plan(self) -> None:
+    def schedule_all(self) -> None:
         """Plan all events of the pattern."""
         for event in self.deployment.pattern.events:
-            self.clock.after(event.at_s, partial(self._begin, event))
+            self.clock.schedule(event.at_s, partial(self._begin, event))
 
     def _begin(self, event: PatternEvent) -> None:
-        struck = self._struck(event)
-        self.clock.after(event.for_s, partial(self._end, event, struck))
+        struck = self._affected(event)
+        self.clock.schedule(event.for_s, partial(self._end, event, struck))
         for upstream in struck:
-            _strike(upstream, event)
-            self._note_limit(upstream)
+            _apply_fault(upstream, event)
+            self._record_limit(upstream)
         match event.kind:
             case EventKind.END:
                 for upstream in struck:
-                    self.exchanges.end_upstream(upstream)
+                    self.simulator.crash_upstream(upstream)
             case EventKind.DRAIN:
-                self.deployment.drained.add(event.domain or "")
-                self._adopt()
+                self.deployment.drained_domains.add(event.domain or "")
+                self._apply_pattern()
             case EventKind.RESTART:
                 for vm in self.deployment.vms_by_name.values():
                     vm.is_up = False
-                self.exchanges.break_off()
+                self.simulator.abort_all()
             case _:
                 pass
 
@@ -78,20 +78,20 @@
         for upstream in struck:
             if upstream.is_dead:
                 upstream.restart(self.clock.now)
-            upstream.slowness, upstream.shed_part = 1.0, 0.0
-            upstream.limit_per_s = upstream.rest_s = None
-            self._note_limit(upstream)
+            upstream.duration_factor, upstream.shed_share = 1.0, 0.0
+            upstream.limit_per_s = upstream.retry_after_s = None
+            self._record_limit(upstream)
         match event.kind:
             case EventKind.DRAIN:
-                self.deployment.drained.discard(event.domain or "")
-                self._adopt()
+                self.deployment.drained_domains.discard(event.domain or "")
+                self._apply_pattern()
             case EventKind.RESTART:
                 self.deployment.start_vms(self.clock.now)
             case _:
                 pass
 
-    def _struck(self, event: PatternEvent) -> list[ModelledUpstream]:
-        if event.kind not in _OF_UPSTREAMS:
+    def _affected(self, event: PatternEvent) -> list[ModelledUpstream]:
+        if event.kind not in _UPSTREAM_KINDS:
             return []
         fitting = [
             each
@@ -101,23 +101,23 @@
         random = Random(f"{self.seed} {event.at_s} {event.kind.value}")
         return random.sample(fitting, round(event.share * len(fitting)))
 
-    def _note_limit(self, upstream: ModelledUpstream) -> None:
-        record, named = self.exchanges.statements, upstream.limit_per_s
+    def _record_limit(self, upstream: ModelledUpstream) -> None:
+        record, named = self.simulator.statements, upstream.limit_per_s
         if named is not None or upstream.name in record.limit_by_upstream:
-            record.note_limit(upstream.name, named, self.clock.now)
+            record.record_limit(upstream.name, named, self.clock.now)
 
-    def _adopt(self) -> None:
-        pattern, drained = self.deployment.pattern, self.deployment.drained
+    def _apply_pattern(self) -> None:
+        pattern, drained = self.deployment.pattern, self.deployment.drained_domains
         for vm in self.deployment.vms_by_name.values():
-            vm.adopt(pattern, drained, self.clock.now)
+            vm.apply_pattern(pattern, drained, self.clock.now)
 
 
-def _strike(upstream: ModelledUpstream, event: PatternEvent) -> None:
+def _apply_fault(upstream: ModelledUpstream, event: PatternEvent) -> None:
     match event.kind:
         case EventKind.SLOW:
-            upstream.slowness = event.factor
+            upstream.duration_factor = event.factor
         case EventKind.SHED:
-            upstream.shed_part = event.factor
+            upstream.shed_share = event.factor
         case EventKind.CRASH:
             upstream.is_dead = True
         case EventKind.LIMIT:
@@ -125,6 +125,6 @@
         case EventKind.LEAVE:
             upstream.is_leaving = True
         case EventKind.REST:
-            upstream.rest_s = event.factor
+            upstream.retry_after_s = event.factor
         case _:
             pass
--- a/packages/testkit/src/plankspindle_testkit/lab/lab_run.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/lab_run.py
@@ -14,20 +14,20 @@
 
 from plankspindle_daemon.dispatch.messages import TimePassed
 from plankspindle_daemon.peer_messages.readiness import Readiness
-from plankspindle_testkit.lab.clock import Clock
 from plankspindle_testkit.lab.crash_record import CrashRecord
 from plankspindle_testkit.lab.crashing_requests import CrashingRequests
 from plankspindle_testkit.lab.deployment import Deployment
-from plankspindle_testkit.lab.exchanges import Exchanges
+from plankspindle_testkit.lab.event_scheduler import EventScheduler
 from plankspindle_testkit.lab.oracle import Oracle
 from plankspindle_testkit.lab.outcomes import Outcome
 from plankspindle_testkit.lab.outcomes import Outcomes
 from plankspindle_testkit.lab.outcomes import Sample
 from plankspindle_testkit.lab.pattern import Pattern
 from plankspindle_testkit.lab.peer_network import PeerNetwork
+from plankspindle_testkit.lab.request_simulator import RequestSimulator
 from plankspindle_testkit.lab.requests import Request
+from plankspindle_testkit.lab.simulated_clock import SimulatedClock
 from plankspindle_testkit.lab.statement_record import StatementRecord
-from plankspindle_testkit.lab.strikes import Strikes
 
 if TYPE_CHECKING:
     from plankspindle_core.endpoint import Endpoint
@@ -36,18 +36,18 @@
     from plankspindle_testkit.lab.modelled_upstream import ModelledUpstream
     from plankspindle_testkit.lab.pattern import ModelOperation
 
-TICK_S = 0.05
-REFRESH_S = 0.25
+TICK_PERIOD_S = 0.05
+REFRESH_PERIOD_S = 0.25
 """Periods of an entry VM: waiting requests, and the room of its region, in seconds."""
-LIST_S = 0.5
+LIST_PERIOD_S = 0.5
 """Period of reading the list of upstreams, in seconds."""
-SAMPLE_S = 0.25
+SAMPLE_PERIOD_S = 0.25
 """Period of the samples over time, in seconds."""
-SAME = 1
+SHARED_IDENTITY = 1
 """Identity of the requests of an operation that are the same one."""
-RETURNS = 1
+MAX_RETURNS = 1
 """How often a refused caller comes back."""
-MOST_WAITED = 1 / 3
+MAX_WAIT_SHARE = 1 / 3
 """Part of what is left of its time for which a caller heeds a time to come back."""
 
 
@@ -84,29 +84,29 @@
     crashes: CrashRecord = Factory(CrashRecord)
     statements: StatementRecord = Factory(StatementRecord)
     network: PeerNetwork = field(init=False)
-    _clock: Clock = Factory(Clock)
+    _clock: SimulatedClock = Factory(SimulatedClock)
     _random: Random = field(init=False)
     _deployment: Deployment = field(init=False)
-    _exchanges: Exchanges = field(init=False)
-    _identities: count[int] = Factory(lambda: count(SAME + 1))
-    _same: Random = field(init=False)
+    _simulator: RequestSimulator = field(init=False)
+    _identities: count[int] = Factory(lambda: count(SHARED_IDENTITY + 1))
+    _identity_random: Random = field(init=False)
 
     def __attrs_post_init__(self) -> None:
         self._random = Random(self.seed)
-        self._same = Random(f"{self.seed} same requests")
+        self._identity_random = Random(f"{self.seed} same requests")
         self._deployment = Deployment(pattern=self.pattern, random=self._random)
         self.network = PeerNetwork(
             clock=self._clock,
             deployment=self._deployment,
             random=Random(f"{self.seed} messages"),
-            take_quota_message=self._take_quota_message,
+            handle_quota_message=self._handle_quota_message,
         )
         oracle = Oracle(deployment=self._deployment)
-        self._exchanges = Exchanges(
+        self._simulator = RequestSimulator(
             clock=self._clock,
             deployment=self._deployment,
             finish=self._finish,
-            come_back=self._come_back,
+            schedule_retry=self._schedule_retry,
             oracle=oracle if self.uses_oracle else None,
             crashes=self.crashes,
             statements=self.statements,
@@ -116,23 +116,23 @@
     def run(self) -> Outcomes:
         """Run to the end, and give what became of every request."""
         for name, operation in self.pattern.operations_by_name.items():
-            self._plan_arrival(name, operation)
-        strikes = Strikes(
+            self._schedule_arrival(name, operation)
+        strikes = EventScheduler(
             clock=self._clock,
             deployment=self._deployment,
-            exchanges=self._exchanges,
+            simulator=self._simulator,
             seed=self.seed,
         )
-        strikes.plan()
+        strikes.schedule_all()
         crashing = CrashingRequests(
             clock=self._clock,
             pattern=self.pattern,
             random=Random(f"{self.seed} crashing requests"),
             send=self._send,
         )
-        crashing.plan()
+        crashing.schedule_all()
         for act in (self._read_lists, self._tick, self._refresh, self._sample):
-            self._clock.after(0.0, act)
+            self._clock.schedule(0.0, act)
         operations = self.pattern.operations_by_name.values()
         longest_ms = max(each.timeout_ms for each in operations)
         self._clock.run_until(self.pattern.seconds + longest_ms / 1000)
@@ -146,15 +146,15 @@
         """Give the upstreams."""
         return list(self._deployment.upstreams_by_name.values())
 
-    def _plan_arrival(self, name: str, operation: ModelOperation) -> None:
+    def _schedule_arrival(self, name: str, operation: ModelOperation) -> None:
         now = self._clock.now
         rate = operation.per_s * self.pattern.load_factor(now)
         gap_s = self._random.expovariate(rate)
         if now + gap_s < self.pattern.seconds:
-            self._clock.after(gap_s, partial(self._arrive, name, operation))
+            self._clock.schedule(gap_s, partial(self._arrive, name, operation))
 
     def _arrive(self, name: str, operation: ModelOperation) -> None:
-        self._plan_arrival(name, operation)
+        self._schedule_arrival(name, operation)
         domain = self._domain_of_caller()
         region = self.pattern.region_by_domain[domain]
         request = Request(
@@ -168,8 +168,8 @@
         self._send(request)
 
     def _identity_of(self, operation: ModelOperation) -> int:
-        is_same = self._same.random() < operation.same_part
-        return SAME if is_same else next(self._identities)
+        is_same = self._identity_random.random() < operation.same_part
+        return SHARED_IDENTITY if is_same else next(self._identities)
 
     def _domain_of_caller(self) -> str:
         weights = self.pattern.callers_by_domain
@@ -178,65 +178,65 @@
         return self._random.choices(list(weights), list(weights.values()))[0]
 
     def _send(self, request: Request) -> None:
-        vm = self._deployment.vm_for(request.domain)
+        vm = self._deployment.choose_vm(request.domain)
         if vm is None:
             self._finish(request, Outcome.FAILED)
             return
         delay_s = self.pattern.to_callers_ms / 1000
-        self._clock.after(delay_s, partial(self._exchanges.take, request, vm))
+        self._clock.schedule(delay_s, partial(self._simulator.accept, request, vm))
 
-    def _come_back(self, request: Request, retry_after_s: float) -> None:
+    def _schedule_retry(self, request: Request, retry_after_s: float) -> None:
         left_s = request.deadline - self._clock.now
-        if request.returns >= RETURNS or left_s <= 0:
+        if request.retry_count >= MAX_RETURNS or left_s <= 0:
             self._finish(request, Outcome.REFUSED)
             return
-        again = evolve(request, returns=request.returns + 1)
-        wait_s = min(retry_after_s, MOST_WAITED * left_s)
-        self._clock.after(wait_s, partial(self._send, again))
+        again = evolve(request, retry_count=request.retry_count + 1)
+        wait_s = min(retry_after_s, MAX_WAIT_SHARE * left_s)
+        self._clock.schedule(wait_s, partial(self._send, again))
 
     def _finish(self, request: Request, outcome: Outcome) -> None:
         if request.crash is not None:
             return
         operation = self.pattern.operations_by_name[request.operation]
-        self.outcomes.note(operation, request.first_at, outcome)
+        self.outcomes.record(operation, request.first_at, outcome)
 
     def _tick(self) -> None:
-        self._clock.after(TICK_S, self._tick)
+        self._clock.schedule(TICK_PERIOD_S, self._tick)
         for vm in self._deployment.running_vms():
-            for service in vm.book.dispatchers_by_service:
-                self._exchanges.handle(vm, service, TimePassed())
+            for service in vm.registry.dispatchers_by_service:
+                self._simulator.handle(vm, service, TimePassed())
             self.network.send(vm, vm.quarantine.tick(self._clock.now))
             ticked = vm.limited.tick(
                 readiness=Readiness.READY, has_list=True, now=self._clock.now
             )
-            self._exchanges.perform(vm, ticked)
+            self._simulator.perform(vm, ticked)
 
-    def _take_quota_message(
+    def _handle_quota_message(
         self, vm: LabVm, message: QuotaMessage, reply_to: Endpoint
     ) -> None:
         effects = vm.limited.receive(message, reply_to, self._clock.now)
-        self._exchanges.perform(vm, effects)
+        self._simulator.perform(vm, effects)
 
     def _refresh(self) -> None:
-        self._clock.after(REFRESH_S, self._refresh)
+        self._clock.schedule(REFRESH_PERIOD_S, self._refresh)
         now = self._clock.now
         for vm in self._deployment.running_vms():
-            vm.book.apply_drains(now=now, wall=now)
-            vm.book.update_region_capacity(now)
+            vm.registry.apply_drains(now=now, wall=now)
+            vm.registry.update_region_capacity(now)
 
     def _read_lists(self) -> None:
-        self._clock.after(LIST_S, self._read_lists)
+        self._clock.schedule(LIST_PERIOD_S, self._read_lists)
         upstreams = self._deployment.upstreams_by_name.values()
         for vm in self._deployment.running_vms():
             vm.read_list(upstreams, self._clock.now)
 
     def _sample(self) -> None:
-        self._clock.after(SAMPLE_S, self._sample)
+        self._clock.schedule(SAMPLE_PERIOD_S, self._sample)
         upstreams = self._deployment.upstreams_by_name.values()
         dispatchers = [
             dispatcher
             for vm in self._deployment.running_vms()
-            for dispatcher in vm.book.dispatchers_by_service.values()
+            for dispatcher in vm.registry.dispatchers_by_service.values()
         ]
         sample = Sample(
             at_s=self._clock.now,
--- a/packages/testkit/src/plankspindle_testkit/lab/lab_vm.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/lab_vm.py
@@ -37,7 +37,7 @@
 RETRY_PERCENT = 20
 RETRY_BURST = 60
 """Bounds of a service's retries, all entry VMs together."""
-MANY_S = 1e9
+UNLIMITED_S = 1e9
 """No entry VM of the lab is taken for silent: they exchange no heartbeats."""
 _ANY = Endpoint("127.0.0.1", 1)
 
@@ -50,7 +50,7 @@
     ----------
     name, domain : str
         Its name and where it stands.
-    book : ServiceRegistry
+    registry : ServiceRegistry
         Its decisions.
     quarantine : Quarantine
         Requests that it holds back.
@@ -62,7 +62,7 @@
 
     name: str
     domain: str
-    book: ServiceRegistry
+    registry: ServiceRegistry
     quarantine: Quarantine
     limited: LimitedDispatch
     is_up: bool = True
@@ -117,25 +117,29 @@
         vm = cls(
             name=name,
             domain=domain,
-            book=book,
+            registry=book,
             quarantine=quarantine,
             limited=LimitedDispatch(services=book, quotas=quotas),
         )
-        vm.adopt(pattern, drained, now)
+        vm.apply_pattern(pattern, drained, now)
         return vm
 
-    def adopt(self, pattern: Pattern, drained: Iterable[str], now: float) -> None:
+    def apply_pattern(
+        self, pattern: Pattern, drained: Iterable[str], now: float
+    ) -> None:
         """Take the configuration with the drains of the moment."""
         configuration = configuration_of(pattern, drained)
         version = int(now * 1000) + 2
         self.limited.quotas.update_configuration(configuration)
-        self.book.apply_configuration(configuration, version=version, now=now, wall=now)
-        self.book.apply_drains(now=now, wall=now)
+        self.registry.apply_configuration(
+            configuration, version=version, now=now, wall=now
+        )
+        self.registry.apply_drains(now=now, wall=now)
 
     def read_list(self, upstreams: Iterable[ModelledUpstream], now: float) -> None:
         """Read the list of upstreams; the silent ones stay listed for a while."""
         listed = [_listed(each) for each in upstreams]
-        self.book.apply_list(listed, now=now, wall=now)
+        self.registry.apply_list(listed, now=now, wall=now)
 
 
 def peer_endpoint_of(vm: str) -> Endpoint:
@@ -160,13 +164,13 @@
             failure_domain=domain_by_name[name],
             incarnation=1,
             heartbeat_s=0.5,
-            suspect_after_s=MANY_S,
+            suspect_after_s=UNLIMITED_S,
             all_domains=True,
         )
     )
     for other, domain in domain_by_name.items():
         if other != name:
-            member = build_member(other, failure_domain=domain, last_heard=0.0)
+            member = build_member(other, failure_domain=domain, last_heartbeat_at=0.0)
             member.peer_endpoint = peer_endpoint_of(other)
             member.readiness = Readiness.READY
             membership.members_by_name[other] = member
--- a/packages/testkit/src/plankspindle_testkit/lab/mechanisms.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/mechanisms.py
@@ -26,14 +26,14 @@
         Module of the constant, below the daemon's package.
     constant : str
         The constant.
-    off : float
+    disabled_value : float
         Its value without the mechanism.
     """
 
     name: str
     module: str
     constant: str
-    off: float
+    disabled_value: float
 
 
 MECHANISMS = (
@@ -41,73 +41,73 @@
         name="requests wait at upstreams",
         module="upstreams.reported_slots",
         constant="QUEUE_SHARE",
-        off=0.01,
+        disabled_value=0.01,
     ),
     Mechanism(
         name="an upstream that shed counts as full",
         module="upstreams.reported_slots",
         constant="FULL_AFTER_SHED_S",
-        off=0.0,
+        disabled_value=0.0,
     ),
     Mechanism(
         name="requests wait at entry VMs",
-        module="listeners.request_reader",
-        constant="HOLD_SHARE",
-        off=0.0,
+        module="listeners.request_resolver",
+        constant="MAX_QUEUE_WAIT_SHARE",
+        disabled_value=0.0,
     ),
     Mechanism(
         name="upstreams that saw a key lately count",
         module="dispatch.placement",
         constant="SEEN_KEY_TTL_S",
-        off=0.0,
+        disabled_value=0.0,
     ),
     Mechanism(
         name="less loaded upstreams are preferred",
         module="dispatch.placement",
         constant="LOAD_COST_SHARE",
-        off=0.0,
+        disabled_value=0.0,
     ),
     Mechanism(
         name="the second in a key's order takes over",
         module="dispatch.placement",
         constant="MAX_MISS_LOAD_SHARE",
-        off=-1.0,
+        disabled_value=-1.0,
     ),
     Mechanism(
         name="silent upstreams cost more",
         module="dispatch.placement",
         constant="MIN_SILENCE_FACTOR",
-        off=1e9,
+        disabled_value=1e9,
     ),
     Mechanism(
         name="measured latency of an upstream counts",
         module="upstreams.upstream_state",
         constant="LATENCY_WEIGHT",
-        off=0.0,
+        disabled_value=0.0,
     ),
     Mechanism(
         name="silent upstreams are left",
         module="exchange.attempt_timeout",
         constant="MIN_ATTEMPT_TIMEOUT_S",
-        off=1e9,
+        disabled_value=1e9,
     ),
     Mechanism(
         name="late requests are given up while they wait",
         module="dispatch.dispatcher",
         constant="MIN_TIME_LEFT_FACTOR",
-        off=0.0,
+        disabled_value=0.0,
     ),
     Mechanism(
         name="requests leave their region at a bounded rate",
         module="dispatch.spillover_limiter",
         constant="MAX_SHARE_CHANGE_PER_S",
-        off=1e9,
+        disabled_value=1e9,
     ),
 )
 
 
 @contextmanager
-def setting(module: str, constant: str, value: float) -> Iterator[None]:
+def override_constant(module: str, constant: str, value: float) -> Iterator[None]:
     """Give a constant another value for a while.
 
     Parameters
--- a/packages/testkit/src/plankspindle_testkit/lab/oracle.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/oracle.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from plankspindle_testkit.lab.modelled_upstream import ModelledUpstream
 
-MISS_COST = 1.0
+MISS_COST_FACTOR = 1.0
 """Part of its extra work by which a miss counts beyond the answer that it delays.
 
 It keeps a slot from others, and makes an upstream forget a key.
@@ -54,7 +54,7 @@
             each
             for each in self.deployment.upstreams_by_name.values()
             if each.service_name == service
-            and each.domain not in self.deployment.drained
+            and each.domain not in self.deployment.drained_domains
             and not each.is_dead
             and each.load < each.service.slots + each.service.queue
         ]
@@ -73,12 +73,12 @@
         now: float,
     ) -> float:
         kind = self.deployment.pattern.operations_by_name[operation]
-        work_s = upstream.expected_s(operation, key, now)
+        work_s = upstream.expected_duration_s(operation, key, now)
         slots = upstream.service.slots
         waiting = max(0, upstream.load + 1 - slots) / slots
         extra_s = 0.0
-        if not upstream.remembers(operation, key):
-            extra_s = MISS_COST * work_s * (1 - kind.hit_part)
+        if not upstream.is_cached(operation, key):
+            extra_s = MISS_COST_FACTOR * work_s * (1 - kind.hit_part)
         return (
             work_s
             + waiting * work_s * kind.hit_part
--- a/packages/testkit/src/plankspindle_testkit/lab/outcomes.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/outcomes.py
@@ -20,7 +20,7 @@
 class Outcome(Enum):
     """How a request ended for its caller."""
 
-    IN_AIM = "in aim"
+    ON_TIME = "in aim"
     LATE = "late"
     REFUSED = "refused"
     FAILED = "failed"
@@ -52,11 +52,11 @@
 
     Attributes
     ----------
-    by_outcome : Counter of Outcome
+    by_outcome : Counter of RequestResult
         All requests.
-    by_window : dict of int to Counter of Outcome
+    by_window : dict of int to Counter of RequestResult
         Requests by the window in which they were first sent.
-    earned, owed : float
+    earned_worth, total_worth : float
         Worth of what was answered, and of all that was asked.
     samples : list of Sample
         The state over time.
@@ -64,16 +64,16 @@
 
     by_outcome: Counter[Outcome] = Factory(Counter)
     by_window: dict[int, Counter[Outcome]] = Factory(dict)
-    earned: float = 0.0
-    owed: float = 0.0
+    earned_worth: float = 0.0
+    total_worth: float = 0.0
     samples: list[Sample] = Factory(list)
 
     @property
     def worth(self) -> float:
         """Part of the worth of all requests that was earned."""
-        return self.earned / self.owed if self.owed else 1.0
+        return self.earned_worth / self.total_worth if self.total_worth else 1.0
 
-    def note(
+    def record(
         self, operation: ModelOperation, first_at: float, outcome: Outcome
     ) -> None:
         """Take the end of a request.
@@ -84,17 +84,17 @@
             Its kind.
         first_at : float
             When it was first sent, in seconds.
-        outcome : Outcome
+        outcome : RequestResult
             How it ended.
         """
         self.by_outcome[outcome] += 1
         window = self.by_window.setdefault(int(first_at / WINDOW_S), Counter())
         window[outcome] += 1
-        self.owed += operation.worth
+        self.total_worth += operation.worth
         match outcome:
-            case Outcome.IN_AIM:
-                self.earned += operation.worth
+            case Outcome.ON_TIME:
+                self.earned_worth += operation.worth
             case Outcome.LATE:
-                self.earned += operation.late_worth
+                self.earned_worth += operation.late_worth
             case _:
                 pass
--- a/packages/testkit/src/plankspindle_testkit/lab/pattern.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/pattern.py
@@ -16,15 +16,15 @@
 from result import Ok
 from result import Result
 
-PATTERNS = Path(__file__).with_name("patterns")
+PATTERNS_FOLDER = Path(__file__).with_name("patterns")
 """Folder of the patterns that ship with the lab."""
 _NUMBER = validators.instance_of((int, float))
-_WHOLE = validators.instance_of(int)
+_INTEGER = validators.instance_of(int)
 _POSITIVE = [_NUMBER, validators.gt(0.0)]
 _NOT_NEGATIVE = [_NUMBER, validators.ge(0.0)]
-_PART = [_NUMBER, validators.ge(0.0), validators.le(1.0)]
-_COUNTED = [_WHOLE, validators.gt(0)]
-_COUNTED_OR_NONE = [_WHOLE, validators.ge(0)]
+_SHARE = [_NUMBER, validators.ge(0.0), validators.le(1.0)]
+_POSITIVE_INTEGER = [_INTEGER, validators.gt(0)]
+_NOT_NEGATIVE_INTEGER = [_INTEGER, validators.ge(0)]
 
 
 class EventKind(Enum):
@@ -74,7 +74,7 @@
     kind: EventKind = field(converter=EventKind)
     at_s: float = field(validator=_NOT_NEGATIVE)
     for_s: float = field(default=0.0, validator=_NOT_NEGATIVE)
-    share: float = field(default=1.0, validator=_PART)
+    share: float = field(default=1.0, validator=_SHARE)
     factor: float = field(default=1.0, validator=_NOT_NEGATIVE)
     domain: str | None = None
     operation: str | None = None
@@ -109,9 +109,9 @@
     """
 
     upstreams_by_domain: dict[str, int]
-    slots: int = field(validator=_COUNTED)
-    queue: int = field(validator=_COUNTED_OR_NONE)
-    remembered_keys: int = field(validator=_COUNTED_OR_NONE)
+    slots: int = field(validator=_POSITIVE_INTEGER)
+    queue: int = field(validator=_NOT_NEGATIVE_INTEGER)
+    remembered_keys: int = field(validator=_NOT_NEGATIVE_INTEGER)
     cold_s: float = field(default=3.0, validator=_NOT_NEGATIVE)
     cold_factor: float = field(default=2.0, validator=_POSITIVE)
     cold_requests_per_s: float = field(default=10.0, validator=_POSITIVE)
@@ -150,15 +150,15 @@
     service: str
     per_s: float = field(validator=_POSITIVE)
     work_ms: float = field(validator=_POSITIVE)
-    hit_part: float = field(default=0.3, validator=_PART)
+    hit_part: float = field(default=0.3, validator=_SHARE)
     target_ms: float = field(validator=_POSITIVE)
     timeout_ms: float = field(validator=_POSITIVE)
-    keys_by_region: int = field(validator=_COUNTED)
-    rank: int = field(default=0, validator=_COUNTED_OR_NONE)
+    keys_by_region: int = field(validator=_POSITIVE_INTEGER)
+    rank: int = field(default=0, validator=_NOT_NEGATIVE_INTEGER)
     worth: float = field(default=1.0, validator=_NOT_NEGATIVE)
     late_worth: float = field(default=0.2, validator=_NOT_NEGATIVE)
     idempotent: bool = True
-    same_part: float = field(default=0.0, validator=_PART)
+    same_part: float = field(default=0.0, validator=_SHARE)
 
 
 @frozen(kw_only=True)
@@ -263,15 +263,16 @@
         ("operations_by_name", ModelOperation),
     ):
         found[key] = {
-            each: _made(cls, value) for each, value in dict(found.get(key, {})).items()
+            each: _structured(cls, value)
+            for each, value in dict(found.get(key, {})).items()
         }
     events = found.get("events") or ()
-    found["events"] = tuple(_made(PatternEvent, each) for each in events)
-    pattern: Pattern = _made(Pattern, found)
+    found["events"] = tuple(_structured(PatternEvent, each) for each in events)
+    pattern: Pattern = _structured(Pattern, found)
     return pattern
 
 
-def _made(cls: type[Any], found: Any) -> Any:
+def _structured(cls: type[Any], found: Any) -> Any:
     """Make an instance of its fields; TypeError names one that is not known."""
     known = {each.name for each in fields(cls)}
     unknown = sorted(set(found) - known)
--- a/packages/testkit/src/plankspindle_testkit/lab/peer_network.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/peer_network.py
@@ -13,10 +13,10 @@
 from plankspindle_core.endpoint import Endpoint
 from plankspindle_daemon.peer_messages.crash_news import CrashNews
 from plankspindle_daemon.quotas.quotas import QuotaMessage
-from plankspindle_testkit.lab.clock import Clock
 from plankspindle_testkit.lab.deployment import Deployment
 from plankspindle_testkit.lab.lab_vm import LabVm
 from plankspindle_testkit.lab.lab_vm import peer_endpoint_of
+from plankspindle_testkit.lab.simulated_clock import SimulatedClock
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -31,13 +31,13 @@
 
     Parameters
     ----------
-    clock : Clock
+    clock : SimulatedClock
         The clock.
     deployment : Deployment
         The entry VMs and the ways between them.
     random : Random
         Source of loss.
-    take_quota_message : callable
+    handle_quota_message : callable
         Gives an entry VM a message on limits, and the address to reply to.
     loss : float
         Part of the messages that are lost.
@@ -50,10 +50,10 @@
         Messages that were sent.
     """
 
-    clock: Clock
+    clock: SimulatedClock
     deployment: Deployment
     random: Random
-    take_quota_message: Callable[[LabVm, QuotaMessage, Endpoint], None]
+    handle_quota_message: Callable[[LabVm, QuotaMessage, Endpoint], None]
     loss: float = 0.0
     is_cut: Callable[[str, str], bool] = lambda _sender, _receiver: False
     sent: int = 0
@@ -67,10 +67,10 @@
             if is_lost or self.is_cut(sender.name, receiver.name):
                 continue
             way_s = self.deployment.one_way_s(sender.domain, receiver.domain)
-            come = partial(self._take, sender, receiver.name, effect.message)
-            self.clock.after(way_s, come)
+            come = partial(self._deliver, sender, receiver.name, effect.message)
+            self.clock.schedule(way_s, come)
 
-    def _take(self, sender: LabVm, receiver: str, message: PeerMessage) -> None:
+    def _deliver(self, sender: LabVm, receiver: str, message: PeerMessage) -> None:
         vm = self.deployment.vms_by_name[receiver]
         if not vm.is_up:
             return
@@ -80,4 +80,4 @@
                 vm, vm.quarantine.handle_update(message, reply_to, self.clock.now)
             )
         else:
-            self.take_quota_message(vm, cast("QuotaMessage", message), reply_to)
+            self.handle_quota_message(vm, cast("QuotaMessage", message), reply_to)
--- a/packages/testkit/src/plankspindle_testkit/lab/plot.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/plot.py
@@ -16,14 +16,14 @@
 WIDTH, HEIGHT, MARGIN = 800, 240, 40
 """Size of one of the two diagrams, and the space around it, in pixels."""
 _COLOR_BY_OUTCOME = {
-    Outcome.IN_AIM: "#2a7f3f",
+    Outcome.ON_TIME: "#2a7f3f",
     Outcome.LATE: "#d9a400",
     Outcome.REFUSED: "#1f5fa8",
     Outcome.FAILED: "#b3261e",
 }
 
 
-def plot_of(title: str, outcomes: Outcomes) -> str:
+def render_plot(title: str, outcomes: Outcomes) -> str:
     """Draw requests by outcome, and load against slots, over time.
 
     Parameters
--- a/packages/testkit/src/plankspindle_testkit/lab/requests.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/requests.py
@@ -8,7 +8,7 @@
 from attrs import frozen
 
 from plankspindle_daemon.admission.ticket import Ticket
-from plankspindle_daemon.listeners import request_reader
+from plankspindle_daemon.listeners import request_resolver
 from plankspindle_daemon.upstreams.upstream_statement import UpstreamStatement
 from plankspindle_testkit.lab.lab_vm import LabVm
 
@@ -17,7 +17,7 @@
 
 MAX_ATTEMPTS = 2
 """Upstreams that one request may be sent to."""
-AT_NO_UPSTREAM = -1
+NO_ATTEMPT = -1
 """Number of the attempt of a request that waits."""
 
 
@@ -51,7 +51,7 @@
         Failure domain of the caller.
     first_at, deadline : float
         Time of the first try, and when the caller gives up, in seconds.
-    returns : int
+    retry_count : int
         How often the caller came back.
     identity : int
         The same for requests with the same caller, path and body.
@@ -64,13 +64,13 @@
     domain: str
     first_at: float
     deadline: float
-    returns: int = 0
+    retry_count: int = 0
     identity: int = 0
     crash: Crash | None = None
 
 
 @define(kw_only=True)
-class Handled:
+class ActiveRequest:
     """A request at an entry VM.
 
     Parameters
@@ -95,7 +95,7 @@
         When that began, in seconds.
     may_have_run : bool
         Whether an upstream was lost while it was in flight there.
-    is_over : bool
+    is_completed : bool
         Whether the request has ended here.
     """
 
@@ -106,14 +106,14 @@
     attempts: int = 0
     upstream: str | None = None
     incarnation: int = 0
-    attempt: int = AT_NO_UPSTREAM
+    attempt: int = NO_ATTEMPT
     sent_at: float = 0.0
     may_have_run: bool = False
-    is_over: bool = False
+    is_completed: bool = False
 
 
 @frozen(kw_only=True)
-class AnswerTold:
+class ReportedAnswer:
     """What the head of an answer tells.
 
     Parameters
@@ -143,15 +143,15 @@
         rank=operation.rank,
         operation=request.operation,
         deadline=request.deadline - to_caller_s,
-        expected_s=request_reader.EXPECTED_SHARE * target_s,
+        expected_s=request_resolver.EXPECTED_DURATION_SHARE * target_s,
         affinity=f"{request.operation}/{request.key}",
-        hold_until=now + request_reader.HOLD_SHARE * target_s,
+        queue_deadline=now + request_resolver.MAX_QUEUE_WAIT_SHARE * target_s,
     )
 
 
-def may_leave(handled: Handled, now: float) -> bool:
+def may_abandon(handled: ActiveRequest, now: float) -> bool:
     """Tell whether a request may leave an upstream that answers nobody."""
-    book, upstream = handled.vm.book, handled.upstream
+    book, upstream = handled.vm.registry, handled.upstream
     dispatcher = book.dispatchers_by_service[handled.service]
     known = dispatcher.upstreams_by_name.get(upstream or "")
     if known is not None and known.answered_at >= handled.sent_at:
@@ -159,6 +159,6 @@
     return (
         upstream is not None
         and handled.attempts < MAX_ATTEMPTS
-        and book.budgets_by_service[handled.service].has_room()
+        and book.budgets_by_service[handled.service].can_retry()
         and dispatcher.could_place_elsewhere(handled.ticket, upstream, now)
     )
--- a/packages/testkit/src/plankspindle_testkit/lab/clock.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/simulated_clock.py
@@ -12,7 +12,7 @@
 
 
 @define(kw_only=True)
-class Clock:
+class SimulatedClock:
     """Acts that are due.
 
     Attributes
@@ -22,16 +22,16 @@
     """
 
     now: float = 0.0
-    _due: list[tuple[float, int, Callable[[], None]]] = Factory(list)
+    _events: list[tuple[float, int, Callable[[], None]]] = Factory(list)
     _numbers: count[int] = field(factory=count)
 
-    def after(self, seconds: float, act: Callable[[], None]) -> None:
+    def schedule(self, seconds: float, callback: Callable[[], None]) -> None:
         """Do something later; what is due at one time is done in order."""
-        entry = (self.now + seconds, next(self._numbers), act)
-        heapq.heappush(self._due, entry)
+        entry = (self.now + seconds, next(self._numbers), callback)
+        heapq.heappush(self._events, entry)
 
-    def run_until(self, ends_at: float) -> None:
+    def run_until(self, end_s: float) -> None:
         """Do all that is due by a time, in seconds."""
-        while self._due and self._due[0][0] <= ends_at:
-            self.now, _, act = heapq.heappop(self._due)
+        while self._events and self._events[0][0] <= end_s:
+            self.now, _, act = heapq.heappop(self._events)
             act()
--- a/packages/testkit/src/plankspindle_testkit/lab/statement_record.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/statement_record.py
@@ -13,16 +13,16 @@
 
 WINDOW_S = 4.0
 """Time over which requests at an upstream that names a limit are summed, seconds."""
-OVERAGE = 1.5
-SLACK = 5
+OVERAGE_FACTOR = 1.5
+SLACK_REQUESTS = 5
 """Bound on them: so often what the limit allows, and so many requests more."""
-KNOWN_S = 0.5
+STATEMENT_DELAY_S = 0.5
 """Time after which an entry VM that relayed a statement must go by it, seconds."""
 
 
-def most_allowed(limit_per_s: float) -> float:
+def max_allowed_requests(limit_per_s: float) -> float:
     """Give the requests that an upstream with a limit may get in a window."""
-    return OVERAGE * limit_per_s * WINDOW_S + SLACK
+    return OVERAGE_FACTOR * limit_per_s * WINDOW_S + SLACK_REQUESTS
 
 
 @define(kw_only=True)
@@ -43,17 +43,19 @@
     limit_by_upstream: dict[str, float] = Factory(dict)
     _limited_from: dict[str, float] = Factory(dict)
     _limited_until: dict[str, float] = Factory(dict)
-    _told_at: dict[tuple[str, str], float] = Factory(dict)
+    _limit_reported_at: dict[tuple[str, str], float] = Factory(dict)
     _leaving_at: dict[tuple[str, str], float] = Factory(dict)
-    _rests: dict[tuple[str, str], list[tuple[float, float]]] = Factory(
+    _backoff_periods: dict[tuple[str, str], list[tuple[float, float]]] = Factory(
         lambda: defaultdict(list)
     )
 
-    def note_arrival(self, upstream: str, vm: str, now: float) -> None:
+    def record_arrival(self, upstream: str, vm: str, now: float) -> None:
         """Note that a request of an entry VM reaches an upstream."""
         self.arrivals_by_upstream[upstream].append((now, vm))
 
-    def note_limit(self, upstream: str, limit_per_s: float | None, now: float) -> None:
+    def record_limit(
+        self, upstream: str, limit_per_s: float | None, now: float
+    ) -> None:
         """Note that an upstream begins, or ceases, to name a limit."""
         if limit_per_s is None:
             self._limited_until[upstream] = now
@@ -61,17 +63,17 @@
             self.limit_by_upstream[upstream] = limit_per_s
             self._limited_from[upstream] = now
 
-    def note_told(
+    def record_statement(
         self, upstream: str, vm: str, statement: UpstreamStatement, now: float
     ) -> None:
         """Note that an entry VM takes an answer in which an upstream says something."""
         place = (upstream, vm)
         if statement.limit_per_s is not None:
-            self._told_at.setdefault(place, now)
+            self._limit_reported_at.setdefault(place, now)
         if statement.is_leaving:
             self._leaving_at.setdefault(place, now)
         if statement.retry_after_s is not None:
-            self._rests[place].append((now, now + statement.retry_after_s))
+            self._backoff_periods[place].append((now, now + statement.retry_after_s))
 
     def sent_to_leaving(self, *, drain_s: float) -> int:
         """Count requests that came long after their entry VM knew of the leaving."""
@@ -81,34 +83,34 @@
             for at, vm in arrivals
         )
 
-    def most_in_rest(self) -> int:
+    def max_requests_in_backoff(self) -> int:
         """Give the most requests of an entry VM that came in one rest it knew of."""
         return max(
             (
                 sum(
-                    vm == sender and since + KNOWN_S < at < until
+                    vm == sender and since + STATEMENT_DELAY_S < at < until
                     for at, sender in self.arrivals_by_upstream[upstream]
                 )
-                for (upstream, vm), rests in self._rests.items()
+                for (upstream, vm), rests in self._backoff_periods.items()
                 for since, until in rests
             ),
             default=0,
         )
 
     @property
-    def rests(self) -> int:
+    def backoff_count(self) -> int:
         """Count the times that an upstream asked an entry VM for rest."""
-        return sum(map(len, self._rests.values()))
+        return sum(map(len, self._backoff_periods.values()))
 
-    def most_of_allowed(self) -> float:
+    def max_share_of_allowed(self) -> float:
         """Give the most that any upstream got in a window, as a part of its bound.
 
         All requests of an entry VM count that knows of the limit at the end of the
         window, those before it was told included.
         """
-        return max(map(self._most_at, self.limit_by_upstream), default=0.0)
+        return max(map(self._max_share_at, self.limit_by_upstream), default=0.0)
 
-    def used(self, upstream: str) -> float:
+    def used_share(self, upstream: str) -> float:
         """Give the part of its limit that an upstream got from the second window on."""
         since = self._limited_from[upstream] + WINDOW_S
         until = self._limited_until[upstream]
@@ -117,7 +119,7 @@
         ]
         return len(got) / (until - since) / self.limit_by_upstream[upstream]
 
-    def _most_at(self, upstream: str) -> float:
+    def _max_share_at(self, upstream: str) -> float:
         until = self._limited_until.get(upstream, float("inf"))
         judged_from = self._limited_from[upstream] + WINDOW_S
         arrivals = self.arrivals_by_upstream[upstream]
@@ -125,9 +127,11 @@
         for end, _ in arrivals:
             if judged_from <= end < until:
                 got = sum(
-                    self._told_at.get((upstream, vm), until) + KNOWN_S < end
+                    self._limit_reported_at.get((upstream, vm), until)
+                    + STATEMENT_DELAY_S
+                    < end
                     for at, vm in arrivals
                     if end - WINDOW_S <= at <= end
                 )
                 most = max(most, got)
-        return most / most_allowed(self.limit_by_upstream[upstream])
+        return most / max_allowed_requests(self.limit_by_upstream[upstream])
--- a/packages/testkit/src/plankspindle_testkit/loopback_network.py
+++ b/packages/testkit/src/plankspindle_testkit/loopback_network.py
@@ -78,14 +78,14 @@
 
 
 @cache
-def network_of_run() -> LoopbackNetwork:
+def process_network() -> LoopbackNetwork:
     """Give the network of this process; it is claimed when it is first asked for."""
     return LoopbackNetwork.claim()
 
 
-def host_of_run(third: int, last: int) -> str:
+def loopback_host(third: int, last: int) -> str:
     """Give an address in the network of this process by its last two octets."""
-    return network_of_run().host(third, last)
+    return process_network().host(third, last)
 
 
 def _host(octet: int, third: int, last: int) -> str:
--- a/packages/testkit/src/plankspindle_testkit/membership_fleet.py
+++ b/packages/testkit/src/plankspindle_testkit/membership_fleet.py
@@ -32,13 +32,13 @@
     from plankspindle_daemon.peer_messages.heartbeat import Heartbeat
 
 TICK_S = 0.25
-DELAY_S = 0.035
-START_S = 0.3
+ONE_WAY_DELAY_S = 0.035
+START_SPREAD_S = 0.3
 """Time within which all processes start, in seconds."""
 
 
 @define(kw_only=True)
-class FleetVm:
+class MembershipFleetVm:
     """One entry VM.
 
     Parameters
@@ -53,7 +53,7 @@
     membership: Membership
     sequence: int = 0
     is_running: bool = True
-    sent: int = 0
+    sent_count: int = 0
 
 
 @define(kw_only=True)
@@ -66,37 +66,39 @@
         How many there are, and where.
     random : Random
         Source of loss and start times.
-    loss : float
+    loss_share : float
         Part of the datagrams that are lost.
 
     Attributes
     ----------
     now : float
         Seconds since the start.
-    is_cut : callable
+    is_blocked : callable
         Tells whether datagrams from one VM to another are lost, by their numbers.
     """
 
     fleet: Fleet
     random: Random
-    loss: float = 0.0
+    loss_share: float = 0.0
     now: float = 0.0
-    is_cut: Callable[[int, int], bool] = lambda _sender, _receiver: False
-    vms: list[FleetVm] = field(init=False)
+    is_blocked: Callable[[int, int], bool] = lambda _sender, _receiver: False
+    vms: list[MembershipFleetVm] = field(init=False)
     _numbers_by_endpoint: dict[Endpoint, int] = Factory(dict)
     _events: list[tuple[float, int, int, MembershipEvent]] = Factory(list)
-    _counter: count[int] = Factory(count)
+    _event_numbers: count[int] = Factory(count)
 
     def __attrs_post_init__(self) -> None:
-        listed = [each for each in self.fleet.listed() if each.peer_endpoint]
+        listed = [each for each in self.fleet.live_list() if each.peer_endpoint]
         self.vms = []
         for number, own in enumerate(listed):
             assert own.peer_endpoint is not None
             self._numbers_by_endpoint[own.peer_endpoint] = number
             membership = self.fleet.membership(number)
-            self.vms.append(FleetVm(number=number, membership=membership))
-            self._later(number, LiveListRead(tuple(listed)), 0.0)
-            self._later(number, TimePassed(), self.random.uniform(0.0, START_S))
+            self.vms.append(MembershipFleetVm(number=number, membership=membership))
+            self._schedule(number, LiveListRead(tuple(listed)), 0.0)
+            self._schedule(
+                number, TimePassed(), self.random.uniform(0.0, START_SPREAD_S)
+            )
 
     def run(self, seconds: float) -> None:
         """Let time pass."""
@@ -105,7 +107,7 @@
             self.now, _, number, event = heapq.heappop(self._events)
             vm = self.vms[number]
             if isinstance(event, TimePassed):
-                self._later(number, event, TICK_S)
+                self._schedule(number, event, TICK_S)
             if vm.is_running:
                 self._perform(vm, vm.membership.handle(event, self.now))
         self.now = until
@@ -115,13 +117,13 @@
         for number in numbers:
             self.vms[number].is_running = False
 
-    def wake(self, number: int) -> None:
+    def resume(self, number: int) -> None:
         """Let a frozen VM go on."""
         vm = self.vms[number]
         vm.is_running = True
         self._perform(vm, vm.membership.handle(ProcessPaused(), self.now))
 
-    def silent_at(self, number: int) -> set[str]:
+    def suspected_by(self, number: int) -> set[str]:
         """Name the members that a VM takes for silent."""
         membership = self.vms[number].membership
         suspect_after_s = membership.suspect_after_s()
@@ -131,24 +133,24 @@
             if member.is_suspected(now=self.now, suspect_after_s=suspect_after_s)
         }
 
-    def seconds_until(self, is_so: Callable[[], bool], *, at_most: float) -> float:
+    def seconds_until(self, condition: Callable[[], bool], *, limit_s: float) -> float:
         """Let time pass until something is so; give the time that it took."""
         began = self.now
-        while not is_so() and self.now - began < at_most:
+        while not condition() and self.now - began < limit_s:
             self.run(TICK_S)
         return self.now - began
 
-    def all_take_for_silent(self, numbers: Iterable[int]) -> bool:
+    def all_suspect(self, numbers: Iterable[int]) -> bool:
         """Tell whether every running VM takes just some members for silent."""
-        names = {self.fleet.vm(number) for number in numbers}
+        names = {self.fleet.vm_name(number) for number in numbers}
         running = [each.number for each in self.vms if each.is_running]
-        return all(self.silent_at(number) == names for number in running)
+        return all(self.suspected_by(number) == names for number in running)
 
-    def _later(self, number: int, event: MembershipEvent, delay_s: float) -> None:
-        due = (self.now + delay_s, next(self._counter), number, event)
+    def _schedule(self, number: int, event: MembershipEvent, delay_s: float) -> None:
+        due = (self.now + delay_s, next(self._event_numbers), number, event)
         heapq.heappush(self._events, due)
 
-    def _perform(self, vm: FleetVm, effects: list[MembershipEffect]) -> None:
+    def _perform(self, vm: MembershipFleetVm, effects: list[MembershipEffect]) -> None:
         for effect in effects:
             match effect:
                 case SendHeartbeat(to=to):
@@ -159,7 +161,7 @@
                 case _:
                     pass
 
-    def _heartbeat(self, vm: FleetVm, to: Endpoint) -> Heartbeat:
+    def _heartbeat(self, vm: MembershipFleetVm, to: Endpoint) -> Heartbeat:
         vm.sequence += 1
         return self.fleet.heartbeat(
             vm.number,
@@ -167,9 +169,11 @@
             is_watched=vm.membership.is_watched_by(to),
         )
 
-    def _send(self, vm: FleetVm, event: MembershipEvent, to: Endpoint) -> None:
-        vm.sent += 1
+    def _send(
+        self, vm: MembershipFleetVm, event: MembershipEvent, to: Endpoint
+    ) -> None:
+        vm.sent_count += 1
         receiver = self._numbers_by_endpoint[to]
-        is_lost = self.random.random() < self.loss
-        if not is_lost and not self.is_cut(vm.number, receiver):
-            self._later(receiver, event, DELAY_S)
+        is_lost = self.random.random() < self.loss_share
+        if not is_lost and not self.is_blocked(vm.number, receiver):
+            self._schedule(receiver, event, ONE_WAY_DELAY_S)
--- a/packages/testkit/src/plankspindle_testkit/platform_stand_in/__main__.py
+++ b/packages/testkit/src/plankspindle_testkit/platform_stand_in/__main__.py
@@ -7,7 +7,7 @@
 
 from plankspindle_core.endpoint import Endpoint
 from plankspindle_testkit.platform_stand_in.platform_stand_in import PlatformStandIn
-from plankspindle_testkit.serving import serve_until_ended
+from plankspindle_testkit.serving import serve_until_killed
 
 
 @click.command()
@@ -15,7 +15,7 @@
 def main(endpoint: str) -> None:
     """Serve the platform stand-in on ENDPOINT."""
     stand_in = PlatformStandIn(endpoint=Endpoint.parse(endpoint))
-    curio.run(serve_until_ended, [stand_in])
+    curio.run(serve_until_killed, [stand_in])
 
 
 if __name__ == "__main__":
--- a/packages/testkit/src/plankspindle_testkit/platform_stand_in/faults.py
+++ b/packages/testkit/src/plankspindle_testkit/platform_stand_in/faults.py
@@ -23,7 +23,7 @@
     delay_ms: int = 0
     lose_answers: int = 0
 
-    def loses_this_answer(self) -> bool:
+    def consume_lost_answer(self) -> bool:
         """Use up one lost answer, if any is left."""
         if self.lose_answers <= 0:
             return False
--- a/packages/testkit/src/plankspindle_testkit/platform_stand_in/platform_stand_in.py
+++ b/packages/testkit/src/plankspindle_testkit/platform_stand_in/platform_stand_in.py
@@ -81,7 +81,7 @@
             status, content = self._serve(source.method, path, body)
         if self.faults.delay_ms:
             await sleep(self.faults.delay_ms / 1000)
-        if is_write and self.faults.loses_this_answer():
+        if is_write and self.faults.consume_lost_answer():
             source.abort()
             return
         await source.answer(status=status, body=content)
--- a/packages/testkit/src/plankspindle_testkit/processes.py
+++ b/packages/testkit/src/plankspindle_testkit/processes.py
@@ -19,7 +19,7 @@
 from plankspindle_core.configuration.codec import configuration_to_mapping
 from plankspindle_core.http.fetch import HttpAnswer
 from plankspindle_core.http.fetch import fetch
-from plankspindle_testkit.builders import VmPlace
+from plankspindle_testkit.builders import VmAddresses
 from plankspindle_testkit.builders import build_settings_mapping
 
 if TYPE_CHECKING:
@@ -30,7 +30,7 @@
     from plankspindle_core.endpoint import Endpoint
     from plankspindle_core.http.headers import HeaderList
 
-END_TIMEOUT_S = 10.0
+EXIT_TIMEOUT_S = 10.0
 POLL_S = 0.02
 
 
@@ -45,26 +45,28 @@
     """
 
     folder: Path
-    by_name: dict[str, subprocess.Popen[bytes]] = field(factory=dict)
+    process_by_name: dict[str, subprocess.Popen[bytes]] = field(factory=dict)
 
     def start_module(self, name: str, module: str, *arguments: str) -> None:
         """Start ``python -m module`` under a name."""
         self._start(name, [sys.executable, "-m", module, *arguments])
 
-    def start_platform(self, endpoint: Endpoint, places: Sequence[VmPlace]) -> None:
+    def start_platform(
+        self, endpoint: Endpoint, entry_vms: Sequence[VmAddresses]
+    ) -> None:
         """Start the platform stand-in and have it list entry VMs."""
         module = "plankspindle_testkit.platform_stand_in"
         self.start_module("platform", module, str(endpoint))
         wait_until(lambda: call(endpoint, target="/vms").status == 200, what="platform")
-        vms = {"vms": [place.listed() for place in places]}
+        vms = {"vms": [place.list_entry() for place in entry_vms]}
         call(endpoint, "POST", "/control", body=json.dumps(vms).encode())
 
     def start_daemon(
         self,
-        place: VmPlace,
+        addresses: VmAddresses,
         *,
         platform: Endpoint,
-        reads_log: bool = True,
+        log_to_file: bool = True,
         prelude: str = "",
         **sections: Any,
     ) -> None:
@@ -72,53 +74,57 @@
 
         Parameters
         ----------
-        place : VmPlace
+        addresses : VmAddresses
             Name and addresses of the entry VM.
         platform : Endpoint
             The platform stand-in.
-        reads_log : bool
+        log_to_file : bool
             Whether anybody reads what it writes; otherwise the pipe runs full.
         prelude : str
             Statements that run before the daemon, to change it.
         **sections : object
             Sections of the settings.
         """
-        mapping = build_settings_mapping(place, platform=platform, **sections)
-        path = self.folder / f"{place.name}.yaml"
+        mapping = build_settings_mapping(addresses, platform=platform, **sections)
+        path = self.folder / f"{addresses.name}.yaml"
         path.write_text(yaml.safe_dump(mapping), encoding="utf-8")
         entry = "from plankspindle_daemon.console.entry_point import main; main()"
         command = [sys.executable, "-c", f"{prelude}\n{entry}", "run", str(path)]
-        self._start(place.name, command, reads_log=reads_log)
+        self._start(addresses.name, command, log_to_file=log_to_file)
 
-    def _start(self, name: str, command: list[str], *, reads_log: bool = True) -> None:
+    def _start(
+        self, name: str, command: list[str], *, log_to_file: bool = True
+    ) -> None:
         with (self.folder / f"{name}.log").open("ab") as log:
-            self.by_name[name] = subprocess.Popen(
+            self.process_by_name[name] = subprocess.Popen(
                 command,
                 stdin=subprocess.DEVNULL,
-                stdout=log if reads_log else subprocess.PIPE,
+                stdout=log if log_to_file else subprocess.PIPE,
                 stderr=log,
             )
 
     def send_signal(self, name: str, number: signal.Signals) -> None:
         """Send a signal to a process started here."""
-        self.by_name[name].send_signal(number)
+        self.process_by_name[name].send_signal(number)
 
-    def wait(self, name: str, *, timeout_s: float = END_TIMEOUT_S) -> int:
+    def wait_for_exit(self, name: str, *, timeout_s: float = EXIT_TIMEOUT_S) -> int:
         """Wait for the end of a process and give its exit status."""
-        return self.by_name[name].wait(timeout_s)
+        return self.process_by_name[name].wait(timeout_s)
 
-    def log_of(self, name: str) -> str:
+    def read_log(self, name: str) -> str:
         """Give what a process wrote."""
         return (self.folder / f"{name}.log").read_text(encoding="utf-8")
 
     def close(self) -> None:
         """End every process that still runs."""
-        running = [each for each in self.by_name.values() if each.poll() is None]
+        running = [
+            each for each in self.process_by_name.values() if each.poll() is None
+        ]
         for process in running:
             process.send_signal(signal.SIGCONT)
             process.kill()
         for process in running:
-            process.wait(END_TIMEOUT_S)
+            process.wait(EXIT_TIMEOUT_S)
 
 
 def call(
@@ -156,7 +162,7 @@
 
 
 def wait_until(
-    check: Callable[[], bool], *, what: str, timeout_s: float = 15.0
+    condition: Callable[[], bool], *, what: str, timeout_s: float = 15.0
 ) -> None:
     """Wait until a check holds; a refused connection counts as not yet.
 
@@ -168,7 +174,7 @@
     end = time.monotonic() + timeout_s
     while time.monotonic() < end:
         try:
-            if check():
+            if condition():
                 return
         except ConnectionError:
             pass
@@ -176,20 +182,21 @@
     raise TimeoutError(f"not in {timeout_s} s: {what}")
 
 
-def wait_for_operator_listener(place: VmPlace) -> None:
+def wait_for_operator_listener(addresses: VmAddresses) -> None:
     """Wait until a daemon serves operators, which it does last when it starts."""
     wait_until(
-        lambda: call(place.operator, target="/health").status == 200, what=place.name
+        lambda: call(addresses.operator, target="/health").status == 200,
+        what=addresses.name,
     )
 
 
-def state_of(place: VmPlace) -> dict[str, Any]:
+def read_state(addresses: VmAddresses) -> dict[str, Any]:
     """Read the state dump of a daemon."""
-    dumped: dict[str, Any] = json.loads(call(place.operator, target="/state").body)
+    dumped: dict[str, Any] = json.loads(call(addresses.operator, target="/state").body)
     return dumped
 
 
-def put_in_force(place: VmPlace, configuration: Configuration) -> int:
+def apply_configuration(addresses: VmAddresses, configuration: Configuration) -> int:
     """Plan and confirm a whole configuration through one daemon.
 
     Returns
@@ -198,16 +205,18 @@
         The version it became.
     """
     mapping = configuration_to_mapping(configuration)
-    return confirm_intent(place, {"kind": "apply", "configuration": mapping})
+    return confirm_intent(addresses, {"kind": "apply", "configuration": mapping})
 
 
-def confirm_intent(place: VmPlace, intent: dict[str, Any]) -> int:
+def confirm_intent(addresses: VmAddresses, intent: dict[str, Any]) -> int:
     """Plan and confirm an intent, and give the version it became."""
-    made = call(place.operator, "POST", "/v1/plans", body=json.dumps(intent).encode())
+    made = call(
+        addresses.operator, "POST", "/v1/plans", body=json.dumps(intent).encode()
+    )
     plan = json.loads(made.body)
     if made.status != 201:
         raise ConnectionError(f"no plan: {plan}")
-    confirmed = call(place.operator, "POST", f"/v1/plans/{plan['id']}/confirm")
+    confirmed = call(addresses.operator, "POST", f"/v1/plans/{plan['id']}/confirm")
     if confirmed.status != 200:
         raise ConnectionError(f"not confirmed: {confirmed.body!r}")
     version: int = plan["base_version"] + 1
--- a/packages/testkit/src/plankspindle_testkit/quota_fleet.py
+++ b/packages/testkit/src/plankspindle_testkit/quota_fleet.py
@@ -39,14 +39,14 @@
     from plankspindle_daemon.quotas.quotas import QuotaEffect
 
 TICK_S = 0.1
-NEAR_S = 0.0005
-FAR_S = 0.035
+LOCAL_DELAY_S = 0.0005
+REMOTE_DELAY_S = 0.035
 """One-way delays within a region and between two, in seconds."""
-MISTAKE_S = 0.7
+FALSE_SUSPICION_S = 0.7
 """Time for which a wrong belief lasts, in seconds."""
-ANSWER_S = 0.001
+UPSTREAM_ANSWER_S = 0.001
 """Time from a request to an upstream to its answer, in seconds."""
-NOTICE_S = 1.0
+DETECTION_S = 1.0
 """Time after which a VM that cannot be reached counts as silent, in seconds."""
 REGIONS = ("bratislava", "zilina", "kosice")
 _PORT = 7000
@@ -91,18 +91,18 @@
         The quotas.
     slack_requests : float
         What the fleet admits beyond a burst.
-    loss : float
+    loss_share : float
         Part of the messages that are lost.
     regions : tuple of str
         Regions among which VMs are divided.
 
     Attributes
     ----------
-    reaches : callable
+    is_reachable : callable
         Tells whether messages of one VM reach another.
-    delay_s : float
+    max_extra_delay_s : float
         Longest additional delay of a message, in seconds.
-    mistakes : float
+    false_suspicion_share : float
         Part of the others that each VM takes for silent, without reason.
     admitted_at_by_workspace, refused_at_by_workspace : dict of str to list of float
         When requests got a token, and when they got none.
@@ -110,16 +110,16 @@
         Each refusal.
     sent_by_kind : Counter of str
         Messages that were sent.
-    limit_by_life : dict of str to float
+    limit_by_incarnation : dict of str to float
         Limits that upstreams name now, in requests a second.
-    arrived_at_by_life : dict of str to list of float
+    arrived_at_by_incarnation : dict of str to list of float
         When requests of VMs reached an upstream that had told them of its limit.
     """
 
     random: Random
     workspaces_by_name: dict[str, Workspace]
     slack_requests: float = 10.0
-    loss: float = 0.0
+    loss_share: float = 0.0
     regions: tuple[str, ...] = REGIONS
     now: float = 1_000.0
     vms_by_name: dict[str, QuotaFleetVm] = Factory(dict)
@@ -127,102 +127,110 @@
     refused_at_by_workspace: dict[str, list[float]] = Factory(dict)
     refusals: list[TokenRefused] = Factory(list)
     sent_by_kind: Counter[str] = field(factory=Counter)
-    reaches: Callable[[str, str], bool] = lambda one, other: True
-    delay_s: float = 0.0
-    mistakes: float = 0.0
-    _cut_since: float | None = None
+    is_reachable: Callable[[str, str], bool] = lambda one, other: True
+    max_extra_delay_s: float = 0.0
+    false_suspicion_share: float = 0.0
+    _partitioned_since: float | None = None
     _in_flight: list[tuple[float, int, str, str, QuotaMessage]] = Factory(list)
     _numbers: count[int] = field(factory=count)
     _workspace_by_ticket: dict[int, str] = Factory(dict)
-    limit_by_life: dict[str, float] = Factory(dict)
-    arrived_at_by_life: dict[str, list[float]] = Factory(dict)
-    _waiting_by_place: Counter[tuple[str, str]] = field(factory=Counter)
+    limit_by_incarnation: dict[str, float] = Factory(dict)
+    arrived_at_by_incarnation: dict[str, list[float]] = Factory(dict)
+    _waiting_by_vm_and_incarnation: Counter[tuple[str, str]] = field(factory=Counter)
 
-    def add_vms(self, number: int) -> None:
+    def add_vms(self, vm_count: int) -> None:
         """Start some more VMs."""
         first = len(self.vms_by_name)
-        for index in range(first, first + number):
+        for index in range(first, first + vm_count):
             self._start(f"vm-{index}", self.regions[index % len(self.regions)])
         for vm in self.vms_by_name.values():
-            self._meet(vm)
+            self._update_members(vm)
 
     def restart(self, name: str) -> None:
         """End a VM's process and start another."""
         self._start(name, self.vms_by_name[name].region)
-        self._meet(self.vms_by_name[name])
+        self._update_members(self.vms_by_name[name])
 
-    def use(self, workspaces_by_name: dict[str, Workspace]) -> None:
+    def apply_workspaces(self, workspaces_by_name: dict[str, Workspace]) -> None:
         """Put other quotas in force at all VMs that run."""
         self.workspaces_by_name = workspaces_by_name
         for vm in self.vms_by_name.values():
             vm.quotas.update_configuration(self._configuration())
 
-    def cut(self, reaches: Callable[[str, str], bool]) -> None:
+    def partition(self, is_reachable: Callable[[str, str], bool]) -> None:
         """Say from now on which VM reaches which."""
-        self.reaches = reaches
-        self._cut_since = self.now
+        self.is_reachable = is_reachable
+        self._partitioned_since = self.now
 
     def heal(self) -> None:
         """Let all VMs reach each other."""
-        self.reaches = lambda one, other: True
-        self._cut_since = None
+        self.is_reachable = lambda one, other: True
+        self._partitioned_since = None
 
     def is_silent(self, vm: str, other: str, now: float) -> bool:
         """Tell whether one VM has noticed that it does not hear another."""
         if not self.vms_by_name[other].is_running:
             return True
-        if self.mistakes > 0.0:
-            guess = stable_hash(f"{vm} {other} {int(now / MISTAKE_S)}") / 2.0**64
-            return guess < self.mistakes
-        since = self._cut_since
+        if self.false_suspicion_share > 0.0:
+            guess = (
+                stable_hash(f"{vm} {other} {int(now / FALSE_SUSPICION_S)}") / 2.0**64
+            )
+            return guess < self.false_suspicion_share
+        since = self._partitioned_since
         return (
-            since is not None and now - since > NOTICE_S and not self.reaches(other, vm)
+            since is not None
+            and now - since > DETECTION_S
+            and not self.is_reachable(other, vm)
         )
 
-    def request(self, vm: str, workspace: str) -> None:
+    def receive_request(self, vm: str, workspace: str) -> None:
         """Let a request of a workspace come to a VM."""
         ticket = next(self._numbers)
         self._workspace_by_ticket[ticket] = workspace
         running = self.vms_by_name[vm]
         if running.is_running:
-            self._take(
+            self._perform(
                 running, running.quotas.request_token(ticket, workspace, self.now)
             )
 
-    def send_to_upstream(self, vm: str, life: str) -> None:
+    def send_to_upstream(self, vm: str, incarnation: str) -> None:
         """Let a request come to a VM that wants to go on to an upstream."""
         running = self.vms_by_name[vm]
         if not running.is_running:
             return
-        gate = running.quotas.limits.limiter_by_incarnation.get(life)
+        gate = running.quotas.limits.limiter_by_incarnation.get(incarnation)
         if gate is not None and not gate.has_token(self.now):
-            self._waiting_by_place[vm, life] += 1
+            self._waiting_by_vm_and_incarnation[vm, incarnation] += 1
             if gate.may_request_token(self.now):
                 gate.record_token_request(self.now)
-                wanted = running.quotas.request_upstream_token(life, life, self.now)
-                self._take(running, wanted)
+                wanted = running.quotas.request_upstream_token(
+                    incarnation, incarnation, self.now
+                )
+                self._perform(running, wanted)
         else:
-            self._arrive(running, life)
+            self._arrive(running, incarnation)
 
-    def _arrive(self, vm: QuotaFleetVm, life: str) -> None:
+    def _arrive(self, vm: QuotaFleetVm, incarnation: str) -> None:
         """Let a request reach an upstream, and its answer come at once."""
-        gate = vm.quotas.limits.limiter_by_incarnation.get(life)
+        gate = vm.quotas.limits.limiter_by_incarnation.get(incarnation)
         if gate is not None:
             gate.use_token(self.now)
-            self.arrived_at_by_life.setdefault(life, []).append(self.now)
-        statement = UpstreamStatement(limit_per_s=self.limit_by_life.get(life))
+            self.arrived_at_by_incarnation.setdefault(incarnation, []).append(self.now)
+        statement = UpstreamStatement(
+            limit_per_s=self.limit_by_incarnation.get(incarnation)
+        )
         # An answer is later than its request, by which a limit is seen to be lifted.
         told = vm.quotas.limits.apply_statement(
-            life, statement, sent_at=self.now - ANSWER_S, now=self.now
+            incarnation, statement, sent_at=self.now - UPSTREAM_ANSWER_S, now=self.now
         )
-        self._take(vm, [*told])
+        self._perform(vm, [*told])
 
-    def _serve_waiting(self, vm: QuotaFleetVm, life: str) -> None:
+    def _serve_waiting(self, vm: QuotaFleetVm, incarnation: str) -> None:
         """Send what waits for a token that came; the rest goes to other upstreams."""
-        waiting = self._waiting_by_place.pop((vm.name, life), 0)
-        gate = vm.quotas.limits.limiter_by_incarnation.get(life)
+        waiting = self._waiting_by_vm_and_incarnation.pop((vm.name, incarnation), 0)
+        gate = vm.quotas.limits.limiter_by_incarnation.get(incarnation)
         if waiting and gate is not None and gate.has_token(self.now):
-            self._arrive(vm, life)
+            self._arrive(vm, incarnation)
 
     def run(self, seconds: float, load: Callable[[float], None] | None = None) -> None:
         """Let time pass, with a load that is called every tenth of a second."""
@@ -233,33 +241,35 @@
             self._deliver(self.now + TICK_S)
             for vm in self.vms_by_name.values():
                 if vm.is_running:
-                    self._take(vm, self._tick(vm))
+                    self._perform(vm, self._tick(vm))
 
-    def most_in_window(self, workspace: str, window_s: float) -> int:
+    def max_admitted(self, workspace: str, window_s: float) -> int:
         """Give the most requests that were admitted in any window."""
-        return most_in_window(
-            self.admitted_at_by_workspace.get(workspace, []), window_s
-        )
+        return max_in_window(self.admitted_at_by_workspace.get(workspace, []), window_s)
 
-    def most_arrived(self, life: str, window_s: float, since: float = 0.0) -> int:
+    def max_arrived(self, incarnation: str, window_s: float, since: float = 0.0) -> int:
         """Give the most requests that reached an upstream in any window."""
-        arrived = [at for at in self.arrived_at_by_life.get(life, []) if at >= since]
-        return most_in_window(arrived, window_s)
+        arrived = [
+            at
+            for at in self.arrived_at_by_incarnation.get(incarnation, [])
+            if at >= since
+        ]
+        return max_in_window(arrived, window_s)
 
     def _tick(self, vm: QuotaFleetVm) -> list[QuotaEffect]:
-        return vm.quotas.tick(readiness=Readiness.READY, knows_list=True, now=self.now)
+        return vm.quotas.tick(readiness=Readiness.READY, has_list=True, now=self.now)
 
     def _deliver(self, until: float) -> None:
         while self._in_flight and self._in_flight[0][0] <= until:
             at, _, sender, to, message = heapq.heappop(self._in_flight)
             self.now = max(self.now, at)
             vm = self.vms_by_name[to]
-            if vm.is_running and self.reaches(sender, to):
+            if vm.is_running and self.is_reachable(sender, to):
                 reply_to = _endpoint(sender)
-                self._take(vm, vm.quotas.receive(message, reply_to, self.now))
+                self._perform(vm, vm.quotas.receive(message, reply_to, self.now))
         self.now = until
 
-    def _take(self, vm: QuotaFleetVm, effects: Iterable[QuotaEffect]) -> None:
+    def _perform(self, vm: QuotaFleetVm, effects: Iterable[QuotaEffect]) -> None:
         for effect in effects:
             match effect:
                 case SendToPeer(message=message, to=to):
@@ -278,11 +288,11 @@
 
     def _send(self, vm: QuotaFleetVm, message: QuotaMessage, to: Endpoint) -> None:
         self.sent_by_kind[type(message).__name__] += 1
-        if self.random.random() < self.loss:
+        if self.random.random() < self.loss_share:
             return
         other = self.vms_by_name[to.host]
-        delay_s = NEAR_S if vm.region == other.region else FAR_S
-        delay_s += self.random.uniform(0.0, self.delay_s)
+        delay_s = LOCAL_DELAY_S if vm.region == other.region else REMOTE_DELAY_S
+        delay_s += self.random.uniform(0.0, self.max_extra_delay_s)
         flight = (self.now + delay_s, next(self._numbers), vm.name, other.name, message)
         heapq.heappush(self._in_flight, flight)
 
@@ -303,7 +313,7 @@
             name=name, region=region, quotas=quotas, membership=membership
         )
 
-    def _meet(self, vm: QuotaFleetVm) -> None:
+    def _update_members(self, vm: QuotaFleetVm) -> None:
         vm.membership.change_count += 1
         vm.membership.members_by_name = {
             other.name: Member(
@@ -334,7 +344,7 @@
     return Endpoint(name, _PORT)
 
 
-def most_in_window(times: list[float], window_s: float) -> int:
+def max_in_window(times: list[float], window_s: float) -> int:
     """Give the most of rising times that lie within a window, in seconds."""
     most = first = 0
     for index, at in enumerate(times):
--- a/packages/testkit/src/plankspindle_testkit/serving.py
+++ b/packages/testkit/src/plankspindle_testkit/serving.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-FOREVER_S = 3600.0
+MAX_SERVING_S = 3600.0
 
 
 class Startable(Protocol):
@@ -23,12 +23,12 @@
         """Close."""
 
 
-async def serve_until_ended(servers: Sequence[Startable]) -> None:
+async def serve_until_killed(servers: Sequence[Startable]) -> None:
     """Start servers and keep them until the process is ended, at most an hour."""
     for server in servers:
         await server.start()
     try:
-        await sleep(FOREVER_S)
+        await sleep(MAX_SERVING_S)
     finally:
         for server in servers:
             await server.close()
--- a/packages/testkit/src/plankspindle_testkit/soak/__main__.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/__main__.py
@@ -16,35 +16,35 @@
 from click.testing import CliRunner
 
 from plankspindle_client.console.application import main as operate
+from plankspindle_testkit.soak.fault_minimizer import minimize_faults
 from plankspindle_testkit.soak.layout import Layout
 from plankspindle_testkit.soak.load import LoadKind
 from plankspindle_testkit.soak.load import draw_load
-from plankspindle_testkit.soak.running import run_and_end
-from plankspindle_testkit.soak.shrinking import leave_out
 from plankspindle_testkit.soak.soak import Soak
 from plankspindle_testkit.soak.soak import SoakPlan
-from plankspindle_testkit.soak.soak import SoakVerdict
+from plankspindle_testkit.soak.soak import SoakResult
 from plankspindle_testkit.soak.soak_fault import SoakFault
 from plankspindle_testkit.soak.soak_fault import draw_faults
 from plankspindle_testkit.soak.soak_fault import read_schedule
 from plankspindle_testkit.soak.soak_fault import write_schedule
+from plankspindle_testkit.soak.soak_runner import run_and_close
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
 REGRESSIONS = Path(__file__).with_name("regressions.yaml")
-FAULTS_S = 40.0
+FAULT_PERIOD_S = 40.0
 """Time in which the faults of one seed begin, in seconds."""
-LARGE_VMS = 16
+LARGE_VM_COUNT = 16
 
 
 @click.command()
 @click.option("--seed", default=1, help="First seed.")
 @click.option("--minutes", default=1.0, help="Time to spend on rising seeds.")
-@click.option("--seconds", default=FAULTS_S, help="Time in which faults begin.")
+@click.option("--seconds", default=FAULT_PERIOD_S, help="Time in which faults begin.")
 @click.option("--vms", default=4, help="Entry VMs.")
 @click.option(
-    "--large", is_flag=True, help=f"Run {LARGE_VMS} entry VMs, widely loaded."
+    "--large", is_flag=True, help=f"Run {LARGE_VM_COUNT} entry VMs, widely loaded."
 )
 @click.option("--schedule", type=click.File("r"), help="Replay faults of a file.")
 @click.option("--shrink", is_flag=True, help="Leave out faults that aren't needed.")
@@ -75,11 +75,11 @@
     """
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     if large:
-        vms, load = LARGE_VMS, LoadKind.WIDE.value
+        vms, load = LARGE_VM_COUNT, LoadKind.WIDE.value
     end = time.monotonic() + 60 * minutes
     totals = _Totals()
-    drawn = _rising_seeds(seed, vms, seconds)
-    given = _given(seed, schedule, regressions=regressions)
+    drawn = _draw_schedules(seed, vms, seconds)
+    given = _read_schedules(seed, schedule, regressions=regressions)
     for number, faults in drawn if given is None else given:
         plan = SoakPlan(
             seed=number,
@@ -90,11 +90,11 @@
         )
         verdict = _run(plan)
         totals.add(verdict)
-        click.echo(_line_of(plan, verdict))
-        if verdict.broken is not None:
-            _tell(plan, verdict)
+        click.echo(_format_result(plan, verdict))
+        if verdict.violation is not None:
+            _report_violation(plan, verdict)
             if shrink:
-                _shrink(plan, verdict)
+                _report_minimized(plan, verdict)
             if not keep_going:
                 break
         if time.monotonic() > end:
@@ -103,9 +103,9 @@
     sys.exit(1 if totals.broken else 0)
 
 
-def _run(plan: SoakPlan) -> SoakVerdict:
+def _run(plan: SoakPlan) -> SoakResult:
     soak = Soak(plan=plan)
-    return run_and_end(soak.run, soak.processes)
+    return run_and_close(soak.run, soak.processes)
 
 
 class _Totals:
@@ -114,43 +114,44 @@
     def __init__(self) -> None:
         self.soaks = self.broken = 0
         self.requests = self.checks = self.drains_watched = 0
-        self.struck_by_kind: Counter[str] = Counter()
-        self.ends: Counter[str] = Counter()
+        self.faults_by_kind: Counter[str] = Counter()
+        self.outcomes: Counter[str] = Counter()
 
-    def add(self, verdict: SoakVerdict) -> None:
+    def add(self, result: SoakResult) -> None:
         self.soaks += 1
-        self.broken += verdict.broken is not None
-        self.requests += verdict.requests
-        self.checks += verdict.checks
-        self.drains_watched += verdict.drains_watched
-        self.struck_by_kind += verdict.struck_by_kind
-        self.ends += verdict.ends
+        self.broken += result.violation is not None
+        self.requests += result.requests
+        self.checks += result.checks
+        self.drains_watched += result.drains_watched
+        self.faults_by_kind += result.faults_by_kind
+        self.outcomes += result.outcomes
 
     def text(self) -> str:
         """Tell them on one line."""
         return (
             f"soaks={self.soaks} broken={self.broken} requests={self.requests}"
             f" checks={self.checks} drains_watched={self.drains_watched}"
-            f" faults={self.struck_by_kind.total()} ({_list(self.struck_by_kind)})"
-            f" ends: {_list(self.ends)}"
+            f" faults={self.faults_by_kind.total()}"
+            f" ({_format_counts(self.faults_by_kind)})"
+            f" ends: {_format_counts(self.outcomes)}"
         )
 
 
-def _line_of(plan: SoakPlan, verdict: SoakVerdict) -> str:
-    held = "held" if verdict.broken is None else "broken"
+def _format_result(plan: SoakPlan, result: SoakResult) -> str:
+    held = "held" if result.violation is None else "broken"
     return (
-        f"{held}: seed={plan.seed} load={plan.load.value} requests={verdict.requests}"
-        f" faults={verdict.struck_by_kind.total()}"
-        f" drains_watched={verdict.drains_watched}"
-        f" most_starved_s={verdict.most_starved_s:.2f}"
+        f"{held}: seed={plan.seed} load={plan.load.value} requests={result.requests}"
+        f" faults={result.faults_by_kind.total()}"
+        f" drains_watched={result.drains_watched}"
+        f" most_starved_s={result.max_cpu_wait_s:.2f}"
     )
 
 
-def _list(counts: Counter[str]) -> str:
+def _format_counts(counts: Counter[str]) -> str:
     return ", ".join(f"{key} {count}" for key, count in sorted(counts.items()))
 
 
-def _given(
+def _read_schedules(
     seed: int, schedule: click.File | None, *, regressions: bool
 ) -> list[tuple[int, list[SoakFault]]] | None:
     """Give schedules that are read; None if they are to be drawn."""
@@ -162,7 +163,7 @@
     return load_regressions() if regressions else None
 
 
-def _rising_seeds(
+def _draw_schedules(
     seed: int, vms: int, seconds: float
 ) -> Iterator[tuple[int, list[SoakFault]]]:
     """Draw schedules of a seed and those after it."""
@@ -188,31 +189,31 @@
     ]
 
 
-def _tell(plan: SoakPlan, verdict: SoakVerdict) -> None:
-    broken = verdict.broken
+def _report_violation(plan: SoakPlan, result: SoakResult) -> None:
+    broken = result.violation
     assert broken is not None
-    path = verdict.folder / "schedule.jsonl"
+    path = result.folder / "schedule.jsonl"
     path.write_text(write_schedule(plan.faults), encoding="utf-8")
     where = f"--seed {plan.seed} --vms {plan.vms} --load {plan.load.value}"
-    click.echo(f"broken: {broken.promise}: {broken.detail}")
-    click.echo(f"  logs: {verdict.folder}")
+    click.echo(f"broken: {broken.guarantee}: {broken.detail}")
+    click.echo(f"  logs: {result.folder}")
     click.echo(f"  replay: {where} --minutes 0 --schedule {path}")
-    if broken.request:
-        logs = [str(each) for each in sorted(verdict.folder.glob("*-*.log"))]
-        told = CliRunner().invoke(operate, ["explain", broken.request, *logs])
+    if broken.log_id:
+        logs = [str(each) for each in sorted(result.folder.glob("*-*.log"))]
+        told = CliRunner().invoke(operate, ["explain", broken.log_id, *logs])
         click.echo(told.output)
 
 
-def _shrink(plan: SoakPlan, verdict: SoakVerdict) -> None:
+def _report_minimized(plan: SoakPlan, result: SoakResult) -> None:
     """Leave out one fault after the other while the same promise breaks."""
-    assert verdict.broken is not None
-    promise = verdict.broken.promise
+    assert result.violation is not None
+    promise = result.violation.guarantee
 
     def breaks(faults: tuple[SoakFault, ...]) -> bool:
-        found = _run(evolve(plan, faults=faults)).broken
-        return found is not None and found.promise == promise
+        found = _run(evolve(plan, faults=faults)).violation
+        return found is not None and found.guarantee == promise
 
-    needed = leave_out(plan.faults, breaks)
+    needed = minimize_faults(plan.faults, breaks)
     click.echo(f"needed, {len(needed)} of {len(plan.faults)} faults:")
     click.echo(write_schedule(needed))
 
--- a/packages/testkit/src/plankspindle_testkit/soak/telling.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/answer_reading.py
@@ -13,18 +13,18 @@
     from plankspindle_core.http.fetch import HttpAnswer
 
 
-def outcome_of(answer: HttpAnswer) -> Outcome | None:
+def read_outcome(answer: HttpAnswer) -> Outcome | None:
     """Read the outcome; None if none is told."""
     text = find_header(answer.headers, header_names.OUTCOME)
     return None if text is None else Outcome(text.decode())
 
 
-def log_id_of(answer: HttpAnswer) -> str:
+def read_log_id(answer: HttpAnswer) -> str:
     """Read the id by which logs tell of the request."""
     return (find_header(answer.headers, header_names.LOG_ID) or b"").decode()
 
 
-def is_own(answer: HttpAnswer, mark: str) -> bool:
+def answers_request(answer: HttpAnswer, mark: str) -> bool:
     """Tell whether an answer names the request, or is a failure of the upstream."""
     if answer.status >= 500:
         return True
--- a/packages/testkit/src/plankspindle_testkit/soak/drain_watch.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/drain_check.py
@@ -4,17 +4,17 @@
 
 from typing import TYPE_CHECKING
 
-from plankspindle_testkit.soak.promises import Broken
+from plankspindle_testkit.soak.guarantees import Violation
 from plankspindle_testkit.soak.soak_fault import PLATFORM
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from plankspindle_testkit.soak.promises import DrainedRuns
-    from plankspindle_testkit.soak.promises import Observations
+    from plankspindle_testkit.soak.guarantees import DrainedRuns
+    from plankspindle_testkit.soak.guarantees import Observations
 
 
-def knows_drain(seen: Observations, vm: str, runs: DrainedRuns) -> bool:
+def must_respect_drain(observations: Observations, vm: str, runs: DrainedRuns) -> bool:
     """Tell whether a VM must have kept away from a drained upstream.
 
     Notes
@@ -24,7 +24,7 @@
 
     Parameters
     ----------
-    seen : Observations
+    observations : Observations
         What was disturbed when.
     vm : str
         The VM.
@@ -32,10 +32,12 @@
         When the upstream was looked at; after the bound on drains.
     """
     concerned = (vm, runs.upstream, PLATFORM)
-    return not any(seen.is_struck(each, runs.begin, runs.end) for each in concerned)
+    return not any(
+        observations.is_disturbed(each, runs.begin, runs.end) for each in concerned
+    )
 
 
-def check_drains(seen: Observations) -> Iterator[Broken]:
+def check_drains(observations: Observations) -> Iterator[Violation]:
     """Give each request that a VM passed on to a drained upstream.
 
     Notes
@@ -44,21 +46,21 @@
     excused.
     """
     vms_by_mark: dict[str, set[str]] = {
-        mark: set() for runs in seen.drained_runs for mark in runs.marks
+        mark: set() for runs in observations.drained_runs for mark in runs.marks
     }
     if not vms_by_mark:
         return
-    for told in seen.told:
+    for told in observations.attempts:
         if told.mark in vms_by_mark:
             vms_by_mark[told.mark].add(told.vm)
-    for runs in seen.drained_runs:
+    for runs in observations.drained_runs:
         for mark in runs.marks:
             vms = vms_by_mark[mark]
-            if mark in seen.open_marks or not vms:
+            if mark in observations.in_flight_marks or not vms:
                 continue
-            if all(knows_drain(seen, vm, runs) for vm in vms):
+            if all(must_respect_drain(observations, vm, runs) for vm in vms):
                 detail = (
                     f"{runs.upstream} began {mark} of {', '.join(sorted(vms))}"
                     f" from {runs.begin:.1f} to {runs.end:.1f}, after it was drained"
                 )
-                yield Broken(promise="drained gets nothing new", detail=detail)
+                yield Violation(guarantee="drained gets nothing new", detail=detail)
--- a/packages/testkit/src/plankspindle_testkit/soak/striker.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/fault_injector.py
@@ -19,17 +19,17 @@
 from plankspindle_core.http.fetch import fetch
 from plankspindle_core.steady_clock import monotonic
 from plankspindle_testkit.processes import Processes
+from plankspindle_testkit.soak.guarantees import Observations
+from plankspindle_testkit.soak.guarantees import Span
 from plankspindle_testkit.soak.layout import Layout
 from plankspindle_testkit.soak.link_proxy import LinkState
 from plankspindle_testkit.soak.operators import Operators
-from plankspindle_testkit.soak.process_facts import handles
-from plankspindle_testkit.soak.promises import Observations
-from plankspindle_testkit.soak.promises import Span
+from plankspindle_testkit.soak.process_stats import handles_signal
 from plankspindle_testkit.soak.soak_fault import CALLER
-from plankspindle_testkit.soak.soak_fault import OF_LINKS
-from plankspindle_testkit.soak.soak_fault import OF_OPERATORS
-from plankspindle_testkit.soak.soak_fault import OF_UPSTREAMS
-from plankspindle_testkit.soak.soak_fault import OF_VMS
+from plankspindle_testkit.soak.soak_fault import LINK_KINDS
+from plankspindle_testkit.soak.soak_fault import OPERATOR_KINDS
+from plankspindle_testkit.soak.soak_fault import UPSTREAM_KINDS
+from plankspindle_testkit.soak.soak_fault import VM_KINDS
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -37,13 +37,13 @@
 
     from plankspindle_testkit.soak.soak_fault import SoakFault
 
-END_S = 25.0
+STOP_TIMEOUT_S = 25.0
 """Longest planned stop: settings give it 10 s to linger and 10 s for what runs."""
-AFTER_S = 6.0
+DISTURBED_AFTER_S = 6.0
 """Time after a fault in which its VM is still taken as disturbed, in seconds."""
-PASSING_S = 1.0
+KILL_NOTICE_S = 1.0
 """Time after the end of a killed process in which callers learn of it, in seconds."""
-START_S = 20.0
+START_TIMEOUT_S = 20.0
 """Longest time until a started process handles signals, in seconds."""
 STUTTER_GAP_S = 0.4
 STUTTER_PAUSES = 4
@@ -53,7 +53,7 @@
 does that has spent its share of a processor; then it runs freely for the gap.
 """
 PERIODS_MS = {"live_list_ms": 300, "configuration_ms": 200, "probe_ms": 300}
-STOP_MS = {"linger_ms": 1_000, "leave_ms": 8_000}
+STOP_TIMING_MS = {"linger_ms": 1_000, "leave_ms": 8_000}
 _PLATFORM_FAULTS: dict[str, dict[str, Any]] = {
     "platform-down": {"down": True},
     "platform-slow": {"delay_ms": 400},
@@ -62,7 +62,7 @@
 
 
 @define(kw_only=True)
-class Striker:
+class FaultInjector:
     """Strike daemons, stand-ins and links.
 
     Parameters
@@ -71,139 +71,144 @@
         What there is.
     processes : Processes
         The processes.
-    seen : Observations
+    observations : Observations
         Where to note what was disturbed when.
     operators : Operators
         Who change the configuration.
     began_at : float
         Start of the soak, monotonic seconds.
-    pace : float
+    period_factor : float
         Factor on the periods at which VMs read the platform and probe upstreams.
 
     Attributes
     ----------
-    stopped : set of str
+    stopping_vms : set of str
         VMs whose process is being ended or started here.
     """
 
     layout: Layout
     processes: Processes
-    seen: Observations
+    observations: Observations
     operators: Operators
     began_at: float
-    pace: float = 1.0
-    struck_by_kind: Counter[str] = field(factory=Counter)
-    stopped: set[str] = field(factory=set)
+    period_factor: float = 1.0
+    faults_by_kind: Counter[str] = field(factory=Counter)
+    stopping_vms: set[str] = field(factory=set)
 
     def now(self) -> float:
         """Seconds of the soak."""
         return monotonic() - self.began_at
 
-    async def strike(self, fault: SoakFault) -> None:
+    async def inject(self, fault: SoakFault) -> None:
         """Let one fault happen, wait for its length, and end it."""
-        self.struck_by_kind[fault.kind] += 1
-        if fault.kind in OF_VMS:
-            await self._strike_vms(fault.kind, fault.target, fault.for_s)
+        self.faults_by_kind[fault.kind] += 1
+        if fault.kind in VM_KINDS:
+            await self._inject_vm_faults(fault.kind, fault.target, fault.for_s)
             return
-        with self._disturbing(fault.disturbs()):
-            await self._carry_out(fault.kind, fault.target, fault.for_s)
+        with self._disturbing(fault.disturbed_targets()):
+            await self._inject_other(fault.kind, fault.target, fault.for_s)
 
     @contextmanager
     def _disturbing(self, names: Iterable[str]) -> Iterator[None]:
-        """Note that something is disturbed, and for ``AFTER_S`` after that."""
+        """Record a disturbance, which lasts ``DISTURBED_AFTER_S`` longer."""
         span = Span(self.now())
         for name in names:
-            self.seen.spans_by_struck.setdefault(name, []).append(span)
+            self.observations.disturbances_by_target.setdefault(name, []).append(span)
         try:
             yield
         finally:
-            span.end = self.now() + AFTER_S
+            span.end = self.now() + DISTURBED_AFTER_S
 
     @contextmanager
-    def _cutting(self, vm: str, after_s: float) -> Iterator[None]:
+    def _allowing_cuts(self, vm: str, after_s: float) -> Iterator[None]:
         """Note that connections of a VM's callers may close without an answer."""
         span = Span(self.now())
-        self.seen.cuts_by_vm.setdefault(vm, []).append(span)
+        self.observations.allowed_cuts_by_vm.setdefault(vm, []).append(span)
         try:
             yield
         finally:
             span.end = self.now() + after_s
 
-    async def _carry_out(self, kind: str, target: str, for_s: float) -> None:
-        if kind in OF_UPSTREAMS:
-            await self._strike_upstream(kind, target, for_s)
-        elif kind in OF_LINKS:
-            await self._strike_link(kind, target, for_s)
+    async def _inject_other(self, kind: str, target: str, for_s: float) -> None:
+        if kind in UPSTREAM_KINDS:
+            await self._inject_upstream_fault(kind, target, for_s)
+        elif kind in LINK_KINDS:
+            await self._inject_link_fault(kind, target, for_s)
         elif kind in _PLATFORM_FAULTS:
             await self._control_platform(_PLATFORM_FAULTS[kind])
             await sleep(for_s)
             await self._control_platform({})
-        elif kind in OF_OPERATORS:
-            await self._operate(kind, target, for_s)
+        elif kind in OPERATOR_KINDS:
+            await self._run_operator_fault(kind, target, for_s)
         else:
             raise ValueError(f"no fault {kind!r}")
 
-    async def _operate(self, kind: str, target: str, for_s: float) -> None:
+    async def _run_operator_fault(self, kind: str, target: str, for_s: float) -> None:
         match kind:
             case "drain":
                 first = next(iter(self.layout.upstream_endpoints))
                 await self.operators.drain(target or first, for_s)
             case "storm":
-                await self.operators.storm()
+                await self.operators.apply_several()
             case _:
-                await self.operators.race()
+                await self.operators.make_competing_plans()
 
-    async def _strike_vms(self, kind: str, target: str, for_s: float) -> None:
+    async def _inject_vm_faults(self, kind: str, target: str, for_s: float) -> None:
         match kind:
             case "herd":
-                await self._herd()
+                await self._restart_all()
             case "rolling":
                 for place in self.layout.places:
-                    await self._strike_vm("term", place.name, for_s)
+                    await self._inject_vm_fault("term", place.name, for_s)
             case _:
-                await self._strike_vm(kind, target, for_s)
+                await self._inject_vm_fault(kind, target, for_s)
 
     async def start_vm(self, name: str) -> None:
         """Start a process on a VM, unless one runs there."""
-        process = self.processes.by_name.get(name)
+        process = self.processes.process_by_name.get(name)
         if process is not None and process.poll() is None:
             return
         place = next(each for each in self.layout.places if each.name == name)
-        self.stopped.discard(name)
-        platform = self.layout.entry("store", name)
-        periods = {key: round(ms * self.pace) for key, ms in PERIODS_MS.items()}
-        timing = {**periods, **STOP_MS}
+        self.stopping_vms.discard(name)
+        platform = self.layout.proxy_endpoint("store", name)
+        periods = {
+            key: round(ms * self.period_factor) for key, ms in PERIODS_MS.items()
+        }
+        timing = {**periods, **STOP_TIMING_MS}
         self.processes.start_daemon(place, platform=platform, timing=timing)
 
-    async def _strike_vm(self, kind: str, name: str, for_s: float) -> None:
-        if name in self.stopped:
+    async def _inject_vm_fault(self, kind: str, name: str, for_s: float) -> None:
+        if name in self.stopping_vms:
             return
-        process = self.processes.by_name[name]
+        process = self.processes.process_by_name[name]
         match kind:
             case "hup":
-                await self._hang_up(process)
+                await self._send_sighup(process)
             case "stop":
-                with self._disturbing([name]), self._cutting(name, AFTER_S):
+                with (
+                    self._disturbing([name]),
+                    self._allowing_cuts(name, DISTURBED_AFTER_S),
+                ):
                     await self._pause(process, for_s)
             case "stutter":
                 await self._stutter(process, for_s)
             case "kill":
-                self.stopped.add(name)
+                self.stopping_vms.add(name)
                 with self._disturbing([name]):
                     await self._kill(name)
                     await sleep(for_s / 4)
                     await self.start_vm(name)
             case _:
-                self.stopped.add(name)
-                await self._end_planned(name)
+                self.stopping_vms.add(name)
+                await self._stop_gracefully(name)
                 with self._disturbing([name]):
                     await sleep(for_s / 4)
                     await self.start_vm(name)
 
-    async def _hang_up(self, process: subprocess.Popen[bytes]) -> None:
+    async def _send_sighup(self, process: subprocess.Popen[bytes]) -> None:
         """Ask for the settings to be read again, once the interpreter is up."""
-        end = self.now() + START_S
-        while not handles(process.pid, signal.SIGHUP) and self.now() < end:
+        end = self.now() + START_TIMEOUT_S
+        while not handles_signal(process.pid, signal.SIGHUP) and self.now() < end:
             if process.poll() is not None:
                 return
             await sleep(0.05)
@@ -227,47 +232,49 @@
         """Kill processes at one moment and wait for their ends."""
         with ExitStack() as cuts:
             for name in names:
-                cuts.enter_context(self._cutting(name, PASSING_S))
-                self.processes.by_name[name].kill()
+                cuts.enter_context(self._allowing_cuts(name, KILL_NOTICE_S))
+                self.processes.process_by_name[name].kill()
             for name in names:
-                status = await run_in_thread(self.processes.by_name[name].wait)
+                status = await run_in_thread(self.processes.process_by_name[name].wait)
                 if status != -signal.SIGKILL:
-                    self.note_end(name, status)
+                    self.record_exit(name, status)
 
-    def note_end(self, name: str, status: int) -> None:
+    def record_exit(self, name: str, status: int) -> None:
         """Note a process that ended by itself."""
-        last = (self.processes.log_of(name).splitlines() or [""])[-1]
-        self.seen.ends.append((name, status, last))
+        last = (self.processes.read_log(name).splitlines() or [""])[-1]
+        self.observations.unexpected_exits.append((name, status, last))
 
-    async def _end_planned(self, name: str) -> None:
-        process = self.processes.by_name[name]
-        follows = handles(process.pid, signal.SIGTERM)
+    async def _stop_gracefully(self, name: str) -> None:
+        process = self.processes.process_by_name[name]
+        follows = handles_signal(process.pid, signal.SIGTERM)
         process.send_signal(signal.SIGTERM)
         try:
-            status = await run_in_thread(process.wait, END_S)
+            status = await run_in_thread(process.wait, STOP_TIMEOUT_S)
         except subprocess.TimeoutExpired:
-            self.seen.ends.append((name, 0, f"runs on {END_S} s after its stop"))
+            self.observations.unexpected_exits.append(
+                (name, 0, f"runs on {STOP_TIMEOUT_S} s after its stop")
+            )
             return
         if status == -signal.SIGTERM and not follows:
             return
         if status != 0:
-            self.note_end(name, status)
-        log = self.processes.log_of(name)
+            self.record_exit(name, status)
+        log = self.processes.read_log(name)
         left = [line for line in log.splitlines() if "event=left" in line]
         cut_off = int(left[-1].rpartition("cut_off=")[2]) if left else 0
         if cut_off:
-            self.seen.cut_off.append((name, cut_off))
+            self.observations.cut_off_by_stop.append((name, cut_off))
 
-    async def _herd(self) -> None:
+    async def _restart_all(self) -> None:
         struck = [each.name for each in self.layout.places]
-        struck = [name for name in struck if name not in self.stopped]
-        self.stopped |= set(struck)
+        struck = [name for name in struck if name not in self.stopping_vms]
+        self.stopping_vms |= set(struck)
         with self._disturbing(struck):
             await self._kill(*struck)
             for name in struck:
                 await self.start_vm(name)
 
-    async def _strike_upstream(self, kind: str, name: str, for_s: float) -> None:
+    async def _inject_upstream_fault(self, kind: str, name: str, for_s: float) -> None:
         endpoint = self.layout.upstream_endpoints[name]
         for mode in (kind, "serve"):
             body = json.dumps({"mode": mode}).encode()
@@ -277,10 +284,10 @@
             if mode == kind:
                 await sleep(for_s)
 
-    async def _strike_link(self, kind: str, target: str, for_s: float) -> None:
+    async def _inject_link_fault(self, kind: str, target: str, for_s: float) -> None:
         link, _, name = target.partition(":")
         if link == CALLER:
-            with self._cutting(name, AFTER_S):
+            with self._allowing_cuts(name, DISTURBED_AFTER_S):
                 await self._change_link(kind, target, for_s)
         else:
             await self._change_link(kind, target, for_s)
@@ -288,7 +295,7 @@
     async def _change_link(self, kind: str, target: str, for_s: float) -> None:
         proxy = self.layout.proxies_by_link[target]
         if kind == "silence":
-            proxy.silence_open()
+            proxy.blackhole_open()
             await sleep(for_s)
             return
         proxy.state = LinkState(kind)
--- a/packages/testkit/src/plankspindle_testkit/soak/shrinking.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/fault_minimizer.py
@@ -11,8 +11,8 @@
     from plankspindle_testkit.soak.soak_fault import SoakFault
 
 
-def leave_out(
-    faults: Sequence[SoakFault], breaks: Callable[[tuple[SoakFault, ...]], bool]
+def minimize_faults(
+    faults: Sequence[SoakFault], violates: Callable[[tuple[SoakFault, ...]], bool]
 ) -> list[SoakFault]:
     """Leave out one fault after the other while the same promise breaks.
 
@@ -20,7 +20,7 @@
     ----------
     faults : sequence of SoakFault
         Faults that break it.
-    breaks : callable
+    violates : callable
         Plays faults and tells whether they break the same promise.
 
     Returns
@@ -32,6 +32,6 @@
     needed = list(faults)
     for fault in faults:
         fewer = [each for each in needed if each is not fault]
-        if breaks(tuple(fewer)):
+        if violates(tuple(fewer)):
             needed = fewer
     return needed
