--- a/packages/testkit/src/plankspindle_testkit/soak/layout.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/layout.py
@@ -11,11 +11,11 @@
 from plankspindle_core.configuration.drain import DrainKind
 from plankspindle_core.configuration.operation import Operation
 from plankspindle_core.endpoint import Endpoint
-from plankspindle_testkit.builders import VmPlace
+from plankspindle_testkit.builders import VmAddresses
 from plankspindle_testkit.builders import build_configuration
 from plankspindle_testkit.builders import build_service
 from plankspindle_testkit.builders import build_upstream
-from plankspindle_testkit.loopback_network import host_of_run
+from plankspindle_testkit.loopback_network import loopback_host
 from plankspindle_testkit.soak.link_proxy import LinkProxy
 
 if TYPE_CHECKING:
@@ -24,9 +24,9 @@
     from plankspindle_core.configuration.configuration import Configuration
 
 FIRST_PORT = 20_000
-PORTS_OF_VM = 10
+PORTS_PER_VM = 10
 SLOTS = 8
-UPSTREAMS = 3
+UPSTREAMS_PER_DOMAIN = 3
 TIMEOUT_MS = 2_000
 SERVICE = "registry"
 
@@ -54,44 +54,44 @@
     vms: int
     first_port: int = FIRST_PORT
     slots: int = SLOTS
-    places: list[VmPlace] = Factory(list)
+    places: list[VmAddresses] = Factory(list)
     proxies_by_link: dict[str, LinkProxy] = Factory(dict)
     upstream_endpoints: dict[str, Endpoint] = Factory(dict)
 
     def __attrs_post_init__(self) -> None:
         for number in range(self.vms):
             domain = ("ba-1", "ke-1")[number % 2]
-            port = self.first_port + 100 + PORTS_OF_VM * number
-            place = VmPlace(
+            port = self.first_port + 100 + PORTS_PER_VM * number
+            place = VmAddresses(
                 name=f"{domain}-{number}",
                 failure_domain=domain,
-                host=host_of_run(12, 1),
+                host=loopback_host(12, 1),
                 base_port=port,
             )
             self.places.append(place)
             self._add_proxy("caller", place.name, place.caller)
             self._add_proxy("store", place.name, self.platform)
-        for number in range(UPSTREAMS):
+        for number in range(UPSTREAMS_PER_DOMAIN):
             for domain in ("ba-1", "ke-1"):
                 name = f"u{number}-{domain}"
                 port = self.first_port + 50 + len(self.upstream_endpoints)
-                self.upstream_endpoints[name] = Endpoint(host_of_run(12, 2), port)
+                self.upstream_endpoints[name] = Endpoint(loopback_host(12, 2), port)
                 self._add_proxy("upstream", name, self.upstream_endpoints[name])
 
     @property
     def platform(self) -> Endpoint:
         """The platform stand-in."""
-        return Endpoint(host_of_run(12, 3), self.first_port)
+        return Endpoint(loopback_host(12, 3), self.first_port)
 
     def _add_proxy(self, link: str, name: str, target: Endpoint) -> None:
         port = self.first_port + 5_000 + len(self.proxies_by_link)
-        listens = Endpoint(host_of_run(12, 4), port)
-        proxy = LinkProxy(listens=listens, target=target)
+        listens = Endpoint(loopback_host(12, 4), port)
+        proxy = LinkProxy(endpoint=listens, target=target)
         self.proxies_by_link[f"{link}:{name}"] = proxy
 
-    def entry(self, link: str, name: str) -> Endpoint:
+    def proxy_endpoint(self, link: str, name: str) -> Endpoint:
         """Give where a link is entered."""
-        return self.proxies_by_link[f"{link}:{name}"].listens
+        return self.proxies_by_link[f"{link}:{name}"].endpoint
 
     def configuration(
         self, version: int = 0, *, drained: Iterable[str] = ()
@@ -116,7 +116,7 @@
         ]
         upstreams = {
             name: build_upstream(
-                endpoint=self.entry("upstream", name),
+                endpoint=self.proxy_endpoint("upstream", name),
                 slots=self.slots,
                 failure_domain=name.split("-", 1)[1],
             )
--- a/packages/testkit/src/plankspindle_testkit/soak/link_proxy.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/link_proxy.py
@@ -41,7 +41,7 @@
 
     Parameters
     ----------
-    listens : Endpoint
+    endpoint : Endpoint
         Where to connect to.
     target : Endpoint
         Where that leads.
@@ -50,15 +50,15 @@
     ----------
     state : LinkState
         What it does at present.
-    struck_at : float
+    disturbed_at : float
         When it last did other than pass, seconds of the soak.
     """
 
-    listens: Endpoint
+    endpoint: Endpoint
     target: Endpoint
     state: LinkState = LinkState.PASSES
-    struck_at: float = float("-inf")
-    _silenced: set[int] = field(factory=set)
+    disturbed_at: float = float("-inf")
+    _blackholed: set[int] = field(factory=set)
     _pairs: dict[int, tuple[Any, Any]] = field(factory=dict)
     _count: int = 0
     _task: Any = None
@@ -68,7 +68,7 @@
         """Listen."""
         self._listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self._listener.bind((self.listens.host, self.listens.port))
+        self._listener.bind((self.endpoint.host, self.endpoint.port))
         self._listener.listen(128)
         self._task = await spawn(self._accept, daemon=True)
 
@@ -79,9 +79,9 @@
             await self._listener.close()
             self.reset_open()
 
-    def silence_open(self) -> None:
+    def blackhole_open(self) -> None:
         """Let the connections that are open now carry nothing more, for good."""
-        self._silenced |= set(self._pairs)
+        self._blackholed |= set(self._pairs)
 
     def reset_open(self) -> None:
         """Reset the connections that are open now."""
@@ -108,16 +108,16 @@
             _reset(client)
         finally:
             del self._pairs[number]
-            self._silenced.discard(number)
+            self._blackholed.discard(number)
             await client.close()
             await server.close()
 
     async def _pump(self, number: int, source: Any, sink: Any, answers: bool) -> None:
         try:
             while data := await source.recv(CHUNK_BYTES):
-                while self._holds(number, answers=answers):
+                while self._is_held(number, answers=answers):
                     await sleep(HELD_POLL_S)
-                await self._pause(len(data))
+                await self._delay(len(data))
                 if self.state is LinkState.RESETS:
                     _reset(source)
                     _reset(sink)
@@ -126,13 +126,13 @@
         except OSError:
             _reset(sink)
 
-    def _holds(self, number: int, *, answers: bool) -> bool:
-        if number in self._silenced:
+    def _is_held(self, number: int, *, answers: bool) -> bool:
+        if number in self._blackholed:
             return True
         held = LinkState.HOLDS_ANSWERS if answers else LinkState.HOLDS_REQUESTS
         return self.state is held
 
-    async def _pause(self, size: int) -> None:
+    async def _delay(self, size: int) -> None:
         if self.state is LinkState.DELAYS:
             await sleep(DELAY_S)
         elif self.state is LinkState.THROTTLES:
--- a/packages/testkit/src/plankspindle_testkit/soak/log_watch.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/log_error_reader.py
@@ -7,12 +7,12 @@
 from attrs import define
 from attrs import field
 
-UNEXPECTED = ("error_contained", "crashed", "invariant_broken")
+UNEXPECTED_EVENTS = ("error_contained", "crashed", "invariant_broken")
 """Events of errors that no code expects; each is a fault of the program."""
 
 
 @define(kw_only=True)
-class LogWatch:
+class LogErrorReader:
     """Read on in logs.
 
     Parameters
@@ -24,7 +24,7 @@
     folder: Path
     _read_by_vm: dict[str, int] = field(factory=dict)
 
-    def unexpected_of(self, vm: str) -> list[str]:
+    def read_new_errors(self, vm: str) -> list[str]:
         """Give lines on unexpected errors that were written since the last time."""
         with (self.folder / f"{vm}.log").open("rb") as log:
             log.seek(self._read_by_vm.get(vm, 0))
@@ -35,4 +35,4 @@
 
 
 def _is_unexpected(line: str) -> bool:
-    return any(f" event={event} " in line for event in UNEXPECTED)
+    return any(f" event={event} " in line for event in UNEXPECTED_EVENTS)
--- a/packages/testkit/src/plankspindle_testkit/soak/operators.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/operators.py
@@ -16,26 +16,26 @@
 from plankspindle_core.configuration.codec import configuration_to_mapping
 from plankspindle_core.http.fetch import fetch
 from plankspindle_core.steady_clock import monotonic
-from plankspindle_testkit.soak.drain_watch import knows_drain
+from plankspindle_testkit.soak.drain_check import must_respect_drain
+from plankspindle_testkit.soak.guarantees import DrainedRuns
+from plankspindle_testkit.soak.guarantees import Observations
 from plankspindle_testkit.soak.layout import Layout
 from plankspindle_testkit.soak.layout import drain_id_of
-from plankspindle_testkit.soak.promises import DrainedRuns
-from plankspindle_testkit.soak.promises import Observations
 
 if TYPE_CHECKING:
     from plankspindle_core.endpoint import Endpoint
-    from plankspindle_testkit.builders import VmPlace
+    from plankspindle_testkit.builders import VmAddresses
 
-DRAIN_BOUND_S = 5.0
+DRAIN_EFFECT_S = 5.0
 """Time after its acknowledgement from which a drain must hold at every VM."""
-LOOK_S = 0.5
+POLL_PERIOD_S = 0.5
 """Time between two looks at what a drained upstream runs."""
 UNDO_TRIES = 3
 STORM_VERSIONS = 4
-CALL_S = 4.0
-CONFIRM_S = 60.0
+CALL_TIMEOUT_S = 4.0
+CONFIRM_TIMEOUT_S = 60.0
 """Time for which a plan is confirmed again to learn its end, in seconds."""
-CONFIRM_GAP_S = 0.2
+CONFIRM_RETRY_DELAY_S = 0.2
 _MADE = 201
 _ACCEPTED = 200
 _REFUSED = (404, 409, 410, 422)
@@ -50,7 +50,7 @@
     ----------
     layout : Layout
         What there is.
-    seen : Observations
+    observations : Observations
         Where to note what drained upstreams run.
     began_at : float
         Start of the soak, monotonic seconds.
@@ -61,20 +61,20 @@
         Versions that were made here.
     accepted : int
         Newest accepted version.
-    doubtful : int
+    unconfirmed : int
         Newest version of which it was not learned whether it is in force.
     drained : set of str
         Upstreams with a drain in force.
     """
 
     layout: Layout
-    seen: Observations
+    observations: Observations
     began_at: float
     applied: int = 0
     accepted: int = 0
-    doubtful: int = 0
+    unconfirmed: int = 0
     drained: set[str] = field(factory=set)
-    _changing: Any = field(factory=Lock)
+    _change_lock: Any = field(factory=Lock)
 
     def now(self) -> float:
         """Seconds of the soak."""
@@ -82,15 +82,15 @@
 
     async def apply(self) -> bool:
         """Put another version of the configuration in force, drains kept."""
-        async with self._changing:
+        async with self._change_lock:
             self.applied += 1
-            return await self.put_in_force({"kind": "apply", **self._configuration()})
+            return await self.apply_intent({"kind": "apply", **self._configuration()})
 
     def _configuration(self) -> dict[str, Any]:
         made = self.layout.configuration(self.applied, drained=sorted(self.drained))
         return {"configuration": configuration_to_mapping(made)}
 
-    async def put_in_force(self, intent: dict[str, Any]) -> bool:
+    async def apply_intent(self, intent: dict[str, Any]) -> bool:
         """Plan and confirm an intent at any VM; False if none takes it."""
         for place in self.layout.places:
             status, made = await self._post(place.operator, "/v1/plans", intent)
@@ -98,11 +98,11 @@
                 return await self._confirm(made, place)
         return False
 
-    async def _confirm(self, plan: dict[str, Any], first: VmPlace) -> bool:
+    async def _confirm(self, plan: dict[str, Any], first: VmAddresses) -> bool:
         """Confirm a plan, and again at the other VMs until its end is known."""
         version = int(plan["base_version"]) + 1
         path = f"/v1/plans/{plan['id']}/confirm"
-        end = self.now() + CONFIRM_S
+        end = self.now() + CONFIRM_TIMEOUT_S
         places = cycle([first, *self.layout.places])
         while self.now() < end:
             status, _ = await self._post(next(places).operator, path, {})
@@ -111,8 +111,8 @@
                 return True
             if status in _REFUSED:
                 return False
-            await sleep(CONFIRM_GAP_S)
-        self.doubtful = max(self.doubtful, version)
+            await sleep(CONFIRM_RETRY_DELAY_S)
+        self.unconfirmed = max(self.unconfirmed, version)
         return False
 
     async def _post(
@@ -124,19 +124,19 @@
             method="POST",
             target=path,
             body=json.dumps(content).encode(),
-            timeout_s=CALL_S,
+            timeout_s=CALL_TIMEOUT_S,
         )
         if answer.is_err():
             return 0, {}
         found: dict[str, Any] = json.loads(answer.unwrap().body)
         return answer.unwrap().status, found
 
-    async def storm(self) -> None:
+    async def apply_several(self) -> None:
         """Put several versions in force, one right after the other."""
         for _ in range(STORM_VERSIONS):
             await self.apply()
 
-    async def race(self) -> None:
+    async def make_competing_plans(self) -> None:
         """Make plans on one base at two VMs."""
         first, last = self.layout.places[0], self.layout.places[-1]
         intent = {"kind": "apply", **self._configuration()}
@@ -155,11 +155,11 @@
         """
         drain = {"kind": "upstream", "name": name}
         intent = {"kind": "drain", "drain_id": drain_id_of(name), "drain": drain}
-        async with self._changing:
-            if name in self.drained or not await self.put_in_force(intent):
+        async with self._change_lock:
+            if name in self.drained or not await self.apply_intent(intent):
                 return
             self.drained.add(name)
-        await sleep(DRAIN_BOUND_S)
+        await sleep(DRAIN_EFFECT_S)
         await self._watch_drained(name, for_s)
         await self._undo_drain(name)
 
@@ -168,19 +168,20 @@
         until = begin + for_s
         was_watched = False
         while begin < until:
-            await sleep(LOOK_S)
+            await sleep(POLL_PERIOD_S)
             after, end = await self.runs_of(name), self.now()
             looked = DrainedRuns(
                 upstream=name, begin=begin, end=end, marks=tuple(after - before)
             )
-            self.seen.drained_runs.append(looked)
+            self.observations.drained_runs.append(looked)
             was_watched |= any(
-                knows_drain(self.seen, vm, looked) for vm in self._usual_vms_of(name)
+                must_respect_drain(self.observations, vm, looked)
+                for vm in self._local_vms_of(name)
             )
             before, begin = after, end
-        self.seen.drains_watched += was_watched
+        self.observations.drains_watched += was_watched
 
-    def _usual_vms_of(self, upstream: str) -> list[str]:
+    def _local_vms_of(self, upstream: str) -> list[str]:
         """Name the VMs that use an upstream whenever it isn't drained."""
         return [
             place.name
@@ -189,11 +190,11 @@
         ]
 
     async def _undo_drain(self, name: str) -> None:
-        async with self._changing:
+        async with self._change_lock:
             self.drained.discard(name)
             for _ in range(UNDO_TRIES):
                 undo = {"kind": "undo-drain", "drain_id": drain_id_of(name)}
-                if await self.put_in_force(undo):
+                if await self.apply_intent(undo):
                     return
 
     async def runs_of(self, upstream: str) -> Counter[str]:
--- a/packages/testkit/src/plankspindle_testkit/soak/kept_connections.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/persistent_caller.py
@@ -23,39 +23,39 @@
 from plankspindle_core.time_limit import within
 from plankspindle_testkit.soak.layout import SERVICE
 from plankspindle_testkit.soak.layout import TIMEOUT_MS
-from plankspindle_testkit.soak.load import LEAST_TIMEOUT_MS
+from plankspindle_testkit.soak.load import MIN_SLOW_TIMEOUT_MS
 from plankspindle_testkit.soak.load import Load
-from plankspindle_testkit.soak.telling_caller import AUTHORIZATION
-from plankspindle_testkit.soak.telling_caller import TellingCaller
-from plankspindle_testkit.upstream_stand_in.upstream_stand_in import RUN_HEADER
-from plankspindle_testkit.upstream_stand_in.upstream_stand_in import WORK_HEADER
+from plankspindle_testkit.soak.recording_caller import AUTHORIZATION
+from plankspindle_testkit.soak.recording_caller import RecordingCaller
+from plankspindle_testkit.upstream_stand_in.upstream_stand_in import MARK_HEADER
+from plankspindle_testkit.upstream_stand_in.upstream_stand_in import WORK_MS_HEADER
 
 if TYPE_CHECKING:
     from plankspindle_core.http.headers import HeaderList
 
-CONNECT_S = 1.0
-RECONNECT_S = 0.2
+CONNECT_TIMEOUT_S = 1.0
+MEAN_RECONNECT_DELAY_S = 0.2
 """Usual time until a closed connection is made anew, in seconds."""
-REFUSED_REST_S = 1.0
+MAX_REFUSED_DELAY_S = 1.0
 """Longest rest after a request that was told not-run, so that those that run set the
 load; shortest half of it.
 """
-NO_ANSWER_S = 3.0
+ANSWER_GRACE_S = 3.0
 """Time after the deadline beyond which no answer will come, in seconds."""
-MOST_BODY_BYTES = 1_000_000
+MAX_BODY_BYTES = 1_000_000
 SHORT_WORK_MS = 5.0
-SLOW_FROM = 0.6
-SLOW_TO = 1.1
+MIN_SLOW_WORK_SHARE = 0.6
+MAX_SLOW_WORK_SHARE = 1.1
 """Work of slow requests, as parts of the time that they are given."""
 
 
 @frozen
-class Unsent(ConnectionLost):
+class RequestNotSent(ConnectionLost):
     """The connection was lost before all of the request was sent."""
 
 
 @frozen(kw_only=True)
-class KeptRequest:
+class PlannedRequest:
     """One request on a kept connection.
 
     Parameters
@@ -77,7 +77,7 @@
 
 
 @define(kw_only=True)
-class KeptCaller(TellingCaller):
+class PersistentCaller(RecordingCaller):
     """Send requests one after the other on one connection to one entry VM.
 
     Parameters
@@ -99,70 +99,77 @@
     async def run(self) -> None:
         """Send requests until cancelled."""
         while True:
-            connection = ClientConnection(endpoint=self.layout.entry("caller", self.vm))
-            if (await connection.start(timeout_s=CONNECT_S)).is_ok():
-                await self._use(connection)
+            connection = ClientConnection(
+                endpoint=self.layout.proxy_endpoint("caller", self.vm)
+            )
+            if (await connection.start(timeout_s=CONNECT_TIMEOUT_S)).is_ok():
+                await self._send_until_closed(connection)
             await connection.close()
-            await sleep(RECONNECT_S * (0.5 + self.random.random()))
+            await sleep(MEAN_RECONNECT_DELAY_S * (0.5 + self.random.random()))
 
-    async def _use(self, connection: ClientConnection) -> None:
-        while await self._send(connection, self._draw()):
-            was_refused = self.seen.told[-1].outcome is Outcome.NOT_RUN
+    async def _send_until_closed(self, connection: ClientConnection) -> None:
+        while await self._send(connection, self._draw_request()):
+            was_refused = self.observations.attempts[-1].outcome is Outcome.NOT_RUN
             if was_refused:
-                await sleep(REFUSED_REST_S * self.random.uniform(0.5, 1.0))
+                await sleep(MAX_REFUSED_DELAY_S * self.random.uniform(0.5, 1.0))
             else:
-                await sleep(self.load.rest_s * self.random.random() ** 2)
+                await sleep(self.load.max_think_time_s * self.random.random() ** 2)
 
-    def _draw(self) -> KeptRequest:
+    def _draw_request(self) -> PlannedRequest:
         mark = self.next_mark()
-        is_slow = self.random.random() < self.load.slow_part
+        is_slow = self.random.random() < self.load.slow_share
         timeout_ms, work_ms = TIMEOUT_MS, SHORT_WORK_MS
-        if is_slow and not self.seen.is_calming:
+        if is_slow and not self.observations.is_recovering:
             timeout_ms = self.random.randrange(
-                LEAST_TIMEOUT_MS, self.load.most_timeout_ms
+                MIN_SLOW_TIMEOUT_MS, self.load.max_slow_timeout_ms
+            )
+            work_ms = timeout_ms * self.random.uniform(
+                MIN_SLOW_WORK_SHARE, MAX_SLOW_WORK_SHARE
             )
-            work_ms = timeout_ms * self.random.uniform(SLOW_FROM, SLOW_TO)
-        return KeptRequest(
+        return PlannedRequest(
             mark=mark,
             is_read=self.random.random() < 2 / 3,
             timeout_ms=timeout_ms,
             work_ms=work_ms,
         )
 
-    async def _send(self, connection: ClientConnection, request: KeptRequest) -> bool:
+    async def _send(
+        self, connection: ClientConnection, request: PlannedRequest
+    ) -> bool:
         """Make one exchange; False if the connection can't be used again."""
-        self.seen.open_marks.add(request.mark)
+        self.observations.in_flight_marks.add(request.mark)
         asked_at = self.now()
-        wait_s = request.timeout_ms / 1000 + NO_ANSWER_S
+        wait_s = request.timeout_ms / 1000 + ANSWER_GRACE_S
         answer: Result[HttpAnswer, HttpError]
         try:
             answer = await within(wait_s, _exchange, connection, request)
         except TaskTimeout:
             answer = Err(TimedOut(wait_s))
-        self._note_end(request, asked_at, answer)
-        self.seen.open_marks.discard(request.mark)
+        self._record_attempt(request, asked_at, answer)
+        self.observations.in_flight_marks.discard(request.mark)
         return answer.is_ok() and connection.prepare_reuse()
 
-    def _note_end(
+    def _record_attempt(
         self,
-        request: KeptRequest,
-        asked_at: float,
+        request: PlannedRequest,
+        sent_at: float,
         answer: Result[HttpAnswer, HttpError],
     ) -> None:
         error = answer.err()
-        self.note(
+        self.record_attempt(
             answer.ok(),
             mark=request.mark,
             vm=self.vm,
             is_read=request.is_read,
-            asked_at=asked_at,
+            sent_at=sent_at,
             timeout_ms=request.timeout_ms,
-            is_cut=isinstance(error, ConnectionLost) and not isinstance(error, Unsent),
+            is_cut_off=isinstance(error, ConnectionLost)
+            and not isinstance(error, RequestNotSent),
         )
 
 
 async def _exchange(
-    connection: ClientConnection, request: KeptRequest
+    connection: ClientConnection, request: PlannedRequest
 ) -> Result[HttpAnswer, HttpError]:
     sent = await connection.send_request(
         method="GET" if request.is_read else "POST",
@@ -172,11 +179,11 @@
     if sent.is_ok():
         sent = await connection.end_request()
     if sent.is_err():
-        return Err(Unsent(str(sent.unwrap_err())))
+        return Err(RequestNotSent(str(sent.unwrap_err())))
     head = await connection.read_head()
     if head.is_err():
         return Err(head.unwrap_err())
-    body = await connection.read_body(max_bytes=MOST_BODY_BYTES)
+    body = await connection.read_body(max_bytes=MAX_BODY_BYTES)
     if body.is_err():
         return Err(body.unwrap_err())
     return Ok(
@@ -188,12 +195,12 @@
     )
 
 
-def _headers_of(connection: ClientConnection, request: KeptRequest) -> HeaderList:
+def _headers_of(connection: ClientConnection, request: PlannedRequest) -> HeaderList:
     return [
         (b"host", str(connection.endpoint).encode()),
         (b"content-length", b"0"),
         AUTHORIZATION,
-        (RUN_HEADER, request.mark.encode()),
-        (WORK_HEADER, f"{request.work_ms:.0f}".encode()),
+        (MARK_HEADER, request.mark.encode()),
+        (WORK_MS_HEADER, f"{request.work_ms:.0f}".encode()),
         (header_names.TIMEOUT, str(request.timeout_ms).encode()),
     ]
--- a/packages/testkit/src/plankspindle_testkit/soak/process_facts.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/process_stats.py
@@ -19,14 +19,14 @@
     return int(found.split()[0])
 
 
-def descriptors(pid: int) -> int:
+def descriptor_count(pid: int) -> int:
     """Count its descriptors; zero if it is gone."""
     with contextlib.suppress(OSError):
         return len(os.listdir(f"/proc/{pid}/fd"))
     return 0
 
 
-def waited_s(pid: int) -> float:
+def cpu_wait_s(pid: int) -> float:
     """Read how long it could have run but had no processor, in seconds."""
     with contextlib.suppress(OSError, IndexError):
         text = Path(f"/proc/{pid}/schedstat").read_text(encoding="utf-8")
@@ -34,7 +34,7 @@
     return 0.0
 
 
-def handles(pid: int, number: signal.Signals) -> bool:
+def handles_signal(pid: int, number: signal.Signals) -> bool:
     """Tell whether a signal is ignored or caught, so that it doesn't end a process."""
     status = _status_of(pid)
     bit = 1 << (number - 1)
--- a/packages/testkit/src/plankspindle_testkit/soak/telling_caller.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/recording_caller.py
@@ -10,12 +10,12 @@
 from plankspindle_core import header_names
 from plankspindle_core.steady_clock import monotonic
 from plankspindle_testkit.builders import BRONZE_KEY
+from plankspindle_testkit.soak.answer_reading import answers_request
+from plankspindle_testkit.soak.answer_reading import read_log_id
+from plankspindle_testkit.soak.answer_reading import read_outcome
+from plankspindle_testkit.soak.guarantees import AttemptRecord
+from plankspindle_testkit.soak.guarantees import Observations
 from plankspindle_testkit.soak.layout import Layout
-from plankspindle_testkit.soak.promises import Observations
-from plankspindle_testkit.soak.promises import Told
-from plankspindle_testkit.soak.telling import is_own
-from plankspindle_testkit.soak.telling import log_id_of
-from plankspindle_testkit.soak.telling import outcome_of
 
 if TYPE_CHECKING:
     from plankspindle_core.http.fetch import HttpAnswer
@@ -24,7 +24,7 @@
 
 
 @define(kw_only=True)
-class TellingCaller:
+class RecordingCaller:
     """Mark requests, and note what was told of each.
 
     Parameters
@@ -33,7 +33,7 @@
         Part of the marks of its requests.
     layout : Layout
         Where entry VMs are reached.
-    seen : Observations
+    observations : Observations
         Where to note what was told.
     began_at : float
         Start of the soak, monotonic seconds.
@@ -43,7 +43,7 @@
 
     name: str
     layout: Layout
-    seen: Observations
+    observations: Observations
     began_at: float
     random: Random
     sent: int = 0
@@ -57,17 +57,17 @@
         self.sent += 1
         return f"{self.name}-{self.sent}"
 
-    def note(
+    def record_attempt(
         self,
         answer: HttpAnswer | None,
         *,
         mark: str,
         vm: str,
         is_read: bool,
-        asked_at: float,
+        sent_at: float,
         timeout_ms: int,
-        is_cut: bool = False,
-    ) -> Told:
+        is_cut_off: bool = False,
+    ) -> AttemptRecord:
         """Note what was told of a request.
 
         Parameters
@@ -78,24 +78,24 @@
             Its mark, and where it was sent.
         is_read : bool
             Whether it may run more than once.
-        asked_at : float
+        sent_at : float
             When it was sent, seconds of the soak.
         timeout_ms : int
             Time that it was given, in milliseconds.
-        is_cut : bool
+        is_cut_off : bool
             Whether its connection closed without a whole answer.
         """
-        told = Told(
+        told = AttemptRecord(
             mark=mark,
-            request="" if answer is None else log_id_of(answer),
+            log_id="" if answer is None else read_log_id(answer),
             vm=vm,
-            may_repeat=is_read,
-            outcome=None if answer is None else outcome_of(answer),
-            is_own=answer is not None and is_own(answer, mark),
-            asked_at=asked_at,
-            told_at=self.now(),
-            deadline=asked_at + timeout_ms / 1000,
-            is_cut=is_cut,
+            is_idempotent=is_read,
+            outcome=None if answer is None else read_outcome(answer),
+            is_own_answer=answer is not None and answers_request(answer, mark),
+            sent_at=sent_at,
+            completed_at=self.now(),
+            deadline=sent_at + timeout_ms / 1000,
+            is_cut_off=is_cut_off,
         )
-        self.seen.told.append(told)
+        self.observations.attempts.append(told)
         return told
--- a/packages/testkit/src/plankspindle_testkit/soak/soak.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/soak.py
@@ -20,39 +20,39 @@
 from plankspindle_core.http.fetch import fetch
 from plankspindle_core.steady_clock import monotonic
 from plankspindle_testkit.processes import Processes
-from plankspindle_testkit.soak.callers import SoakCaller
-from plankspindle_testkit.soak.drain_watch import check_drains
-from plankspindle_testkit.soak.kept_connections import KeptCaller
+from plankspindle_testkit.soak.drain_check import check_drains
+from plankspindle_testkit.soak.fault_injector import FaultInjector
+from plankspindle_testkit.soak.guarantees import Observations
+from plankspindle_testkit.soak.guarantees import Violation
+from plankspindle_testkit.soak.guarantees import check_all
+from plankspindle_testkit.soak.guarantees import check_end
+from plankspindle_testkit.soak.guarantees import check_growth
 from plankspindle_testkit.soak.layout import Layout
 from plankspindle_testkit.soak.load import LOAD_BY_KIND
 from plankspindle_testkit.soak.load import Load
 from plankspindle_testkit.soak.load import LoadKind
-from plankspindle_testkit.soak.log_watch import LogWatch
-from plankspindle_testkit.soak.losses import check_losses
+from plankspindle_testkit.soak.log_error_reader import LogErrorReader
+from plankspindle_testkit.soak.lost_requests import check_lost_requests
 from plankspindle_testkit.soak.operators import Operators
-from plankspindle_testkit.soak.process_facts import descriptors
-from plankspindle_testkit.soak.process_facts import resident_kb
-from plankspindle_testkit.soak.process_facts import waited_s
-from plankspindle_testkit.soak.promises import Broken
-from plankspindle_testkit.soak.promises import Observations
-from plankspindle_testkit.soak.promises import check_all
-from plankspindle_testkit.soak.promises import check_end
-from plankspindle_testkit.soak.promises import check_growth
-from plankspindle_testkit.soak.running import wait_for_start
+from plankspindle_testkit.soak.persistent_caller import PersistentCaller
+from plankspindle_testkit.soak.process_stats import cpu_wait_s
+from plankspindle_testkit.soak.process_stats import descriptor_count
+from plankspindle_testkit.soak.process_stats import resident_kb
+from plankspindle_testkit.soak.soak_caller import SoakCaller
 from plankspindle_testkit.soak.soak_fault import SoakFault
-from plankspindle_testkit.soak.striker import Striker
+from plankspindle_testkit.soak.soak_runner import wait_for_start
 
 if TYPE_CHECKING:
-    from plankspindle_testkit.builders import VmPlace
-    from plankspindle_testkit.soak.promises import Told
+    from plankspindle_testkit.builders import VmAddresses
+    from plankspindle_testkit.soak.guarantees import AttemptRecord
 
 CHECK_PERIOD_S = 1.0
-START_S = 30.0
-START_LOOK_S = 0.2
+START_TIMEOUT_S = 30.0
+START_POLL_S = 0.2
 RECOVERY_S = 15.0
-CALM_S = 5.0
+RECOVERED_WATCH_S = 5.0
 """Time after that for which it is watched."""
-CALLERS_A_VM = 2
+CALLERS_PER_VM = 2
 
 
 @frozen(kw_only=True)
@@ -84,21 +84,21 @@
 
 
 @frozen(kw_only=True)
-class SoakVerdict:
+class SoakResult:
     """How a soak ended.
 
     Parameters
     ----------
-    broken : Broken or None
+    violation : Violation or None
         The first broken promise.
     requests, checks, drains_watched : int
         Requests that were sent, times that all promises were checked, and drains that
         were held against some VM.
-    struck_by_kind : Counter of str
+    faults_by_kind : Counter of str
         Faults that happened.
-    ends : Counter of str
+    outcomes : Counter of str
         How requests ended: an outcome, ``cut`` or ``no answer``.
-    most_starved_s : float
+    max_cpu_wait_s : float
         Longest time for which a VM, a stand-in or the soak itself could have run but
         had no processor between two checks, in seconds. It tells of a machine that is
         too busy; no excuse for anything.
@@ -106,13 +106,13 @@
         Where the logs are.
     """
 
-    broken: Broken | None
+    violation: Violation | None
     requests: int
     checks: int
     drains_watched: int
-    struck_by_kind: Counter[str]
-    ends: Counter[str]
-    most_starved_s: float
+    faults_by_kind: Counter[str]
+    outcomes: Counter[str]
+    max_cpu_wait_s: float
     folder: Path
 
 
@@ -129,12 +129,12 @@
     plan: SoakPlan
     layout: Layout = field(init=False)
     processes: Processes = field(init=False)
-    seen: Observations = field(factory=Observations)
+    observations: Observations = field(factory=Observations)
     operators: Operators = field(init=False)
-    striker: Striker = field(init=False)
-    logs: LogWatch = field(init=False)
-    most_starved_s: float = 0.0
-    _waited_by_pid: dict[int, float] = field(factory=dict)
+    injector: FaultInjector = field(init=False)
+    logs: LogErrorReader = field(init=False)
+    max_cpu_wait_s: float = 0.0
+    _cpu_wait_by_pid: dict[int, float] = field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
         self.layout = Layout(
@@ -142,18 +142,18 @@
         )
         folder = Path(tempfile.mkdtemp(prefix="plankspindle-soak-"))
         self.processes = Processes(folder=folder)
-        self.logs = LogWatch(folder=folder)
+        self.logs = LogErrorReader(folder=folder)
         began_at = monotonic()
         self.operators = Operators(
-            layout=self.layout, seen=self.seen, began_at=began_at
+            layout=self.layout, observations=self.observations, began_at=began_at
         )
-        self.striker = Striker(
+        self.injector = FaultInjector(
             layout=self.layout,
             processes=self.processes,
-            seen=self.seen,
+            observations=self.observations,
             operators=self.operators,
             began_at=began_at,
-            pace=self.load.pace,
+            period_factor=self.load.period_factor,
         )
 
     @property
@@ -161,28 +161,30 @@
         """What the callers do."""
         return LOAD_BY_KIND[self.plan.load]
 
-    async def run(self) -> SoakVerdict:
+    async def run(self) -> SoakResult:
         """Run it; processes that it started are ended whatever happens."""
         tasks: list[Any] = []
         try:
             await self._start()
             tasks = await self._start_callers()
-            broken = await self._strike_and_check()
-            _check_that_all_run(tasks)
+            broken = await self._inject_and_check()
+            _check_callers_running(tasks)
         finally:
             for task in tasks:
                 await task.cancel()
             self.processes.close()
             for proxy in self.layout.proxies_by_link.values():
                 await proxy.close()
-        return SoakVerdict(
-            broken=broken,
-            requests=len(self.seen.told),
-            checks=self.seen.checks,
-            drains_watched=self.seen.drains_watched,
-            struck_by_kind=self.striker.struck_by_kind,
-            ends=Counter(_end_of(each) for each in self.seen.told),
-            most_starved_s=self.most_starved_s,
+        return SoakResult(
+            violation=broken,
+            requests=len(self.observations.attempts),
+            checks=self.observations.checks,
+            drains_watched=self.observations.drains_watched,
+            faults_by_kind=self.injector.faults_by_kind,
+            outcomes=Counter(
+                _outcome_name(each) for each in self.observations.attempts
+            ),
+            max_cpu_wait_s=self.max_cpu_wait_s,
             folder=self.processes.folder,
         )
 
@@ -199,17 +201,19 @@
         await self._until(self._platform_lists)
         await self._until(self._upstreams_answer)
         for place in self.layout.places:
-            await self.striker.start_vm(place.name)
+            await self.injector.start_vm(place.name)
         await self._until(self.operators.apply)
         await self._until(self._all_ready)
-        self.striker.began_at = self.operators.began_at = monotonic()
+        self.injector.began_at = self.operators.began_at = monotonic()
 
-    async def _until(self, holds: Any) -> None:
-        what = f"the soak does not start: {holds.__name__}"
-        await wait_for_start(holds, within_s=START_S, look_s=START_LOOK_S, what=what)
+    async def _until(self, condition: Any) -> None:
+        what = f"the soak does not start: {condition.__name__}"
+        await wait_for_start(
+            condition, timeout_s=START_TIMEOUT_S, poll_s=START_POLL_S, message=what
+        )
 
     async def _platform_lists(self) -> bool:
-        vms = [place.listed() for place in self.layout.places]
+        vms = [place.list_entry() for place in self.layout.places]
         answer = await fetch(
             self.layout.platform,
             method="POST",
@@ -231,89 +235,95 @@
 
     async def _start_callers(self) -> list[Any]:
         random = Random(self.plan.seed)
-        callers: list[SoakCaller | KeptCaller] = [
+        callers: list[SoakCaller | PersistentCaller] = [
             SoakCaller(
                 name=f"c{number}",
                 layout=self.layout,
-                seen=self.seen,
-                began_at=self.striker.began_at,
+                observations=self.observations,
+                began_at=self.injector.began_at,
                 random=Random(random.getrandbits(32)),
             )
             for number in range(
-                min(self.load.most_callers, CALLERS_A_VM * self.plan.vms)
+                min(self.load.max_callers, CALLERS_PER_VM * self.plan.vms)
             )
         ]
         for place in self.layout.places:
-            for number in range(self.load.kept_a_vm):
-                caller = KeptCaller(
+            for number in range(self.load.connections_per_vm):
+                caller = PersistentCaller(
                     name=f"k{number}-{place.name}",
                     vm=place.name,
                     layout=self.layout,
                     load=self.load,
-                    seen=self.seen,
-                    began_at=self.striker.began_at,
+                    observations=self.observations,
+                    began_at=self.injector.began_at,
                     random=Random(random.getrandbits(32)),
                 )
                 callers.append(caller)
         return [await spawn(each.run, daemon=True) for each in callers]
 
-    async def _strike_and_check(self) -> Broken | None:
+    async def _inject_and_check(self) -> Violation | None:
         waiting = list(self.plan.faults)
         strikes: list[Any] = []
         while waiting or not all(each.terminated for each in strikes):
-            while waiting and waiting[0].at <= self.striker.now():
+            while waiting and waiting[0].at <= self.injector.now():
                 fault = waiting.pop(0)
-                strikes.append(await spawn(self.striker.strike, fault, daemon=True))
-            broken = await self._look()
+                strikes.append(await spawn(self.injector.inject, fault, daemon=True))
+            broken = await self._observe_and_check()
             if broken is not None:
                 return broken
-            await self._rest()
+            await self._wait_for_next_check()
         for strike in strikes:
             await strike.join()
-        self.seen.is_calming = True
+        self.observations.is_recovering = True
         return await self._check_recovery()
 
-    async def _rest(self) -> None:
+    async def _wait_for_next_check(self) -> None:
         """Wait until the next check, and note how long there was no processor."""
         await sleep(CHECK_PERIOD_S)
-        pids = [each.pid for each in self.processes.by_name.values()]
-        waited = {pid: waited_s(pid) for pid in (*pids, os.getpid())}
+        pids = [each.pid for each in self.processes.process_by_name.values()]
+        waited = {pid: cpu_wait_s(pid) for pid in (*pids, os.getpid())}
         for pid, seconds in waited.items():
-            before = self._waited_by_pid.get(pid, seconds)
-            self.most_starved_s = max(self.most_starved_s, seconds - before)
-        self._waited_by_pid = waited
+            before = self._cpu_wait_by_pid.get(pid, seconds)
+            self.max_cpu_wait_s = max(self.max_cpu_wait_s, seconds - before)
+        self._cpu_wait_by_pid = waited
 
-    async def _look(self) -> Broken | None:
+    async def _observe_and_check(self) -> Violation | None:
         """Take in what happened since the last time, and check all promises."""
-        await self._take_runs()
+        await self._update_runs()
         for place in self.layout.places:
-            self._note_end(place.name)
-            lines = self.logs.unexpected_of(place.name)
-            self.seen.unexpected += [(place.name, line) for line in lines]
+            self._record_exit(place.name)
+            lines = self.logs.read_new_errors(place.name)
+            self.observations.unexpected_errors += [
+                (place.name, line) for line in lines
+            ]
             state = await _state_of(place)
             if state is not None:
                 life = (place.name, int(state["incarnation"], 16))
                 version = int(state["configuration"]["version"])
-                self.seen.versions_by_life.setdefault(life, []).append(version)
-        checks = (check_all, check_losses, check_drains)
-        return next((each for check in checks for each in check(self.seen)), None)
+                self.observations.versions_by_incarnation.setdefault(life, []).append(
+                    version
+                )
+        checks = (check_all, check_lost_requests, check_drains)
+        return next(
+            (each for check in checks for each in check(self.observations)), None
+        )
 
-    async def _take_runs(self) -> None:
+    async def _update_runs(self) -> None:
         runs: Counter[str] = Counter()
         for name in self.layout.upstream_endpoints:
             runs += await self.operators.runs_of(name)
-        self.seen.runs_by_mark = runs
+        self.observations.runs_by_mark = runs
 
-    def _note_end(self, vm: str) -> None:
-        status = self.processes.by_name[vm].poll()
-        if status is not None and vm not in self.striker.stopped:
-            self.striker.note_end(vm, status)
+    def _record_exit(self, vm: str) -> None:
+        status = self.processes.process_by_name[vm].poll()
+        if status is not None and vm not in self.injector.stopping_vms:
+            self.injector.record_exit(vm, status)
 
-    async def _check_recovery(self) -> Broken | None:
+    async def _check_recovery(self) -> Violation | None:
         await sleep(self.plan.recovery_s)
-        calm_from = self.striker.now()
-        await sleep(CALM_S)
-        broken = await self._look()
+        calm_from = self.injector.now()
+        await sleep(RECOVERED_WATCH_S)
+        broken = await self._observe_and_check()
         if broken is not None:
             return broken
         versions, connections = {}, {}
@@ -324,31 +334,31 @@
         pids = {each.name: self._pid(each.name) for each in self.layout.places}
         checks = [
             *check_end(
-                self.seen,
-                calm_from=calm_from,
+                self.observations,
+                recovered_from=calm_from,
                 versions=versions,
                 accepted=self.operators.accepted,
-                doubtful=self.operators.doubtful,
+                unconfirmed=self.operators.unconfirmed,
             ),
             *check_growth(
                 {vm: resident_kb(pid) for vm, pid in pids.items()},
-                {vm: descriptors(pid) for vm, pid in pids.items()},
+                {vm: descriptor_count(pid) for vm, pid in pids.items()},
                 connections,
             ),
         ]
         return checks[0] if checks else None
 
     def _pid(self, vm: str) -> int:
-        return self.processes.by_name[vm].pid
+        return self.processes.process_by_name[vm].pid
 
 
-def _end_of(told: Told) -> str:
-    if told.outcome is not None:
-        return told.outcome.value
-    return "cut" if told.is_cut else "no answer"
+def _outcome_name(attempt: AttemptRecord) -> str:
+    if attempt.outcome is not None:
+        return attempt.outcome.value
+    return "cut" if attempt.is_cut_off else "no answer"
 
 
-def _check_that_all_run(callers: list[Any]) -> None:
+def _check_callers_running(callers: list[Any]) -> None:
     """Check that no caller ended, so that all the load was there.
 
     Raises
@@ -361,7 +371,7 @@
         raise RuntimeError(f"{len(ended)} callers ended: {ended[0].exception!r}")
 
 
-async def _state_of(place: VmPlace) -> dict[str, Any] | None:
+async def _state_of(place: VmAddresses) -> dict[str, Any] | None:
     """Read the state of an entry VM; None if it gives none."""
     answer = await fetch(place.operator, target="/state", timeout_s=3.0)
     if answer.is_err() or answer.unwrap().status != 200:
--- a/packages/testkit/src/plankspindle_testkit/soak/callers.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/soak_caller.py
@@ -12,21 +12,21 @@
 from plankspindle_core.outcome import Outcome
 from plankspindle_testkit.soak.layout import SERVICE
 from plankspindle_testkit.soak.layout import TIMEOUT_MS
-from plankspindle_testkit.soak.telling_caller import AUTHORIZATION
-from plankspindle_testkit.soak.telling_caller import TellingCaller
-from plankspindle_testkit.upstream_stand_in.upstream_stand_in import RUN_HEADER
+from plankspindle_testkit.soak.recording_caller import AUTHORIZATION
+from plankspindle_testkit.soak.recording_caller import RecordingCaller
+from plankspindle_testkit.upstream_stand_in.upstream_stand_in import MARK_HEADER
 
 if TYPE_CHECKING:
     from plankspindle_core.http.headers import HeaderList
 
-PAUSE_S = 0.05
+MAX_PAUSE_S = 0.05
 MAX_TRIES = 4
 FETCH_TIMEOUT_S = TIMEOUT_MS / 1000 + 3.0
 """Longest wait of a caller; beyond it no answer will come."""
 
 
 @define(kw_only=True)
-class SoakCaller(TellingCaller):
+class SoakCaller(RecordingCaller):
     """Send requests one after the other, to any entry VM."""
 
     async def run(self) -> None:
@@ -34,13 +34,13 @@
         while True:
             mark = self.next_mark()
             kind = self.random.choice(("read", "read", "write", "key"))
-            self.seen.open_marks.add(mark)
+            self.observations.in_flight_marks.add(mark)
             if kind == "key":
                 await self._send_keyed(mark)
             else:
                 await self._send(mark, is_read=kind == "read")
-            self.seen.open_marks.discard(mark)
-            await sleep(PAUSE_S * self.random.random())
+            self.observations.in_flight_marks.discard(mark)
+            await sleep(MAX_PAUSE_S * self.random.random())
 
     async def _send_keyed(self, mark: str) -> None:
         """Repeat a request with its key until its end is known, at any VM."""
@@ -49,7 +49,7 @@
             outcome = await self._send(mark, is_read=False, extra=[key])
             if outcome is Outcome.DONE:
                 return
-            await sleep(4 * PAUSE_S)
+            await sleep(4 * MAX_PAUSE_S)
 
     async def _send(
         self, mark: str, *, is_read: bool, extra: HeaderList | None = None
@@ -57,23 +57,23 @@
         place = self.random.choice(self.layout.places)
         asked_at = self.now()
         answer = await fetch(
-            self.layout.entry("caller", place.name),
+            self.layout.proxy_endpoint("caller", place.name),
             method="GET" if is_read else "POST",
             target=f"/v1/services/{SERVICE}/{mark}",
             headers=[
                 AUTHORIZATION,
-                (RUN_HEADER, mark.encode()),
+                (MARK_HEADER, mark.encode()),
                 (header_names.TIMEOUT, str(TIMEOUT_MS).encode()),
                 *(extra or []),
             ],
             timeout_s=FETCH_TIMEOUT_S,
         )
-        told = self.note(
+        told = self.record_attempt(
             answer.ok(),
             mark=mark,
             vm=place.name,
             is_read=is_read,
-            asked_at=asked_at,
+            sent_at=asked_at,
             timeout_ms=TIMEOUT_MS,
         )
         return told.outcome
--- a/packages/testkit/src/plankspindle_testkit/soak/soak_fault.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/soak_fault.py
@@ -14,14 +14,14 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-GAP_S = 2.0
+MEAN_GAP_S = 2.0
 """Mean time between the beginnings of two draws, in seconds."""
-LEAST_S = 0.5
-MOST_S = 6.0
-OF_VMS = ("kill", "stop", "term", "hup", "herd", "rolling", "stutter")
-OF_PLATFORM = ("platform-down", "platform-slow", "platform-loses-answers")
-OF_UPSTREAMS = ("shed", "fail", "hang", "truncate", "close-after-run", "extra-bytes")
-OF_LINKS = (
+MIN_DURATION_S = 0.5
+MAX_DURATION_S = 6.0
+VM_KINDS = ("kill", "stop", "term", "hup", "herd", "rolling", "stutter")
+PLATFORM_KINDS = ("platform-down", "platform-slow", "platform-loses-answers")
+UPSTREAM_KINDS = ("shed", "fail", "hang", "truncate", "close-after-run", "extra-bytes")
+LINK_KINDS = (
     "delays",
     "throttles",
     "holds-requests",
@@ -29,22 +29,22 @@
     "resets",
     "silence",
 )
-OF_OPERATORS = ("drain", "storm", "race")
+OPERATOR_KINDS = ("drain", "storm", "race")
 CALLER = "caller"
 LINKS = (CALLER, "store", "upstream")
 PLATFORM = "platform"
 """Name by which the platform is disturbed."""
-SERIES_PART = 0.2
+SERIES_SHARE = 0.2
 """Part of the draws that are the same fault several times in a row."""
-SET_PART = 0.15
+COMBINATION_SHARE = 0.15
 """Part of the draws that are a set of faults that meet."""
-SERIES_GAP_S = 1.2
+MAX_SERIES_GAP_S = 1.2
 """Longest time between two faults of a series, in seconds."""
-LEAST_SERIES = 3
-MOST_SERIES = 5
-WATCHED_S = 8.0
+MIN_SERIES_LENGTH = 3
+MAX_SERIES_LENGTH = 5
+DRAIN_WATCH_S = 8.0
 """Time for which a drain of a set is watched, in seconds."""
-SETS: tuple[tuple[tuple[float, str], ...], ...] = (
+COMBINATIONS: tuple[tuple[tuple[float, str], ...], ...] = (
     ((0.0, "rolling"), (1.0, "storm"), (2.0, "platform-down")),
     ((0.0, "herd"), (0.3, "hup"), (0.6, "hup"), (1.5, "hup")),
     ((0.0, "drain"), (1.0, "kill"), (6.0, "storm"), (7.0, "term")),
@@ -77,15 +77,15 @@
     kind: str
     target: str = ""
 
-    def disturbs(self) -> list[str]:
+    def disturbed_targets(self) -> list[str]:
         """Name what may be late by it: a VM, an upstream, or the platform.
 
         Operators and upstreams that fail are no excuse for a late answer. What a fault
         of processes disturbs is noted while it is carried out.
         """
-        if self.kind in OF_LINKS:
+        if self.kind in LINK_KINDS:
             return [self.target.partition(":")[2]]
-        if self.kind in OF_PLATFORM:
+        if self.kind in PLATFORM_KINDS:
             return [PLATFORM]
         return []
 
@@ -113,31 +113,35 @@
     random = Random(f"soak {seed}")
     targets = _Targets(vms=vms, upstreams=upstreams)
     faults: list[SoakFault] = []
-    at = random.expovariate(1 / GAP_S)
+    at = random.expovariate(1 / MEAN_GAP_S)
     while at < seconds:
         chance = random.random()
-        if chance < SERIES_PART:
+        if chance < SERIES_SHARE:
             faults += _draw_series(random, at, targets)
-        elif chance < SERIES_PART + SET_PART:
-            faults += _draw_set(random, at, targets)
+        elif chance < SERIES_SHARE + COMBINATION_SHARE:
+            faults += _draw_combination(random, at, targets)
         else:
             faults.append(_draw_fault(random, at, _draw_kind(random), targets))
-        at += random.expovariate(1 / GAP_S)
+        at += random.expovariate(1 / MEAN_GAP_S)
     return sorted(faults, key=lambda each: each.at)
 
 
 def _draw_kind(random: Random) -> str:
     return random.choice(
-        [*OF_VMS, *OF_PLATFORM, *OF_UPSTREAMS, *OF_LINKS, *OF_OPERATORS]
+        [*VM_KINDS, *PLATFORM_KINDS, *UPSTREAM_KINDS, *LINK_KINDS, *OPERATOR_KINDS]
     )
 
 
 def _draw_fault(
-    random: Random, at: float, kind: str, targets: _Targets, most_s: float = MOST_S
+    random: Random,
+    at: float,
+    kind: str,
+    targets: _Targets,
+    most_s: float = MAX_DURATION_S,
 ) -> SoakFault:
     return SoakFault(
         at=round(at, 3),
-        for_s=round(random.uniform(LEAST_S, most_s), 3),
+        for_s=round(random.uniform(MIN_DURATION_S, most_s), 3),
         kind=kind,
         target=_draw_target(random, kind, targets),
     )
@@ -146,30 +150,30 @@
 def _draw_series(random: Random, at: float, targets: _Targets) -> list[SoakFault]:
     """Draw one kind several times in a row, at one target or at several."""
     kind = _draw_kind(random)
-    first = _draw_fault(random, at, kind, targets, SERIES_GAP_S)
+    first = _draw_fault(random, at, kind, targets, MAX_SERIES_GAP_S)
     same_target = random.random() < 0.5
     faults = [first]
-    for _ in range(random.randint(LEAST_SERIES, MOST_SERIES) - 1):
-        at += random.uniform(0.1, SERIES_GAP_S)
-        drawn = _draw_fault(random, at, kind, targets, SERIES_GAP_S)
+    for _ in range(random.randint(MIN_SERIES_LENGTH, MAX_SERIES_LENGTH) - 1):
+        at += random.uniform(0.1, MAX_SERIES_GAP_S)
+        drawn = _draw_fault(random, at, kind, targets, MAX_SERIES_GAP_S)
         faults.append(evolve(drawn, target=first.target) if same_target else drawn)
     return faults
 
 
-def _draw_set(random: Random, at: float, targets: _Targets) -> list[SoakFault]:
+def _draw_combination(random: Random, at: float, targets: _Targets) -> list[SoakFault]:
     faults = []
-    for after_s, kind in random.choice(SETS):
+    for after_s, kind in random.choice(COMBINATIONS):
         drawn = _draw_fault(random, at + after_s, kind, targets)
-        faults.append(evolve(drawn, for_s=WATCHED_S) if kind == "drain" else drawn)
+        faults.append(evolve(drawn, for_s=DRAIN_WATCH_S) if kind == "drain" else drawn)
     return faults
 
 
 def _draw_target(random: Random, kind: str, targets: _Targets) -> str:
-    if kind in ("herd", "rolling", "storm", "race") or kind in OF_PLATFORM:
+    if kind in ("herd", "rolling", "storm", "race") or kind in PLATFORM_KINDS:
         return ""
-    if kind in OF_VMS:
+    if kind in VM_KINDS:
         return random.choice(targets.vms)
-    if kind in OF_UPSTREAMS or kind == "drain":
+    if kind in UPSTREAM_KINDS or kind == "drain":
         return random.choice(targets.upstreams)
     link = random.choice(LINKS)
     ends = targets.upstreams if link == "upstream" else targets.vms
--- a/packages/testkit/src/plankspindle_testkit/soak/running.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/soak_runner.py
@@ -17,25 +17,25 @@
 
     from plankspindle_testkit.processes import Processes
 
-Verdict = TypeVar("Verdict")
+SoakResultT = TypeVar("SoakResultT")
 
 
 async def wait_for_start(
-    holds: Callable[[], Awaitable[bool]],
+    condition: Callable[[], Awaitable[bool]],
     *,
-    within_s: float,
-    look_s: float,
-    what: str,
+    timeout_s: float,
+    poll_s: float,
+    message: str,
 ) -> None:
     """Wait until something holds that belongs to the start of a soak.
 
     Parameters
     ----------
-    holds : callable
+    condition : callable
         Tells whether it does.
-    within_s, look_s : float
+    timeout_s, poll_s : float
         Longest time, and time between two looks, in seconds.
-    what : str
+    message : str
         What to tell if it does not.
 
     Raises
@@ -43,19 +43,19 @@
     TimeoutError
         If it does not hold in time.
     """
-    end = monotonic() + within_s
-    while not await holds():
+    end = monotonic() + timeout_s
+    while not await condition():
         if monotonic() > end:
-            raise TimeoutError(what)
-        await curio.sleep(look_s)
+            raise TimeoutError(message)
+        await curio.sleep(poll_s)
 
 
-def run_and_end(
-    run: Callable[[], Coroutine[Any, Any, Verdict]], processes: Processes
-) -> Verdict:
+def run_and_close(
+    run: Callable[[], Coroutine[Any, Any, SoakResultT]], processes: Processes
+) -> SoakResultT:
     """Run a soak; its processes end with it, also if it is ended by a signal."""
     try:
-        verdict: Verdict = curio.run(run)
+        verdict: SoakResultT = curio.run(run)
     finally:
         processes.close()
     return verdict
--- a/packages/testkit/src/plankspindle_testkit/trial/__main__.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/__main__.py
@@ -7,8 +7,8 @@
 
 import click
 
-from plankspindle_testkit.trial.runs import run_trial
 from plankspindle_testkit.trial.shrinking import shrink
+from plankspindle_testkit.trial.standard_trial import run_trial
 
 
 @click.command()
@@ -21,11 +21,11 @@
     end = time.monotonic() + seconds
     trials = requests = done = 0
     while time.monotonic() < end:
-        verdict = run_trial(seed=seed, simulated_s=simulated, cuts=cuts)
-        if verdict.broken is not None:
+        verdict = run_trial(seed=seed, simulated_s=simulated, partitions=cuts)
+        if verdict.violation is not None:
             drawn = len(verdict.schedule)
-            verdict = shrink(verdict, seed=seed, cuts=cuts)
-            click.echo(f"broken: seed={seed} {verdict.broken}")
+            verdict = shrink(verdict, seed=seed, partitions=cuts)
+            click.echo(f"broken: seed={seed} {verdict.violation}")
             click.echo(f"with {len(verdict.schedule)} of {drawn} faults:")
             for line in verdict.trace[-40:]:
                 click.echo(f"  {line}")
--- a/packages/testkit/src/plankspindle_testkit/trial/fake_network.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/fake_network.py
@@ -42,7 +42,7 @@
         Source of delays and faults.
     loss : float
         Probability that a packet is lost.
-    repeat : float
+    duplication : float
         Probability that a packet arrives twice.
     max_delay_s : float
         Longest delay, in seconds.
@@ -50,18 +50,21 @@
 
     random: Random
     loss: float = 0.1
-    repeat: float = 0.05
+    duplication: float = 0.05
     max_delay_s: float = 0.05
-    cuts: set[frozenset[Endpoint]] = field(factory=set)
+    partitions: set[frozenset[Endpoint]] = field(factory=set)
     _packets: list[Packet] = field(factory=list)
 
     def send(
         self, message: PeerMessage, *, sender: Endpoint, to: Endpoint, now: float
     ) -> None:
         """Send a message, which may be lost or arrive twice."""
-        if frozenset((sender, to)) in self.cuts or self.random.random() < self.loss:
+        if (
+            frozenset((sender, to)) in self.partitions
+            or self.random.random() < self.loss
+        ):
             return
-        copies = 2 if self.random.random() < self.repeat else 1
+        copies = 2 if self.random.random() < self.duplication else 1
         for _ in range(copies):
             delay = self.random.uniform(0, self.max_delay_s)
             packet = Packet(
@@ -69,7 +72,7 @@
             )
             self._packets.append(packet)
 
-    def due(self, now: float) -> list[Packet]:
+    def pop_due(self, now: float) -> list[Packet]:
         """Take the packets that arrive by now."""
         arrived = [each for each in self._packets if each.deliver_at <= now]
         self._packets = [each for each in self._packets if each.deliver_at > now]
--- a/packages/testkit/src/plankspindle_testkit/trial/fake_platform.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/fake_platform.py
@@ -25,7 +25,7 @@
 Answer = TypeVar("Answer")
 
 
-def run_to_end(coroutine: Coroutine[Any, Any, Answer]) -> Answer:
+def run_to_completion(coroutine: Coroutine[Any, Any, Answer]) -> Answer:
     """Run a coroutine that never blocks.
 
     Raises
@@ -53,23 +53,23 @@
         Probability that a call goes wrong in one of the ways.
     down : bool
         Whether no call takes effect.
-    only_way : str
+    forced_write_fault : str
         The only way in which writes go wrong; reads then go well.
     """
 
     random: Random
     fault_rate: float = 0.1
     down: bool = False
-    only_way: str = ""
+    forced_write_fault: str = ""
     table: TableStore = field(factory=TableStore)
     objects_by_name: dict[str, bytes] = field(factory=dict)
-    _late: list[Transaction] = field(factory=list)
+    _delayed_writes: list[Transaction] = field(factory=list)
 
     def _fails(self) -> bool:
         return self.down or self.random.random() < self.fault_rate
 
     def _read_fails(self) -> bool:
-        return self.down or (not self.only_way and self._fails())
+        return self.down or (not self.forced_write_fault and self._fails())
 
     async def read_row(self, key: str) -> Result[Row, PlatformUnavailable]:
         """Read one row."""
@@ -95,9 +95,9 @@
         """Commit, maybe without effect, maybe late, maybe with a lost answer."""
         if self._fails():
             way = self.random.choice(["nothing", "late", "answer-lost"])
-            way = self.only_way or way
+            way = self.forced_write_fault or way
             if way == "late":
-                self._late.append(transaction)
+                self._delayed_writes.append(transaction)
             if way == "answer-lost" and not self.down:
                 self._commit(transaction)
             return Err(PlatformUnavailable(way))
@@ -116,11 +116,11 @@
             ]
         )
 
-    def land_late_write(self) -> None:
+    def apply_delayed_write(self) -> None:
         """Let one late write arrive."""
-        if self._late and not self.down:
-            index = self.random.randrange(len(self._late))
-            self._commit(self._late.pop(index))
+        if self._delayed_writes and not self.down:
+            index = self.random.randrange(len(self._delayed_writes))
+            self._commit(self._delayed_writes.pop(index))
 
     async def put_object(
         self, name: str, content: bytes
--- a/packages/testkit/src/plankspindle_testkit/trial/fake_upstream.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/fake_upstream.py
@@ -11,7 +11,7 @@
 from plankspindle_daemon.upstreams.load_report import LoadReport
 
 
-class Conduct(Enum):
+class UpstreamMode(Enum):
     """What an upstream does with requests."""
 
     SERVE = "serve"
@@ -54,25 +54,25 @@
 
     name: str
     slots: int
-    conduct: Conduct = Conduct.SERVE
+    mode: UpstreamMode = UpstreamMode.SERVE
     claims_idle: bool = False
     reports_stopped: bool = False
     leaving_since: float | None = None
     runs: list[Run] = field(factory=list)
-    most_at_once: int = 0
+    max_concurrent: int = 0
     started_after_leaving_s: float = 0.0
-    last_begun_at: float = 0.0
+    last_started_at: float = 0.0
 
-    def begin(self, run: Run, now: float) -> None:
+    def start(self, run: Run, now: float) -> None:
         """Start an execution; the limit is for the entry VMs to keep."""
         self.runs.append(run)
-        self.last_begun_at = now
-        self.most_at_once = max(self.most_at_once, len(self.runs))
+        self.last_started_at = now
+        self.max_concurrent = max(self.max_concurrent, len(self.runs))
         if self.leaving_since is not None:
             late = now - self.leaving_since
             self.started_after_leaving_s = max(self.started_after_leaving_s, late)
 
-    def end_due(self, now: float) -> list[Run]:
+    def pop_finished(self, now: float) -> list[Run]:
         """Take the executions that have ended by now."""
         ended = [run for run in self.runs if run.ends_at <= now]
         self.runs = [run for run in self.runs if run.ends_at > now]
@@ -82,7 +82,7 @@
         """Stop an execution whose connection was closed."""
         self.runs = [run for run in self.runs if (run.request, run.vm) != (request, vm)]
 
-    def cancel_all_of(self, vm: str) -> None:
+    def cancel_all_from(self, vm: str) -> None:
         """Stop the executions of a VM whose process ended."""
         self.runs = [run for run in self.runs if run.vm != vm]
 
--- a/packages/testkit/src/plankspindle_testkit/trial/fault_injector.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/fault_injector.py
@@ -6,9 +6,9 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from plankspindle_testkit.trial.fake_upstream import Conduct
 from plankspindle_testkit.trial.fake_upstream import FakeUpstream
-from plankspindle_testkit.trial.fault_schedule import CUT
+from plankspindle_testkit.trial.fake_upstream import UpstreamMode
+from plankspindle_testkit.trial.fault_schedule import PARTITION
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -39,31 +39,33 @@
         self.hosts = hosts
         self.operators = operators
 
-    def strike(self, fault: ScheduledFault) -> None:
+    def inject_scheduled(self, fault: ScheduledFault) -> None:
         """Let a scheduled fault happen, to a running VM if its own runs nothing."""
         running = self.world.vms_by_name
         vm = fault.vm if fault.vm in running else min(running, default=fault.vm)
-        self.world.note(f"fault {fault.way} vm={vm} upstream={fault.upstream}")
+        self.world.add_trace_line(
+            f"fault {fault.kind} vm={vm} upstream={fault.upstream}"
+        )
         upstream = self.world.upstreams_by_name[fault.upstream]
-        self._ways(vm, upstream, Random(fault.seed))[fault.way]()
+        self._actions_by_kind(vm, upstream, Random(fault.seed))[fault.kind]()
 
-    def _ways(
+    def _actions_by_kind(
         self, vm: str, upstream: FakeUpstream, random: Random
     ) -> dict[str, Callable[[], None]]:
         return {
             "kill": partial(self.hosts.kill, vm, power_loss=False),
             "power-loss": partial(self.hosts.kill, vm, power_loss=True),
-            "restart": self.hosts.restart_dead,
-            "restart-again": self.hosts.restart_dead,
+            "restart": self.hosts.restart_stopped,
+            "restart-again": self.hosts.restart_stopped,
             "pause": partial(self._pause, vm, random),
             "platform": self._toggle_platform,
-            "conduct": partial(self._change_conduct, upstream, random),
-            "conduct-again": partial(self._change_conduct, upstream, random),
-            "liar": partial(self._toggle_liar, upstream),
+            "conduct": partial(self._change_mode, upstream, random),
+            "conduct-again": partial(self._change_mode, upstream, random),
+            "liar": partial(self._toggle_false_idle_report, upstream),
             "leave": partial(self._toggle_leaving, upstream),
-            "race": self.operators.race,
+            "race": self.operators.race_confirmations,
             "heal": self._heal,
-            CUT: partial(self._cut_or_heal, random),
+            PARTITION: partial(self._toggle_partition, random),
         }
 
     def _pause(self, vm: str, random: Random) -> None:
@@ -75,10 +77,10 @@
     def _toggle_platform(self) -> None:
         self.world.platform.down = not self.world.platform.down
 
-    def _change_conduct(self, upstream: FakeUpstream, random: Random) -> None:
-        upstream.conduct = random.choice(list(Conduct))
+    def _change_mode(self, upstream: FakeUpstream, random: Random) -> None:
+        upstream.mode = random.choice(list(UpstreamMode))
 
-    def _toggle_liar(self, upstream: FakeUpstream) -> None:
+    def _toggle_false_idle_report(self, upstream: FakeUpstream) -> None:
         upstream.claims_idle = not upstream.claims_idle
 
     def _toggle_leaving(self, upstream: FakeUpstream) -> None:
@@ -93,59 +95,59 @@
             upstream.leaving_since = self.world.now
 
     def _heal(self) -> None:
-        self.world.network.cuts.clear()
+        self.world.network.partitions.clear()
         self.world.platform.down = False
 
-    def _cut_or_heal(self, random: Random) -> None:
+    def _toggle_partition(self, random: Random) -> None:
         one, other = random.sample(self.world.options.places, 2)
-        self.world.network.cuts ^= {frozenset((one.peer, other.peer))}
+        self.world.network.partitions ^= {frozenset((one.peer, other.peer))}
 
-    def inject(self, way: str, *, vm: str, upstream: str) -> None:
+    def inject(self, kind: str, *, vm: str, upstream: str) -> None:
         """Let one named fault happen now.
 
         Parameters
         ----------
-        way : str
+        kind : str
             Name of the fault.
         vm, upstream : str
             What it strikes, where it strikes one.
         """
-        self.world.note(f"inject {way} vm={vm} upstream={upstream}")
+        self.world.add_trace_line(f"inject {kind} vm={vm} upstream={upstream}")
         struck = self.world.upstreams_by_name[upstream]
-        ways = self._ways(vm, struck, self.world.random)
+        ways = self._actions_by_kind(vm, struck, self.world.random)
         directed: dict[str, Callable[[], None]] = {
-            "store-answers-lost": partial(self._break_store, "answer-lost"),
-            "store-writes-late": partial(self._break_store, "late"),
+            "store-answers-lost": partial(self._force_write_fault, "answer-lost"),
+            "store-writes-late": partial(self._force_write_fault, "late"),
             "reports-stop": self._stop_reports,
-            "all-shed": partial(self._change_all, Conduct.SHED),
-            "all-lose-answers": partial(self._change_all, Conduct.LOSE_ANSWERS),
-            "all-hang": partial(self._change_all, Conduct.HANG),
-            "all-down": partial(self._change_all, Conduct.DOWN),
+            "all-shed": partial(self._change_all, UpstreamMode.SHED),
+            "all-lose-answers": partial(self._change_all, UpstreamMode.LOSE_ANSWERS),
+            "all-hang": partial(self._change_all, UpstreamMode.HANG),
+            "all-down": partial(self._change_all, UpstreamMode.DOWN),
             "isolate": partial(self._isolate, vm),
             "region-fails": self._fail_region,
         }
-        {**ways, **directed}[way]()
+        {**ways, **directed}[kind]()
 
-    def _break_store(self, way: str) -> None:
+    def _force_write_fault(self, kind: str) -> None:
         self.world.platform.fault_rate = 1.0
-        self.world.platform.only_way = way
+        self.world.platform.forced_write_fault = kind
 
     def _stop_reports(self) -> None:
         for upstream in self.world.upstreams_by_name.values():
             upstream.reports_stopped = True
 
-    def _change_all(self, conduct: Conduct) -> None:
+    def _change_all(self, conduct: UpstreamMode) -> None:
         for upstream in self.world.upstreams_by_name.values():
-            upstream.conduct = conduct
+            upstream.mode = conduct
 
     def _isolate(self, vm: str) -> None:
         peers = {place.name: place.peer for place in self.world.options.places}
-        self.world.network.cuts |= {
+        self.world.network.partitions |= {
             frozenset((peers[vm], peer)) for name, peer in peers.items() if name != vm
         }
 
     def _fail_region(self) -> None:
-        self._change_all(Conduct.DOWN)
+        self._change_all(UpstreamMode.DOWN)
         for name in list(self.world.vms_by_name)[1:]:
             self.hosts.kill(name, power_loss=True)
 
@@ -154,9 +156,9 @@
         self._heal()
         self.world.platform.fault_rate = 0.0
         for upstream in self.world.upstreams_by_name.values():
-            upstream.conduct = Conduct.SERVE
+            upstream.mode = UpstreamMode.SERVE
             upstream.reports_stopped = False
             upstream.claims_idle = False
             upstream.leaving_since = None
         for _ in self.world.options.places:
-            self.hosts.restart_dead()
+            self.hosts.restart_stopped()
--- a/packages/testkit/src/plankspindle_testkit/trial/fault_matrix.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/fault_matrix.py
@@ -17,19 +17,19 @@
 from plankspindle_core.configuration.drain import DrainKind
 from plankspindle_core.configuration.shift import Shift
 from plankspindle_core.invariants import InvariantError
-from plankspindle_daemon.control.intents import ClassIntent
 from plankspindle_daemon.control.intents import DrainIntent
+from plankspindle_daemon.control.intents import PriorityClassIntent
 from plankspindle_daemon.control.intents import ShiftIntent
-from plankspindle_testkit.trial.runs import build_trial
+from plankspindle_testkit.trial.ground_truth import GuaranteeViolatedError
+from plankspindle_testkit.trial.standard_trial import build_trial
 from plankspindle_testkit.trial.trial import STEP_S
 from plankspindle_testkit.trial.trial import Trial
-from plankspindle_testkit.trial.truth import BrokenPromiseError
 
-QUIET_S = 6.0
-FAULT_S = 4.0
-RECOVERY_S = 14.0
-DRAINED_WITHIN_S = 3.0
-STEPS = (0, 1, 2, 3, 4, 6, 10, 20, 40)
+WARM_UP_S = 6.0
+FAULT_DURATION_S = 4.0
+RECOVERY_TIME_S = 14.0
+MAX_DRAIN_S = 3.0
+INJECTION_STEPS = (0, 1, 2, 3, 4, 6, 10, 20, 40)
 FIRST_VM = "ba-1-a"
 REQUEST_RATE = 15.0
 
@@ -38,58 +38,58 @@
 
 
 @frozen(kw_only=True)
-class Operation:
+class MatrixOperation:
     """Something that faults are injected into.
 
     Parameters
     ----------
     name : str
         What it is.
-    must : str
+    requirement : str
         What must come of it whatever happens.
-    may_end : frozenset of str
+    allowed_outcomes : frozenset of str
         Ends that are allowed.
     start : callable
         Starts it and gives the check of its end.
-    may_end_by_fault : dict of str to str
+    allowed_outcome_by_fault : dict of str to str
         One more end that is allowed under a fault.
     """
 
     name: str
-    must: str
-    may_end: frozenset[str]
+    requirement: str
+    allowed_outcomes: frozenset[str]
     start: Callable[[Trial], Check]
-    may_end_by_fault: dict[str, str] = field(factory=dict)
+    allowed_outcome_by_fault: dict[str, str] = field(factory=dict)
 
 
 @frozen(kw_only=True)
-class Cell:
+class MatrixCell:
     """What came of one operation under one fault, over all steps.
 
     Parameters
     ----------
     operation, fault : str
         Names.
-    ends : tuple of (str, int)
+    outcomes : tuple of (str, int)
         Ends and how often each came.
-    broken : tuple of str
+    violations : tuple of str
         Broken promises, with the step at which the fault was injected.
     """
 
     operation: str
     fault: str
-    ends: tuple[tuple[str, int], ...]
-    broken: tuple[str, ...]
+    outcomes: tuple[tuple[str, int], ...]
+    violations: tuple[str, ...]
 
 
-def _request(kind: str, timeout_s: float, duration_s: float) -> Operation:
+def _request(kind: str, timeout_s: float, duration_s: float) -> MatrixOperation:
     def start(trial: Trial) -> Check:
-        number = trial.requests.start_one(
+        number = trial.requests.submit_one(
             FIRST_VM, kind=kind, timeout_s=timeout_s, duration_s=duration_s
         )
 
         def check(trial: Trial) -> str:
-            return trial.requests.end_of(number)
+            return trial.requests.outcome_of(number)
 
         return check
 
@@ -99,30 +99,32 @@
         "id": "runs at most once; not-run is true",
         "key": "runs at most once on any VM; not-run is true",
     }[kind]
-    return Operation(
+    return MatrixOperation(
         name=kind,
-        must=must,
-        may_end=frozenset({"done", "not-run", "unknown", "aborted", "vm lost"}),
+        requirement=must,
+        allowed_outcomes=frozenset(
+            {"done", "not-run", "unknown", "aborted", "vm lost"}
+        ),
         start=start,
     )
 
 
 def _confirm(trial: Trial) -> Check:
     plan_id = trial.operators.make_plan(
-        ClassIntent(caller="desk", priority_class="gold")
+        PriorityClassIntent(caller="desk", priority_class="gold")
     )
 
     def check(trial: Trial) -> str:
-        return trial.operators.confirm_until_told(plan_id) if plan_id else "no plan"
+        return trial.operators.confirm_until_answered(plan_id) if plan_id else "no plan"
 
     return check
 
 
 def _adoption(trial: Trial) -> Check:
     plan_id = trial.operators.make_plan(
-        ClassIntent(caller="desk", priority_class="gold")
+        PriorityClassIntent(caller="desk", priority_class="gold")
     )
-    told = trial.operators.confirm_until_told(plan_id) if plan_id else "no plan"
+    told = trial.operators.confirm_until_answered(plan_id) if plan_id else "no plan"
 
     def check(trial: Trial) -> str:
         return (
@@ -137,14 +139,16 @@
 def _drain(trial: Trial) -> Check:
     drain = Drain(kind=DrainKind.UPSTREAM, name="u0")
     plan_id = trial.operators.make_plan(DrainIntent(drain_id="d", drain=drain))
-    told = trial.operators.confirm_until_told(plan_id) if plan_id else "no plan"
-    latest = trial.world.now + FAULT_S + STEPS[-1] * STEP_S + DRAINED_WITHIN_S
+    told = trial.operators.confirm_until_answered(plan_id) if plan_id else "no plan"
+    latest = (
+        trial.world.now + FAULT_DURATION_S + INJECTION_STEPS[-1] * STEP_S + MAX_DRAIN_S
+    )
 
     def check(trial: Trial) -> str:
         upstream = trial.world.upstreams_by_name["u0"]
         if told != "accepted" or not trial.operators.is_in_force():
             return "missing"
-        if upstream.last_begun_at > latest:
+        if upstream.last_started_at > latest:
             return "got new work"
         return "empty" if not upstream.runs else "still running"
 
@@ -160,7 +164,7 @@
         ramp_s=0.0,
     )
     plan_id = trial.operators.make_plan(ShiftIntent(shift_id="s", shift=shift))
-    told = trial.operators.confirm_until_told(plan_id) if plan_id else "no plan"
+    told = trial.operators.confirm_until_answered(plan_id) if plan_id else "no plan"
 
     def check(trial: Trial) -> str:
         in_force = told == "accepted" and trial.operators.is_in_force()
@@ -173,7 +177,7 @@
     trial.hosts.restart(FIRST_VM)
 
     def check(trial: Trial) -> str:
-        return "serves" if trial.all_serve() else "does not serve"
+        return "serves" if trial.all_vms_serve() else "does not serve"
 
     return check
 
@@ -182,7 +186,7 @@
     trial.hosts.begin_leaving(FIRST_VM)
 
     def check(trial: Trial) -> str:
-        return "others serve" if trial.all_serve() else "others do not serve"
+        return "others serve" if trial.all_vms_serve() else "others do not serve"
 
     return check
 
@@ -192,77 +196,81 @@
     _request("id", 1.0, 0.15),
     _request("key", 1.0, 0.15),
     _request("download", 3.0, 2.5),
-    Operation(
+    MatrixOperation(
         name="confirm",
-        must="accepted unless another plan came first, and told truly when asked again",
-        may_end=frozenset({"accepted"}),
+        requirement=(
+            "accepted unless another plan came first, and told truly when asked again"
+        ),
+        allowed_outcomes=frozenset({"accepted"}),
         start=_confirm,
-        may_end_by_fault={"operators race": "overtaken"},
+        allowed_outcome_by_fault={"operators race": "overtaken"},
     ),
-    Operation(
+    MatrixOperation(
         name="adoption",
-        must="in force at every VM after the fault, never reverted",
-        may_end=frozenset({"in force"}),
+        requirement="in force at every VM after the fault, never reverted",
+        allowed_outcomes=frozenset({"in force"}),
         start=_adoption,
     ),
-    Operation(
+    MatrixOperation(
         name="drain",
-        must="the upstream gets nothing new and runs empty",
-        may_end=frozenset({"empty"}),
+        requirement="the upstream gets nothing new and runs empty",
+        allowed_outcomes=frozenset({"empty"}),
         start=_drain,
     ),
-    Operation(
+    MatrixOperation(
         name="shift",
-        must="in force, never over its cap",
-        may_end=frozenset({"within cap"}),
+        requirement="in force, never over its cap",
+        allowed_outcomes=frozenset({"within cap"}),
         start=_shift,
     ),
-    Operation(
+    MatrixOperation(
         name="VM start",
-        must="slots hold; it serves in the end",
-        may_end=frozenset({"serves"}),
+        requirement="slots hold; it serves in the end",
+        allowed_outcomes=frozenset({"serves"}),
         start=_start_vm,
     ),
-    Operation(
+    MatrixOperation(
         name="VM stop",
-        must="nothing is cut off; the others serve",
-        may_end=frozenset({"others serve"}),
+        requirement="nothing is cut off; the others serve",
+        allowed_outcomes=frozenset({"others serve"}),
         start=_stop_vm,
     ),
 ]
 
 
-def _way(name: str) -> Fault:
+def _injection(name: str) -> Fault:
     return lambda trial: trial.faults.inject(name, vm=FIRST_VM, upstream="u2")
 
 
 FAULTS: dict[str, Fault] = {
     "none": lambda trial: None,
-    "process killed": _way("kill"),
-    "power loss": _way("power-loss"),
-    "paused": _way("pause"),
-    "platform down": _way("platform"),
-    "store answers lost": _way("store-answers-lost"),
-    "store writes late": _way("store-writes-late"),
-    "reports stop": _way("reports-stop"),
-    "report lies": _way("liar"),
-    "upstreams shed": _way("all-shed"),
-    "upstreams lose answers": _way("all-lose-answers"),
-    "upstreams hang": _way("all-hang"),
-    "upstreams down": _way("all-down"),
-    "upstream leaves": _way("leave"),
-    "VM cut off": _way("isolate"),
-    "operators race": _way("race"),
-    "region fails": _way("region-fails"),
+    "process killed": _injection("kill"),
+    "power loss": _injection("power-loss"),
+    "paused": _injection("pause"),
+    "platform down": _injection("platform"),
+    "store answers lost": _injection("store-answers-lost"),
+    "store writes late": _injection("store-writes-late"),
+    "reports stop": _injection("reports-stop"),
+    "report lies": _injection("liar"),
+    "upstreams shed": _injection("all-shed"),
+    "upstreams lose answers": _injection("all-lose-answers"),
+    "upstreams hang": _injection("all-hang"),
+    "upstreams down": _injection("all-down"),
+    "upstream leaves": _injection("leave"),
+    "VM cut off": _injection("isolate"),
+    "operators race": _injection("race"),
+    "region fails": _injection("region-fails"),
 }
 
 
-def run_once(operation: Operation, faults: list[tuple[int, Fault]], seed: int) -> str:
+def run_once(
+    operation: MatrixOperation, faults: list[tuple[int, Fault]], seed: int
+) -> str:
     """Run one operation with faults injected some steps after its start.
 
     Parameters
     ----------
-    operation : Operation
+    operation : MatrixOperation
         What is done.
     faults : list of (int, callable)
         Steps after the start, and faults, in order.
@@ -276,11 +284,11 @@
 
     Raises
     ------
-    BrokenPromiseError
+    GuaranteeViolatedError
         If a promise of the system is broken.
     """
-    trial = build_trial(seed=seed, quiet=True)
-    trial.run(QUIET_S)
+    trial = build_trial(seed=seed, fault_free=True)
+    trial.run(WARM_UP_S)
     trial.request_rate = REQUEST_RATE
     check = operation.start(trial)
     last = 0
@@ -288,18 +296,20 @@
         trial.run((step - last) * STEP_S)
         last = step
         fault(trial)
-    trial.run(FAULT_S)
+    trial.run(FAULT_DURATION_S)
     trial.faults.heal_all()
-    trial.run(RECOVERY_S)
+    trial.run(RECOVERY_TIME_S)
     return check(trial)
 
 
-def run_cell(operation: Operation, fault: str, steps: tuple[int, ...] = STEPS) -> Cell:
+def run_cell(
+    operation: MatrixOperation, fault: str, steps: tuple[int, ...] = INJECTION_STEPS
+) -> MatrixCell:
     """Run an operation with one fault at each step.
 
     Parameters
     ----------
-    operation : Operation
+    operation : MatrixOperation
         What is done.
     fault : str
         Name of the fault.
@@ -310,7 +320,7 @@
     return _collect(operation, (fault,), plans)
 
 
-def run_pair(operation: Operation, first: str, second: str) -> Cell:
+def run_pair(operation: MatrixOperation, first: str, second: str) -> MatrixCell:
     """Run an operation with one fault after another, close together and apart."""
     gaps = ((1, 2), (2, 10), (0, 40))
     plans = [[(one, FAULTS[first]), (two, FAULTS[second])] for one, two in gaps]
@@ -318,28 +328,28 @@
 
 
 def _collect(
-    operation: Operation,
+    operation: MatrixOperation,
     faults: tuple[str, ...],
     plans: list[list[tuple[int, Fault]]],
-) -> Cell:
-    extra = {operation.may_end_by_fault.get(fault, "") for fault in faults}
-    allowed = operation.may_end | extra
+) -> MatrixCell:
+    extra = {operation.allowed_outcome_by_fault.get(fault, "") for fault in faults}
+    allowed = operation.allowed_outcomes | extra
     ends: Counter[str] = Counter()
     broken = []
     for seed, plan in enumerate(plans, start=1):
         steps = "+".join(str(step) for step, _ in plan)
         try:
             end = run_once(operation, plan, seed)
-        except (BrokenPromiseError, InvariantError) as error:
+        except (GuaranteeViolatedError, InvariantError) as error:
             broken.append(f"step {steps}: {error}")
             continue
         if end in allowed:
             ends[end] += 1
         else:
             broken.append(f"step {steps}: ended as {end}")
-    return Cell(
+    return MatrixCell(
         operation=operation.name,
         fault=" + ".join(faults),
-        ends=tuple(sorted(ends.items())),
-        broken=tuple(broken),
+        outcomes=tuple(sorted(ends.items())),
+        violations=tuple(broken),
     )
--- a/packages/testkit/src/plankspindle_testkit/trial/fault_schedule.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/fault_schedule.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from plankspindle_testkit.trial.world import TrialOptions
 
-WAYS = (
+FAULT_KINDS = (
     "conduct",
     "conduct-again",
     "heal",
@@ -24,7 +24,7 @@
     "restart",
     "restart-again",
 )
-CUT = "cut"
+PARTITION = "cut"
 
 
 @frozen(kw_only=True)
@@ -35,7 +35,7 @@
     ----------
     at : float
         Seconds from the start of the trial.
-    way : str
+    kind : str
         Its name.
     vm, upstream : str
         What it strikes, where it strikes one.
@@ -44,7 +44,7 @@
     """
 
     at: float
-    way: str
+    kind: str
     vm: str
     upstream: str
     seed: int
@@ -65,7 +65,11 @@
     They have a source of chance of their own: leaving one out changes no other.
     """
     random = Random(f"faults of {options.seed}")
-    ways = [*WAYS, CUT] if options.cuts_within_domains else [*WAYS]
+    ways = (
+        [*FAULT_KINDS, PARTITION]
+        if options.partitions_within_domains
+        else [*FAULT_KINDS]
+    )
     vms = sorted(place.name for place in options.places)
     upstreams = sorted(options.configuration.upstreams_by_name)
     faults = []
@@ -73,7 +77,7 @@
     while at < seconds:
         fault = ScheduledFault(
             at=at,
-            way=random.choice(ways),
+            kind=random.choice(ways),
             vm=random.choice(vms),
             upstream=random.choice(upstreams),
             seed=random.getrandbits(32),
--- a/packages/testkit/src/plankspindle_testkit/trial/truth.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/ground_truth.py
@@ -11,17 +11,17 @@
 from plankspindle_core.outcome import Outcome
 
 
-class BrokenPromiseError(AssertionError):
+class GuaranteeViolatedError(AssertionError):
     """A trial found a promise of the system broken."""
 
 
 @frozen(kw_only=True)
-class Told:
+class CallerOutcome:
     """What a caller was told.
 
     Parameters
     ----------
-    outcome : Outcome or None
+    outcome : RequestResult or None
         None if its connection was reset.
     at : float
         Seconds.
@@ -32,52 +32,52 @@
 
 
 @define(kw_only=True)
-class Truth:
+class GroundTruth:
     """Executions and answers by the mark of a request, shared by its repeats."""
 
     runs_by_mark: Counter[str] = field(factory=Counter)
     idempotent_marks: set[str] = field(factory=set)
-    told_by_request: dict[int, Told] = field(factory=dict)
+    outcome_by_request: dict[int, CallerOutcome] = field(factory=dict)
     not_run_at_by_mark: dict[str, float] = field(factory=dict)
-    _sole_marks: set[str] = field(factory=set)
+    _unrepeated_marks: set[str] = field(factory=set)
 
-    def expect(self, mark: str, *, idempotent: bool, sole: bool) -> None:
-        """Announce a request; ``sole`` ones are never repeated by their caller."""
+    def expect(self, mark: str, *, idempotent: bool, unrepeated: bool) -> None:
+        """Expect a request; ``unrepeated`` ones are never repeated by their caller."""
         if idempotent:
             self.idempotent_marks.add(mark)
-        if sole:
-            self._sole_marks.add(mark)
+        if unrepeated:
+            self._unrepeated_marks.add(mark)
 
-    def note_run(self, mark: str, now: float) -> None:
+    def record_run(self, mark: str, now: float) -> None:
         """Record an execution.
 
         Raises
         ------
-        BrokenPromiseError
+        GuaranteeViolatedError
             If it is one too many, or its caller was told that it was not run.
         """
         self.runs_by_mark[mark] += 1
         if mark not in self.idempotent_marks and self.runs_by_mark[mark] > 1:
-            raise BrokenPromiseError(f"{mark} ran twice, at {now:.3f}")
-        if mark in self._sole_marks and mark in self.not_run_at_by_mark:
-            raise BrokenPromiseError(f"{mark} ran at {now:.3f} after not-run")
+            raise GuaranteeViolatedError(f"{mark} ran twice, at {now:.3f}")
+        if mark in self._unrepeated_marks and mark in self.not_run_at_by_mark:
+            raise GuaranteeViolatedError(f"{mark} ran at {now:.3f} after not-run")
 
-    def note_told(
+    def record_outcome(
         self, request: int, mark: str, outcome: Outcome | None, now: float
     ) -> None:
         """Record what a caller was told.
 
         Raises
         ------
-        BrokenPromiseError
+        GuaranteeViolatedError
             If it is not true, or it is a second answer.
         """
-        if request in self.told_by_request:
-            raise BrokenPromiseError(f"request {request} was answered twice")
-        self.told_by_request[request] = Told(outcome=outcome, at=now)
+        if request in self.outcome_by_request:
+            raise GuaranteeViolatedError(f"request {request} was answered twice")
+        self.outcome_by_request[request] = CallerOutcome(outcome=outcome, at=now)
         if outcome is Outcome.NOT_RUN:
             self.not_run_at_by_mark[mark] = now
-            if mark in self._sole_marks and self.runs_by_mark[mark]:
-                raise BrokenPromiseError(f"{mark} was told not-run but ran")
+            if mark in self._unrepeated_marks and self.runs_by_mark[mark]:
+                raise GuaranteeViolatedError(f"{mark} was told not-run but ran")
         if outcome is Outcome.DONE and not self.runs_by_mark[mark]:
-            raise BrokenPromiseError(f"{mark} was told done but did not run")
+            raise GuaranteeViolatedError(f"{mark} was told done but did not run")
--- a/packages/testkit/src/plankspindle_testkit/trial/matrix.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/matrix.py
@@ -11,9 +11,9 @@
 import click
 
 from plankspindle_testkit.trial.fault_matrix import FAULTS
+from plankspindle_testkit.trial.fault_matrix import INJECTION_STEPS
 from plankspindle_testkit.trial.fault_matrix import OPERATIONS
-from plankspindle_testkit.trial.fault_matrix import STEPS
-from plankspindle_testkit.trial.fault_matrix import Cell
+from plankspindle_testkit.trial.fault_matrix import MatrixCell
 from plankspindle_testkit.trial.fault_matrix import run_cell
 from plankspindle_testkit.trial.fault_matrix import run_pair
 
@@ -22,7 +22,7 @@
 
 WORKERS = 6
 CHUNK = 4
-HAND_WRITTEN = "# The soak\n"
+HAND_WRITTEN_HEADING = "# The soak\n"
 """Heading of what follows the matrix on its page."""
 _BY_NAME = {operation.name: operation for operation in OPERATIONS}
 
@@ -38,31 +38,31 @@
     """Run every fault at every step of every operation and print what came of it."""
     with ProcessPoolExecutor(WORKERS) as pool:
         singles = list(pool.map(_run_single, _single_names(), chunksize=CHUNK))
-        doubles: list[Cell] = []
+        doubles: list[MatrixCell] = []
         if pairs:
             doubles = list(pool.map(_run_double, _double_names(), chunksize=CHUNK))
-    broken = [cell for cell in (*singles, *doubles) if cell.broken]
+    broken = [cell for cell in (*singles, *doubles) if cell.violations]
     page = render_page(singles, doubles)
     if write is None:
         click.echo(page)
     else:
         before = write.read_text(encoding="utf-8") if write.exists() else ""
-        write.write_text(page + hand_written(before), encoding="utf-8")
+        write.write_text(page + hand_written_part(before), encoding="utf-8")
     for cell in broken:
         where = f"{cell.operation}, {cell.fault}"
-        click.echo(f"broken: {where}: {cell.broken[0]}", err=True)
+        click.echo(f"broken: {where}: {cell.violations[0]}", err=True)
     sys.exit(1 if broken else 0)
 
 
-def hand_written(page: str) -> str:
+def hand_written_part(page: str) -> str:
     """Give the part of a page that isn't written by this command.
 
     Parameters
     ----------
     page : str
-        The page as it was; the part begins at ``HAND_WRITTEN``.
+        The page as it was; the part begins at ``HAND_WRITTEN_HEADING``.
     """
-    _, heading, rest = page.partition(HAND_WRITTEN)
+    _, heading, rest = page.partition(HAND_WRITTEN_HEADING)
     return f"\n{heading}{rest}" if heading else ""
 
 
@@ -79,20 +79,20 @@
     ]
 
 
-def _run_single(names: tuple[str, str]) -> Cell:
+def _run_single(names: tuple[str, str]) -> MatrixCell:
     return run_cell(_BY_NAME[names[0]], names[1])
 
 
-def _run_double(names: tuple[str, str, str]) -> Cell:
+def _run_double(names: tuple[str, str, str]) -> MatrixCell:
     return run_pair(_BY_NAME[names[0]], names[1], names[2])
 
 
-def render_page(singles: Sequence[Cell], doubles: Sequence[Cell]) -> str:
+def render_page(singles: Sequence[MatrixCell], doubles: Sequence[MatrixCell]) -> str:
     """Render the matrix as a Markdown page.
 
     Parameters
     ----------
-    singles, doubles : sequence of Cell
+    singles, doubles : sequence of MatrixCell
         Cells of one fault, and of pairs.
 
     Returns
@@ -100,7 +100,7 @@
     str
         The page.
     """
-    steps = ", ".join(str(step) for step in STEPS)
+    steps = ", ".join(str(step) for step in INJECTION_STEPS)
     lines = [
         "# Fault matrix",
         "",
@@ -119,29 +119,30 @@
     return "\n".join(lines) + "\n"
 
 
-def _render_operation(name: str, singles: Sequence[Cell]) -> list[str]:
+def _render_operation(name: str, singles: Sequence[MatrixCell]) -> list[str]:
     operation = _BY_NAME[name]
     lines = [
         f"## {name}",
         "",
-        f"Must: {operation.must}. May end as: {', '.join(sorted(operation.may_end))}.",
+        f"Must: {operation.requirement}. May end as:"
+        f" {', '.join(sorted(operation.allowed_outcomes))}.",
         "",
         "| fault | ended as |",
         "| --- | --- |",
     ]
     for cell in singles:
         if cell.operation == name:
-            lines.append(f"| {cell.fault} | {_render_ends(cell)} |")
+            lines.append(f"| {cell.fault} | {_render_outcomes(cell)} |")
     return [*lines, ""]
 
 
-def _render_ends(cell: Cell) -> str:
-    ends = [f"{end}: {count}" for end, count in cell.ends]
-    ends += [f"**{each}**" for each in cell.broken]
+def _render_outcomes(cell: MatrixCell) -> str:
+    ends = [f"{end}: {count}" for end, count in cell.outcomes]
+    ends += [f"**{each}**" for each in cell.violations]
     return ", ".join(ends)
 
 
-def _render_pairs(doubles: Sequence[Cell]) -> list[str]:
+def _render_pairs(doubles: Sequence[MatrixCell]) -> list[str]:
     lines = [
         "## Pairs",
         "",
@@ -154,9 +155,9 @@
         cells = [cell for cell in doubles if cell.operation == operation.name]
         totals: dict[str, int] = {}
         for cell in cells:
-            for end, count in cell.ends:
+            for end, count in cell.outcomes:
                 totals[end] = totals.get(end, 0) + count
-        broken = [f"{cell.fault}: {each}" for cell in cells for each in cell.broken]
+        broken = [f"{cell.fault}: {each}" for cell in cells for each in cell.violations]
         runs = sum(totals.values()) + len(broken)
         ends = ", ".join(f"{end}: {count}" for end, count in sorted(totals.items()))
         lines.append(
--- a/packages/testkit/src/plankspindle_testkit/trial/runs.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/standard_trial.py
@@ -7,14 +7,14 @@
 from plankspindle_core.configuration.operation import Operation
 from plankspindle_core.endpoint import Endpoint
 from plankspindle_core.invariants import InvariantError
-from plankspindle_testkit.builders import VmPlace
+from plankspindle_testkit.builders import VmAddresses
 from plankspindle_testkit.builders import build_configuration
 from plankspindle_testkit.builders import build_service
 from plankspindle_testkit.builders import build_upstream
 from plankspindle_testkit.trial.fault_schedule import ScheduledFault
 from plankspindle_testkit.trial.fault_schedule import draw_schedule
+from plankspindle_testkit.trial.ground_truth import GuaranteeViolatedError
 from plankspindle_testkit.trial.trial import Trial
-from plankspindle_testkit.trial.truth import BrokenPromiseError
 from plankspindle_testkit.trial.world import SERVICE
 from plankspindle_testkit.trial.world import TrialOptions
 
@@ -22,37 +22,37 @@
 
 
 @frozen(kw_only=True)
-class TrialVerdict:
+class TrialResult:
     """How a trial ended.
 
     Parameters
     ----------
     requests, done : int
         Requests sent, and those answered whole.
-    broken : str, optional
+    violation : str, optional
         The promise that was broken.
     trace : list of str
         What happened, newest last.
     schedule : tuple of ScheduledFault
         The faults.
-    lasted_s : float
+    duration_s : float
         Simulated seconds until its end.
     """
 
     requests: int
     done: int
-    broken: str | None
+    violation: str | None
     trace: list[str]
     schedule: tuple[ScheduledFault, ...]
-    lasted_s: float
+    duration_s: float
 
 
 def build_trial(
     *,
     seed: int,
-    cuts: bool = False,
+    partitions: bool = False,
     fault_rate: float = 0.5,
-    quiet: bool = False,
+    fault_free: bool = False,
     simulated_s: float = 0.0,
     schedule: tuple[ScheduledFault, ...] | None = None,
 ) -> Trial:
@@ -62,11 +62,11 @@
     ----------
     seed : int
         Its seed.
-    cuts : bool
+    partitions : bool
         Whether VMs of the domain are cut off from each other.
     fault_rate : float
         Faults each simulated second.
-    quiet : bool
+    fault_free : bool
         Whether nothing goes wrong by itself, and no requests come.
     simulated_s : float
         Length for which faults are drawn, in simulated seconds.
@@ -74,7 +74,7 @@
         Its faults, in place of those that its seed draws.
     """
     places = [
-        VmPlace(
+        VmAddresses(
             name=f"ba-1-{letter}",
             failure_domain="ba-1",
             host=f"127.0.1.{number}",
@@ -98,10 +98,10 @@
             services_by_name={SERVICE: build_service(operations=[OPERATION])},
         ),
         places=places,
-        cuts_within_domains=cuts,
-        fault_rate=0.0 if quiet else fault_rate,
-        request_rate=0.0 if quiet else 40.0,
-        quiet=quiet,
+        partitions_within_domains=partitions,
+        fault_rate=0.0 if fault_free else fault_rate,
+        request_rate=0.0 if fault_free else 40.0,
+        fault_free=fault_free,
     )
     if schedule is None:
         schedule = draw_schedule(options, simulated_s)
@@ -112,10 +112,10 @@
     *,
     seed: int,
     simulated_s: float,
-    cuts: bool = False,
+    partitions: bool = False,
     fault_rate: float = 0.5,
     schedule: tuple[ScheduledFault, ...] | None = None,
-) -> TrialVerdict:
+) -> TrialResult:
     """Run one trial and say how it ended.
 
     Parameters
@@ -124,7 +124,7 @@
         Its seed.
     simulated_s : float
         Its length in simulated seconds.
-    cuts : bool
+    partitions : bool
         Whether VMs of the domain are cut off from each other.
     fault_rate : float
         Faults each simulated second.
@@ -133,7 +133,7 @@
     """
     trial = build_trial(
         seed=seed,
-        cuts=cuts,
+        partitions=partitions,
         fault_rate=fault_rate,
         simulated_s=simulated_s,
         schedule=schedule,
@@ -142,13 +142,13 @@
     broken = None
     try:
         trial.run(simulated_s)
-    except (BrokenPromiseError, InvariantError) as error:
+    except (GuaranteeViolatedError, InvariantError) as error:
         broken = f"at {trial.world.now:.2f}: {error}"
-    return TrialVerdict(
+    return TrialResult(
         requests=trial.requests.requests,
         done=trial.requests.done,
-        broken=broken,
+        violation=broken,
         trace=trial.world.trace,
         schedule=trial.schedule,
-        lasted_s=trial.world.now - began_at,
+        duration_s=trial.world.now - began_at,
     )
--- a/packages/testkit/src/plankspindle_testkit/trial/trial.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/trial.py
@@ -23,15 +23,15 @@
 from plankspindle_daemon.peer_messages.peer_message import SendToPeer
 from plankspindle_daemon.peer_messages.slot_messages import SlotGrant
 from plankspindle_daemon.peer_messages.slot_messages import SlotRequest
-from plankspindle_testkit.trial.fake_platform import run_to_end
-from plankspindle_testkit.trial.fake_upstream import Conduct
+from plankspindle_testkit.trial.fake_platform import run_to_completion
+from plankspindle_testkit.trial.fake_upstream import UpstreamMode
 from plankspindle_testkit.trial.fault_injector import FaultInjector
 from plankspindle_testkit.trial.fault_schedule import ScheduledFault
+from plankspindle_testkit.trial.ground_truth import GuaranteeViolatedError
 from plankspindle_testkit.trial.trial_claims import TrialClaims
 from plankspindle_testkit.trial.trial_hosts import TrialHosts
 from plankspindle_testkit.trial.trial_operators import TrialOperators
 from plankspindle_testkit.trial.trial_requests import TrialRequests
-from plankspindle_testkit.trial.truth import BrokenPromiseError
 from plankspindle_testkit.trial.world import SERVICE
 from plankspindle_testkit.trial.world import TrialOptions
 from plankspindle_testkit.trial.world import World
@@ -45,7 +45,7 @@
 STEP_S = 0.05
 LIST_PERIOD_S = 1.0
 CONFIGURATION_PERIOD_S = 0.5
-LEAVE_BOUND_S = 3.0
+MAX_START_AFTER_LEAVING_S = 3.0
 
 
 @define(kw_only=True)
@@ -69,20 +69,20 @@
     requests: TrialRequests = field(init=False)
     faults: FaultInjector = field(init=False)
     request_rate: float = field(init=False)
-    _struck: int = 0
-    _began_at: float = 0.0
+    _injected: int = 0
+    _started_at: float = 0.0
     _next_list: dict[str, float] = field(factory=dict)
     _next_read: dict[str, float] = field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
         self.request_rate = self.options.request_rate
         self.world = World(options=self.options)
-        self._began_at = self.world.now
+        self._started_at = self.world.now
         self.hosts = TrialHosts(world=self.world)
         self.operators = TrialOperators(world=self.world)
         self.claims = TrialClaims(world=self.world)
         self.requests = TrialRequests(
-            world=self.world, claims=self.claims, tell=self._take_dispatch
+            world=self.world, claims=self.claims, handle_dispatch=self._handle_dispatch
         )
         self.faults = FaultInjector(
             world=self.world, hosts=self.hosts, operators=self.operators
@@ -96,7 +96,7 @@
 
         Raises
         ------
-        BrokenPromiseError
+        GuaranteeViolatedError
             If a promise is broken; the trace ends with what led there.
         """
         end = self.world.now + seconds
@@ -105,27 +105,27 @@
             self._step()
 
     def _step(self) -> None:
-        self._strike_due()
-        self.world.platform.land_late_write()
+        self._inject_due_faults()
+        self.world.platform.apply_delayed_write()
         self._deliver_packets()
         for vm in list(self.world.vms_by_name.values()):
             if vm.is_running(self.world.now):
                 self._run_vm(vm)
-        self.requests.end_runs()
+        self.requests.finish_due_runs()
         if self.world.random.random() < self.request_rate * STEP_S:
             self.requests.submit()
         self.claims.close_one()
-        self._check()
+        self._check_guarantees()
 
-    def _strike_due(self) -> None:
-        elapsed = self.world.now - self._began_at
-        due = self.schedule[self._struck :]
+    def _inject_due_faults(self) -> None:
+        elapsed = self.world.now - self._started_at
+        due = self.schedule[self._injected :]
         while due and due[0].at <= elapsed:
-            self.faults.strike(due[0])
-            self._struck += 1
+            self.faults.inject_scheduled(due[0])
+            self._injected += 1
             due = due[1:]
 
-    def all_serve(self) -> bool:
+    def all_vms_serve(self) -> bool:
         """Tell whether every VM that stays may use slots."""
         staying = [
             vm for vm in self.world.vms_by_name.values() if vm.node.leave.accepts
@@ -137,7 +137,7 @@
 
     def _deliver_packets(self) -> None:
         vm_by_peer = {vm.place.peer: vm for vm in self.world.vms_by_name.values()}
-        for packet in self.world.network.due(self.world.now):
+        for packet in self.world.network.pop_due(self.world.now):
             vm = vm_by_peer.get(packet.to)
             if vm is not None and vm.is_running(self.world.now):
                 self._receive(vm, packet.message, packet.sender)
@@ -146,7 +146,7 @@
         match message:
             case Heartbeat():
                 event = membership.HeartbeatReceived(message)
-                self._take_membership(vm, event)
+                self._handle_membership(vm, event)
             case ContentRequest():
                 self._perform(vm, [*vm.node.versions.answer(message, sender)])
             case ContentChunk():
@@ -157,15 +157,17 @@
                 lent = vm.node.shared_slots.lend(message, sender, self.world.now)
                 self._perform(vm, [*lent])
             case SlotGrant():
-                self._take_dispatch(vm, SERVICE, dispatch.SlotsGranted(message))
+                self._handle_dispatch(vm, SERVICE, dispatch.SlotsGranted(message))
 
-    def _take_membership(self, vm: TrialVm, event: membership.MembershipEvent) -> None:
+    def _handle_membership(
+        self, vm: TrialVm, event: membership.MembershipEvent
+    ) -> None:
         effects = vm.node.handle_membership(
             event, now=self.world.now, wall=self.world.wall()
         )
         self._perform(vm, effects)
 
-    def _take_dispatch(
+    def _handle_dispatch(
         self, vm: TrialVm, service: str, event: dispatch.DispatchEvent
     ) -> None:
         self._perform(vm, vm.node.handle_dispatch(service, event, self.world.now))
@@ -173,13 +175,13 @@
     def _run_vm(self, vm: TrialVm) -> None:
         if vm.paused_until is not None:
             vm.paused_until = None
-            self.world.note(f"{vm.place.name} wakes")
+            self.world.add_trace_line(f"{vm.place.name} wakes")
             effects = vm.node.recover_from_pause(
                 now=self.world.now, wall=self.world.wall()
             )
             self._perform(vm, effects)
-        while vm.ended_while_paused:
-            self.requests.end_run(*vm.ended_while_paused.pop())
+        while vm.finished_while_paused:
+            self.requests.finish_run(*vm.finished_while_paused.pop())
         self._read_platform(vm)
         self._perform(vm, vm.node.tick(now=self.world.now, wall=self.world.wall()))
         for request in list(vm.requests_by_number.values()):
@@ -192,16 +194,18 @@
         state = vm.node.leave.advance(running=running, now=self.world.now)
         if not isinstance(state, Left):
             return
-        if state.cut_off:
-            raise BrokenPromiseError(f"{vm.place.name} left with {state.cut_off} cut")
+        if state.aborted_requests:
+            raise GuaranteeViolatedError(
+                f"{vm.place.name} left with {state.aborted_requests} cut"
+            )
         goodbye = vm.node.heartbeat(now=self.world.now, left=True)
         for endpoint in vm.node.membership.peer_endpoints():
             self.world.send(vm, goodbye, endpoint)
-        self.world.note(f"{vm.place.name} left")
+        self.world.add_trace_line(f"{vm.place.name} left")
         if len(self.world.vms_by_name) > 1:
             self.hosts.kill(vm.place.name, power_loss=False)
         else:
-            self.hosts.replace(vm.place)
+            self.hosts.list_and_start(vm.place)
 
     def _read_platform(self, vm: TrialVm) -> None:
         name = vm.place.name
@@ -214,7 +218,7 @@
                 *self.world.listed_by_name.values(),
                 *self.hosts.listed_upstreams(),
             )
-            self._take_membership(vm, membership.LiveListRead(listed))
+            self._handle_membership(vm, membership.LiveListRead(listed))
         if self.world.now >= self._next_read.get(name, 0.0):
             self._next_read[name] = self.world.now + CONFIGURATION_PERIOD_S
             self._read_configuration(vm)
@@ -226,9 +230,9 @@
         reader = ConfigurationReader(
             platform=cast("PlatformClient", self.world.platform)
         )
-        answer = run_to_end(reader.read_newer(vm.node.version))
+        answer = run_to_completion(reader.read_newer(vm.node.version))
         if answer.is_ok():
-            vm.node.versions.head.note_read(self.world.now)
+            vm.node.versions.head.record_read(self.world.now)
         read = answer.unwrap_or(None)
         if read is not None:
             effects = vm.node.adopt(
@@ -247,7 +251,7 @@
                 case SendToPeer(message=message, to=to):
                     self.world.send(vm, message, to)
                 case BeginLeaving(reason=reason):
-                    self.world.note(f"{vm.place.name} leaves: {reason}")
+                    self.world.add_trace_line(f"{vm.place.name} leaves: {reason}")
                     vm.node.leave.begin(self.world.now)
 
     def _perform_dispatch(
@@ -255,7 +259,7 @@
     ) -> None:
         match effect:
             case dispatch.Assign() | dispatch.Reject():
-                self.requests.decide(vm, effect)
+                self.requests.apply_decision(vm, effect)
             case dispatch.SendProbe(upstream=name):
                 self._probe(vm, service, name)
             case dispatch.RequestSlots(request=request):
@@ -267,25 +271,25 @@
 
     def _probe(self, vm: TrialVm, service: str, name: str) -> None:
         upstream = self.world.upstreams_by_name[name]
-        answers = upstream.conduct is not Conduct.DOWN
+        answers = upstream.mode is not UpstreamMode.DOWN
         silent = not answers or upstream.reports_stopped
         report = None if silent else upstream.report()
         probed = dispatch.ProbeCompleted(
             upstream=name, report=report, wall=self.world.wall(), reached=answers
         )
-        self._take_dispatch(vm, service, probed)
+        self._handle_dispatch(vm, service, probed)
 
-    def _check(self) -> None:
+    def _check_guarantees(self) -> None:
         groups = 1
-        if self.options.cuts_within_domains:
+        if self.options.partitions_within_domains:
             groups = len(self.options.places)
         for upstream in self.world.upstreams_by_name.values():
             if len(upstream.runs) > upstream.slots * groups:
-                raise BrokenPromiseError(
+                raise GuaranteeViolatedError(
                     f"{upstream.name} runs {len(upstream.runs)} of {upstream.slots}"
                 )
-            if upstream.started_after_leaving_s > LEAVE_BOUND_S:
-                raise BrokenPromiseError(f"{upstream.name} got work while leaving")
+            if upstream.started_after_leaving_s > MAX_START_AFTER_LEAVING_S:
+                raise GuaranteeViolatedError(f"{upstream.name} got work while leaving")
         for vm in self.world.vms_by_name.values():
             self._check_requests(vm)
 
@@ -294,4 +298,4 @@
             return
         for request in vm.requests_by_number.values():
             if self.world.now > request.ticket.deadline + 2 * STEP_S:
-                raise BrokenPromiseError(f"request {request.number} has no answer")
+                raise GuaranteeViolatedError(f"request {request.number} has no answer")
--- a/packages/testkit/src/plankspindle_testkit/trial/trial_claims.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/trial_claims.py
@@ -14,7 +14,7 @@
 from plankspindle_daemon.platform.errors import ConditionFailed
 from plankspindle_daemon.platform.table import RowWrite
 from plankspindle_daemon.platform.table import Transaction
-from plankspindle_testkit.trial.fake_platform import run_to_end
+from plankspindle_testkit.trial.fake_platform import run_to_completion
 from plankspindle_testkit.trial.world import World
 
 if TYPE_CHECKING:
@@ -46,24 +46,24 @@
         for _ in range(8):
             if isinstance(effects[-1], claims.Settled):
                 return effects[-1].verdict
-            effects = attempt.handle(self._claim_step(effects[-1]))
+            effects = attempt.handle(self._perform(effects[-1]))
         settled = attempt.handle(claims.DeadlineExceeded())[-1]
         assert isinstance(settled, claims.Settled)
         self.closings.append((key, row.released()))
         return settled.verdict
 
-    def _claim_step(self, effect: claims.ClaimEffect) -> claims.ClaimEvent:
+    def _perform(self, effect: claims.ClaimEffect) -> claims.ClaimEvent:
         match effect:
             case claims.WriteRow(write=write):
                 transaction = Transaction(writes=[write])
-                committed = run_to_end(self.world.platform.commit(transaction))
+                committed = run_to_completion(self.world.platform.commit(transaction))
                 if committed.is_ok():
                     return claims.WriteAnswered(True)
                 if isinstance(committed.unwrap_err(), ConditionFailed):
                     return claims.WriteAnswered(False)
                 return claims.WriteUnanswered()
             case claims.ReadRow(key=key):
-                read = run_to_end(self.world.platform.read_row(key))
+                read = run_to_completion(self.world.platform.read_row(key))
                 if read.is_err():
                     return claims.ReadUnanswered()
                 return claims.RowRead(read.unwrap())
@@ -75,7 +75,7 @@
         if not self.closings or self.world.random.random() < 0.5:
             return
         key, wanted = self.closings.pop(0)
-        read = run_to_end(self.world.platform.read_row(key))
+        read = run_to_completion(self.world.platform.read_row(key))
         if read.is_err():
             self.closings.append((key, wanted))
             return
@@ -85,7 +85,7 @@
         write = RowWrite(
             key=key, expected_version=row.version, value=wanted.to_mapping()
         )
-        run_to_end(self.world.platform.commit(Transaction(writes=[write])))
+        run_to_completion(self.world.platform.commit(Transaction(writes=[write])))
         self.closings.append((key, wanted))
 
 
--- a/packages/testkit/src/plankspindle_testkit/trial/trial_hosts.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/trial_hosts.py
@@ -13,7 +13,7 @@
 from plankspindle_testkit.trial.world import World
 
 if TYPE_CHECKING:
-    from plankspindle_testkit.builders import VmPlace
+    from plankspindle_testkit.builders import VmAddresses
 
 LIST_LAG_S = 3.0
 LEAVE_LISTED_AFTER_S = 1.0
@@ -30,19 +30,19 @@
     """
 
     world: World
-    _silent_since: dict[str, float] = field(factory=dict)
+    _unresponsive_since: dict[str, float] = field(factory=dict)
 
     def start_all(self) -> None:
         """List all VMs and start a process on each."""
         for place in self.world.options.places:
-            self.replace(place)
+            self.list_and_start(place)
 
-    def replace(self, place: VmPlace) -> None:
+    def list_and_start(self, place: VmAddresses) -> None:
         """List a VM and start a process on it."""
         self._list_vm(place)
         self._start_vm(place)
 
-    def _list_vm(self, place: VmPlace) -> None:
+    def _list_vm(self, place: VmAddresses) -> None:
         self.world.listed_by_name[place.name] = ListedVm(
             name=place.name,
             kind=VmKind.ENTRY,
@@ -51,7 +51,7 @@
             peer_endpoint=place.peer,
         )
 
-    def _start_vm(self, place: VmPlace) -> None:
+    def _start_vm(self, place: VmAddresses) -> None:
         self.world.vms_by_name[place.name] = TrialVm.start(
             place,
             seeds=self.world.options.places,
@@ -64,22 +64,22 @@
         if name not in self.world.vms_by_name or len(self.world.vms_by_name) < 2:
             return
         del self.world.vms_by_name[name]
-        self._silent_since[name] = self.world.now
+        self._unresponsive_since[name] = self.world.now
         if not power_loss:
             for upstream in self.world.upstreams_by_name.values():
-                upstream.cancel_all_of(name)
+                upstream.cancel_all_from(name)
 
-    def restart_dead(self) -> None:
+    def restart_stopped(self) -> None:
         """Start a process again on a VM whose old process runs nothing any more."""
         for place in self.world.options.places:
-            if place.name in self.world.vms_by_name or self._still_runs(place.name):
+            if place.name in self.world.vms_by_name or self._has_executions(place.name):
                 continue
-            self._silent_since.pop(place.name, None)
+            self._unresponsive_since.pop(place.name, None)
             self._list_vm(place)
             self._start_vm(place)
             return
 
-    def _still_runs(self, vm: str) -> bool:
+    def _has_executions(self, vm: str) -> bool:
         return any(
             run.vm == vm
             for upstream in self.world.upstreams_by_name.values()
@@ -89,7 +89,7 @@
     def restart(self, vm: str) -> None:
         """End the process of a VM and start another one."""
         self.kill(vm, power_loss=False)
-        self.restart_dead()
+        self.restart_stopped()
 
     def begin_leaving(self, vm: str) -> None:
         """Begin the planned stop of a process."""
@@ -113,9 +113,9 @@
         """Drop VMs from the list some seconds after they died or stood still."""
         for name, vm in self.world.vms_by_name.items():
             if vm.is_running(self.world.now):
-                self._silent_since.pop(name, None)
+                self._unresponsive_since.pop(name, None)
             else:
-                self._silent_since.setdefault(name, self.world.now)
-        for name, since in self._silent_since.items():
+                self._unresponsive_since.setdefault(name, self.world.now)
+        for name, since in self._unresponsive_since.items():
             if self.world.now - since > LIST_LAG_S:
                 self.world.listed_by_name.pop(name, None)
--- a/packages/testkit/src/plankspindle_testkit/trial/trial_operators.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/trial_operators.py
@@ -16,11 +16,11 @@
 from plankspindle_daemon.control.intents import ShiftIntent
 from plankspindle_daemon.control.plan_store import PlanOvertaken
 from plankspindle_daemon.control.plan_store import PlanStore
-from plankspindle_daemon.digests.digest_book import DigestBook
+from plankspindle_daemon.digests.digest_table import DigestTable
 from plankspindle_daemon.peer_messages.load_digest import LoadDigest
 from plankspindle_daemon.peer_messages.load_digest import ServiceLoad
-from plankspindle_testkit.trial.fake_platform import run_to_end
-from plankspindle_testkit.trial.truth import BrokenPromiseError
+from plankspindle_testkit.trial.fake_platform import run_to_completion
+from plankspindle_testkit.trial.ground_truth import GuaranteeViolatedError
 from plankspindle_testkit.trial.world import SERVICE
 from plankspindle_testkit.trial.world import World
 
@@ -42,13 +42,13 @@
 
     def make_plan(self, intent: Any) -> str:
         """Make a plan and give its id; empty if the platform is away."""
-        made = run_to_end(self._plan_store().make(intent, "operator"))
+        made = run_to_completion(self._plan_store().create(intent, "operator"))
         return made.unwrap().id if made.is_ok() else ""
 
-    def confirm_until_told(self, plan_id: str) -> str:
+    def confirm_until_answered(self, plan_id: str) -> str:
         """Confirm a plan until the answer is known."""
         for _ in range(20):
-            answer = run_to_end(self._plan_store().confirm(plan_id, "operator"))
+            answer = run_to_completion(self._plan_store().confirm(plan_id, "operator"))
             if answer.is_ok():
                 return "accepted"
             if isinstance(answer.unwrap_err(), PlanOvertaken):
@@ -70,12 +70,12 @@
             platform=platform,
             reader=reader,
             random=self.world.random,
-            digests=self._plenty(),
+            digests=self._digests_with_spare_capacity(),
         )
 
-    def _plenty(self) -> DigestBook:
+    def _digests_with_spare_capacity(self) -> DigestTable:
         """Say that every failure domain has room, so that plans are not refused."""
-        book = DigestBook()
+        book = DigestTable()
         load = ServiceLoad(service=SERVICE, capacity=1000, in_flight=0, queued=0)
         for domain in self.world.options.configuration.failure_domains_by_name:
             digest = LoadDigest(
@@ -84,20 +84,22 @@
                 configuration_version=1,
                 loads=(load,),
             )
-            book.take(digest, monotonic())
+            book.record(digest, monotonic())
         return book
 
     def put_in_force(self, intent: Any) -> None:
         """Plan and confirm until it is accepted."""
         store = self._plan_store()
         for _ in range(20):
-            made = run_to_end(store.make(intent, "operator"))
+            made = run_to_completion(store.create(intent, "operator"))
             if made.is_ok():
-                confirmed = run_to_end(store.confirm(made.unwrap().id, "operator"))
+                confirmed = run_to_completion(
+                    store.confirm(made.unwrap().id, "operator")
+                )
                 if confirmed.is_ok():
                     return
 
-    def race(self) -> None:
+    def race_confirmations(self) -> None:
         """Let two operators plan on one version and both confirm."""
         store = self._plan_store()
         plans = []
@@ -106,17 +108,17 @@
             if shift is None:
                 return
             intent = ShiftIntent(shift_id=shift_id, shift=shift)
-            made = run_to_end(store.make(intent, shift_id))
+            made = run_to_completion(store.create(intent, shift_id))
             if made.is_ok():
                 plans.append(made.unwrap())
         accepted = [
             plan
             for plan in plans
-            if run_to_end(store.confirm(plan.id, plan.operator)).is_ok()
+            if run_to_completion(store.confirm(plan.id, plan.operator)).is_ok()
         ]
         bases = [plan.base_version for plan in accepted]
         if len(set(bases)) != len(bases):
-            raise BrokenPromiseError(f"two plans on one base accepted: {bases}")
+            raise GuaranteeViolatedError(f"two plans on one base accepted: {bases}")
 
     def _shift(self, cap: float) -> Shift | None:
         domains = self.world.options.configuration.failure_domains_by_name
--- a/packages/testkit/src/plankspindle_testkit/trial/trial_request.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/trial_request.py
@@ -45,48 +45,48 @@
     record: RequestRecord
     upstream: str | None = None
     sent_at: float | None = None
-    told: Outcome | None = None
+    outcome: Outcome | None = None
     aborted: bool = False
-    over: bool = False
+    is_complete: bool = False
     awaited: m.ExchangeEffect | None = None
-    ended: list[dispatch.AttemptCompleted] = field(factory=list)
+    completed_attempts: list[dispatch.AttemptCompleted] = field(factory=list)
 
     def begin(self) -> None:
         """Take the first step."""
-        self._take(self.exchange.begin(), now=None)
+        self._apply(self.exchange.begin(), now=None)
 
     def handle(self, event: m.ExchangeEvent, now: float) -> None:
         """Give an event to the exchange and take its effects."""
-        if not self.over:
-            self._take(self.exchange.handle(event), now=now)
+        if not self.is_complete:
+            self._apply(self.exchange.handle(event), now=now)
 
-    def _take(self, effects: list[m.ExchangeEffect], now: float | None) -> None:
+    def _apply(self, effects: list[m.ExchangeEffect], now: float | None) -> None:
         self.awaited = None
         for effect in effects:
             match effect:
-                case m.ReleaseUpstream(verdict=verdict):
-                    self._end_upstream(verdict, now)
+                case m.ReleaseUpstream(outcome=verdict):
+                    self._complete_attempt(verdict, now)
                 case m.AnswerCaller(outcome=outcome):
-                    self.told = outcome
-                    self.over = True
+                    self.outcome = outcome
+                    self.is_complete = True
                     if outcome is Outcome.NOT_RUN:
                         self.record.release()
                 case m.AbortCaller():
                     self.aborted = True
-                    self.over = True
+                    self.is_complete = True
                 case m.FindUpstream(excluded=excluded):
                     self.ticket = self.ticket.excluding(excluded)
                     self.awaited = effect
                 case _:
                     self.awaited = effect
 
-    def _end_upstream(
+    def _complete_attempt(
         self, verdict: dispatch.AttemptOutcome, now: float | None
     ) -> None:
         assert self.upstream is not None
         answered = verdict is dispatch.AttemptOutcome.ANSWERED
         took = now - self.sent_at if answered and now and self.sent_at else None
-        self.ended.append(
+        self.completed_attempts.append(
             dispatch.AttemptCompleted(
                 ticket=self.ticket,
                 upstream=self.upstream,
@@ -97,10 +97,10 @@
         )
         self.upstream = None
 
-    def answer_whole(self, now: float) -> None:
+    def complete_answer(self, now: float) -> None:
         """Take the whole answer of the upstream."""
         self.handle(m.HeadReceived(), now)
         self.record.finish(ANSWER)
         self.handle(m.AnswerRelayed(), now)
-        self.told = Outcome.DONE
-        self.over = True
+        self.outcome = Outcome.DONE
+        self.is_complete = True
--- a/packages/testkit/src/plankspindle_testkit/trial/trial_requests.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/trial_requests.py
@@ -24,20 +24,20 @@
 from plankspindle_daemon.idempotency.verdicts import Replay
 from plankspindle_daemon.idempotency.verdicts import RunIt
 from plankspindle_daemon.shifts.shift_meter import Move
-from plankspindle_testkit.trial.fake_upstream import Conduct
 from plankspindle_testkit.trial.fake_upstream import FakeUpstream
 from plankspindle_testkit.trial.fake_upstream import Run
+from plankspindle_testkit.trial.fake_upstream import UpstreamMode
+from plankspindle_testkit.trial.ground_truth import GuaranteeViolatedError
 from plankspindle_testkit.trial.trial_claims import TrialClaimRecord
 from plankspindle_testkit.trial.trial_claims import TrialClaims
 from plankspindle_testkit.trial.trial_request import TrialRequest
 from plankspindle_testkit.trial.trial_vm import TrialVm
-from plankspindle_testkit.trial.truth import BrokenPromiseError
 from plankspindle_testkit.trial.world import SERVICE
 from plankspindle_testkit.trial.world import World
 
 FINGERPRINT = Fingerprint(caller="dealer", digest="aa")
-STRANGER = Fingerprint(caller="stranger", digest="aa")
-STRANGER_SHARE = 0.1
+OTHER_CALLER = Fingerprint(caller="stranger", digest="aa")
+OTHER_CALLER_SHARE = 0.1
 """Part of the repeats that another caller makes."""
 
 
@@ -51,19 +51,19 @@
         The trial's state.
     claims : TrialClaims
         Claims of keys.
-    tell : callable
+    handle_dispatch : callable
         Gives an event to a dispatcher of a VM and carries out what follows.
     """
 
     world: World
     claims: TrialClaims
-    tell: Callable[[TrialVm, str, dispatch.DispatchEvent], None]
+    handle_dispatch: Callable[[TrialVm, str, dispatch.DispatchEvent], None]
     requests: int = 0
-    told_by_outcome: dict[str, int] = field(factory=dict)
+    count_by_outcome: dict[str, int] = field(factory=dict)
     _issued_ids: list[tuple[str, str]] = field(factory=list)
     _durations_by_request: dict[int, tuple[float, float]] = field(factory=dict)
 
-    def start_one(
+    def submit_one(
         self, vm: str, *, kind: str, timeout_s: float, duration_s: float
     ) -> int:
         """Start one request whose end is asked for later.
@@ -93,13 +93,13 @@
                 self._submit_key(node, number)
             case _:
                 mark = f"{kind}-{number}"
-                self.world.truth.expect(mark, idempotent=True, sole=True)
+                self.world.ground_truth.expect(mark, idempotent=True, unrepeated=True)
                 self._start_request(node, number, mark, NoRecord())
         return number
 
-    def end_of(self, number: int) -> str:
+    def outcome_of(self, number: int) -> str:
         """Give what the caller of a request was told."""
-        told = self.world.truth.told_by_request.get(number)
+        told = self.world.ground_truth.outcome_by_request.get(number)
         if told is None:
             return "vm lost"
         return "aborted" if told.outcome is None else told.outcome.value
@@ -121,7 +121,9 @@
         match way:
             case "lookup" | "transfer":
                 mark = f"{way}-{number}"
-                self.world.truth.expect(mark, idempotent=way == "lookup", sole=True)
+                self.world.ground_truth.expect(
+                    mark, idempotent=way == "lookup", unrepeated=True
+                )
                 self._start_request(vm, number, mark, NoRecord())
             case "id":
                 self._submit_id(vm, number)
@@ -132,28 +134,28 @@
         """Send a new id, or repeat one at this VM, whoever issued it."""
         if self._issued_ids and self.world.random.random() < 0.5:
             text, mark = self.world.random.choice(self._issued_ids[-20:])
-            if self.world.random.random() < STRANGER_SHARE:
-                self._try_as_stranger(vm, text)
+            if self.world.random.random() < OTHER_CALLER_SHARE:
+                self._repeat_as_other_caller(vm, text)
                 return
         else:
             text, mark = vm.node.ids.issue(self.world.now), f"id-{number}"
             self._issued_ids.append((text, mark))
-            self.world.truth.expect(mark, idempotent=False, sole=False)
+            self.world.ground_truth.expect(mark, idempotent=False, unrepeated=False)
         if vm.node.ids.begin(text, FINGERPRINT, self.world.now) == RunIt():
             record = IdRecord(ids=vm.node.ids, request_id=text)
             self._start_request(vm, number, mark, record)
 
-    def _try_as_stranger(self, vm: TrialVm, text: str) -> None:
+    def _repeat_as_other_caller(self, vm: TrialVm, text: str) -> None:
         """Let another caller send an id that was used; it must learn nothing."""
-        verdict = vm.node.ids.begin(text, STRANGER, self.world.now)
+        verdict = vm.node.ids.begin(text, OTHER_CALLER, self.world.now)
         if isinstance(verdict, Replay | InProgress | AnsweredUnrecorded):
-            raise BrokenPromiseError(f"what became of {text} was told a stranger")
+            raise GuaranteeViolatedError(f"what became of {text} was told a stranger")
         if verdict == RunIt():
             vm.node.ids.release(text)
 
     def _submit_key(self, vm: TrialVm, number: int) -> None:
         key = f"key-{self.world.random.randrange(max(1, self.requests // 10))}"
-        self.world.truth.expect(key, idempotent=False, sole=False)
+        self.world.ground_truth.expect(key, idempotent=False, unrepeated=False)
         row_key = claim_key(service=SERVICE, idempotency_key=key)
         row = ClaimRow(
             fingerprint=FINGERPRINT,
@@ -170,7 +172,7 @@
     def _start_request(
         self, vm: TrialVm, number: int, mark: str, record: RequestRecord
     ) -> None:
-        idempotent = mark in self.world.truth.idempotent_marks
+        idempotent = mark in self.world.ground_truth.idempotent_marks
         timeout_s = self.world.random.choice([0.3, 1.0, 3.0])
         directed = self._durations_by_request.get(number)
         if directed is not None:
@@ -199,18 +201,18 @@
             record=record,
         )
         vm.requests_by_number[number] = request
-        self._move(vm, f"dealer-{number % 7}")
+        self._count_move(vm, f"dealer-{number % 7}")
         request.begin()
-        self._carry_on(vm, request)
+        self._advance(vm, request)
 
-    def _move(self, vm: TrialVm, caller_key: str) -> None:
+    def _count_move(self, vm: TrialVm, caller_key: str) -> None:
         """Let the meter decide; what it moves is not followed any further."""
         meter = vm.node.shift_meter
         chosen = meter.choose(
             service=SERVICE, caller_key=caller_key, now=self.world.now
         )
         if isinstance(chosen, Move):
-            meter.count_move(service=SERVICE, move=chosen)
+            meter.record_move(service=SERVICE, move=chosen)
 
     def handle(
         self, vm: TrialVm, request: TrialRequest, event: m.ExchangeEvent
@@ -221,20 +223,20 @@
                 request.number, request.vm
             )
         request.handle(event, self.world.now)
-        self._carry_on(vm, request)
+        self._advance(vm, request)
 
-    def _carry_on(self, vm: TrialVm, request: TrialRequest) -> None:
+    def _advance(self, vm: TrialVm, request: TrialRequest) -> None:
         """Carry out what a request awaits until it has to wait."""
-        while request.ended:
-            self.tell(vm, request.service, request.ended.pop(0))
-        if request.over:
+        while request.completed_attempts:
+            self.handle_dispatch(vm, request.service, request.completed_attempts.pop(0))
+        if request.is_complete:
             self._finish(vm, request)
             return
         match request.awaited:
             case m.FindUpstream():
                 request.awaited = None
                 arrived = dispatch.RequestArrived(request.ticket)
-                self.tell(vm, request.service, arrived)
+                self.handle_dispatch(vm, request.service, arrived)
             case m.OpenConnection():
                 self._open(vm, request)
             case m.SendRequest():
@@ -242,11 +244,13 @@
                 self._send_request(vm, request)
             case m.WithdrawTicket():
                 withdrawn = dispatch.RequestWithdrawn(request.ticket.id)
-                self.tell(vm, request.service, withdrawn)
+                self.handle_dispatch(vm, request.service, withdrawn)
             case _:
                 pass
 
-    def decide(self, vm: TrialVm, decision: dispatch.Assign | dispatch.Reject) -> None:
+    def apply_decision(
+        self, vm: TrialVm, decision: dispatch.Assign | dispatch.Reject
+    ) -> None:
         """Give a request its upstream, or refuse it one."""
         request = vm.requests_by_number.get(decision.ticket.id)
         if request is None:
@@ -262,7 +266,7 @@
     def _open(self, vm: TrialVm, request: TrialRequest) -> None:
         assert request.upstream is not None
         upstream = self.world.upstreams_by_name[request.upstream]
-        down = upstream.conduct is Conduct.DOWN
+        down = upstream.mode is UpstreamMode.DOWN
         self.handle(vm, request, m.ConnectFailed() if down else m.Connected())
 
     def _send_request(self, vm: TrialVm, request: TrialRequest) -> None:
@@ -274,7 +278,7 @@
             request.record.record_not_run()
             self.handle(vm, request, m.ConnectionBroken(bytes_handed_over=False))
             return
-        if upstream.conduct is Conduct.SHED:
+        if upstream.mode is UpstreamMode.SHED:
             request.record.record_not_run()
             self.handle(vm, request, m.HeadReceived(proves_not_run=True))
             return
@@ -282,46 +286,46 @@
         directed = self._durations_by_request.get(request.number)
         if directed is not None:
             duration = directed[1]
-        if upstream.conduct is Conduct.HANG:
+        if upstream.mode is UpstreamMode.HANG:
             duration = 1e9
         deadline = request.ticket.deadline
         ends_at = min(self.world.now + duration, deadline)
         run = Run(request=request.number, vm=request.vm, ends_at=ends_at)
-        self.world.truth.note_run(request.mark, self.world.now)
-        upstream.begin(run, self.world.now)
+        self.world.ground_truth.record_run(request.mark, self.world.now)
+        upstream.start(run, self.world.now)
 
-    def end_runs(self) -> None:
+    def finish_due_runs(self) -> None:
         """End what upstreams have run long enough."""
         for upstream in self.world.upstreams_by_name.values():
-            for run in upstream.end_due(self.world.now):
-                self.end_run(upstream, run)
+            for run in upstream.pop_finished(self.world.now):
+                self.finish_run(upstream, run)
 
-    def end_run(self, upstream: FakeUpstream, run: Run) -> None:
+    def finish_run(self, upstream: FakeUpstream, run: Run) -> None:
         """End one run, whose answer reaches its VM unless that stands still."""
         vm = self.world.vms_by_name.get(run.vm)
         request = vm.requests_by_number.get(run.request) if vm else None
         if vm is None or request is None or request.upstream != upstream.name:
             return
         if not vm.is_running(self.world.now):
-            vm.ended_while_paused.append((upstream, run))
+            vm.finished_while_paused.append((upstream, run))
             return
-        if upstream.conduct is Conduct.LOSE_ANSWERS:
+        if upstream.mode is UpstreamMode.LOSE_ANSWERS:
             self.handle(vm, request, m.ConnectionBroken(bytes_handed_over=True))
             return
-        request.answer_whole(self.world.now)
-        self._carry_on(vm, request)
+        request.complete_answer(self.world.now)
+        self._advance(vm, request)
 
     def _finish(self, vm: TrialVm, request: TrialRequest) -> None:
         if vm.requests_by_number.pop(request.number, None) is None:
             return
-        outcome = None if request.aborted else request.told
+        outcome = None if request.aborted else request.outcome
         name = outcome.value if outcome is not None else "aborted"
-        self.told_by_outcome[name] = self.told_by_outcome.get(name, 0) + 1
-        self.world.truth.note_told(
+        self.count_by_outcome[name] = self.count_by_outcome.get(name, 0) + 1
+        self.world.ground_truth.record_outcome(
             request.number, request.mark, outcome, self.world.now
         )
 
     @property
     def done(self) -> int:
         """Requests that were answered whole."""
-        return self.told_by_outcome.get(Outcome.DONE.value, 0)
+        return self.count_by_outcome.get(Outcome.DONE.value, 0)
--- a/packages/testkit/src/plankspindle_testkit/trial/trial_vm.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/trial_vm.py
@@ -12,7 +12,7 @@
 from plankspindle_daemon.membership.membership import Membership
 from plankspindle_daemon.membership.membership_options import MembershipOptions
 from plankspindle_daemon.node.node import Node
-from plankspindle_testkit.builders import VmPlace
+from plankspindle_testkit.builders import VmAddresses
 from plankspindle_testkit.trial.fake_upstream import FakeUpstream
 from plankspindle_testkit.trial.fake_upstream import Run
 from plankspindle_testkit.trial.trial_request import TrialRequest
@@ -27,29 +27,29 @@
 
     Parameters
     ----------
-    place : VmPlace
+    place : VmAddresses
         The VM.
     node : Node
         The decisions of the process.
     """
 
-    place: VmPlace
+    place: VmAddresses
     node: Node
     paused_until: float | None = None
     requests_by_number: dict[int, TrialRequest] = field(factory=dict)
-    ended_while_paused: list[tuple[FakeUpstream, Run]] = field(factory=list)
+    finished_while_paused: list[tuple[FakeUpstream, Run]] = field(factory=list)
 
     @classmethod
     def start(
-        cls, place: VmPlace, *, seeds: list[VmPlace], random: Random, now: float
+        cls, place: VmAddresses, *, seeds: list[VmAddresses], random: Random, now: float
     ) -> TrialVm:
         """Start a process.
 
         Parameters
         ----------
-        place : VmPlace
+        place : VmAddresses
             The VM.
-        seeds : list of VmPlace
+        seeds : list of VmAddresses
             Peers named by its settings.
         random : Random
             Source of its choices.
@@ -82,7 +82,7 @@
                 max_retained=10_000,
             ),
             leave=Leave(leave_s=60.0),
-            probe_s=1.0,
+            probe_period_s=1.0,
             started_at=now,
             settle_s=SUSPECT_AFTER_S,
         )
--- a/packages/testkit/src/plankspindle_testkit/trial/world.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/world.py
@@ -11,12 +11,12 @@
 
 from plankspindle_core.configuration.configuration import Configuration
 from plankspindle_daemon.platform.live_list import ListedVm
-from plankspindle_testkit.builders import VmPlace
+from plankspindle_testkit.builders import VmAddresses
 from plankspindle_testkit.trial.fake_network import FakeNetwork
 from plankspindle_testkit.trial.fake_platform import FakePlatform
 from plankspindle_testkit.trial.fake_upstream import FakeUpstream
+from plankspindle_testkit.trial.ground_truth import GroundTruth
 from plankspindle_testkit.trial.trial_vm import TrialVm
-from plankspindle_testkit.trial.truth import Truth
 
 if TYPE_CHECKING:
     from plankspindle_core.endpoint import Endpoint
@@ -36,26 +36,26 @@
         Seed of every random choice.
     configuration : Configuration
         First version.
-    places : list of VmPlace
+    places : list of VmAddresses
         Entry VMs.
     request_rate : float
         Requests each second, all VMs together.
     fault_rate : float
         Faults each second.
-    cuts_within_domains : bool
+    partitions_within_domains : bool
         Whether VMs of one failure domain are cut off from each other; the slots of
         an upstream may then be passed, up to once for each group of VMs.
-    quiet : bool
+    fault_free : bool
         Whether messages and calls at the platform go well by themselves.
     """
 
     seed: int
     configuration: Configuration
-    places: list[VmPlace]
+    places: list[VmAddresses]
     request_rate: float = 40.0
     fault_rate: float = 0.5
-    cuts_within_domains: bool = False
-    quiet: bool = False
+    partitions_within_domains: bool = False
+    fault_free: bool = False
 
 
 @define(kw_only=True)
@@ -73,7 +73,7 @@
     random: Random = field(init=False)
     network: FakeNetwork = field(init=False)
     platform: FakePlatform = field(init=False)
-    truth: Truth = field(factory=Truth)
+    ground_truth: GroundTruth = field(factory=GroundTruth)
     vms_by_name: dict[str, TrialVm] = field(factory=dict)
     upstreams_by_name: dict[str, FakeUpstream] = field(factory=dict)
     listed_by_name: dict[str, ListedVm] = field(factory=dict)
@@ -81,9 +81,11 @@
 
     def __attrs_post_init__(self) -> None:
         self.random = Random(self.options.seed)
-        calm = self.options.quiet
+        calm = self.options.fault_free
         self.network = FakeNetwork(
-            random=self.random, loss=0.0 if calm else 0.1, repeat=0.0 if calm else 0.05
+            random=self.random,
+            loss=0.0 if calm else 0.1,
+            duplication=0.0 if calm else 0.05,
         )
         self.platform = FakePlatform(
             random=self.random, fault_rate=0.0 if calm else 0.1
@@ -91,7 +93,7 @@
         for name, each in self.options.configuration.upstreams_by_name.items():
             self.upstreams_by_name[name] = FakeUpstream(name=name, slots=each.slots)
 
-    def note(self, text: str) -> None:
+    def add_trace_line(self, text: str) -> None:
         """Add a line to the trace."""
         self.trace.append(f"{self.now:9.3f} {text}")
 
--- a/packages/testkit/src/plankspindle_testkit/upstream_stand_in/__main__.py
+++ b/packages/testkit/src/plankspindle_testkit/upstream_stand_in/__main__.py
@@ -6,7 +6,7 @@
 import curio
 
 from plankspindle_core.endpoint import Endpoint
-from plankspindle_testkit.serving import serve_until_ended
+from plankspindle_testkit.serving import serve_until_killed
 from plankspindle_testkit.upstream_stand_in.behaviour import Behaviour
 from plankspindle_testkit.upstream_stand_in.upstream_stand_in import UpstreamStandIn
 
@@ -17,7 +17,7 @@
 def main(service_ms: float, upstreams: tuple[str, ...]) -> None:
     """Serve UPSTREAMS, each NAME=IP:PORT=SLOTS."""
     servers = [_make(each, service_ms) for each in upstreams]
-    curio.run(serve_until_ended, servers)
+    curio.run(serve_until_killed, servers)
 
 
 def _make(text: str, service_ms: float) -> UpstreamStandIn:
--- a/packages/testkit/src/plankspindle_testkit/upstream_stand_in/upstream_stand_in.py
+++ b/packages/testkit/src/plankspindle_testkit/upstream_stand_in/upstream_stand_in.py
@@ -17,7 +17,7 @@
 from plankspindle_core.http.headers import find_header
 from plankspindle_core.http.limits import HttpLimits
 from plankspindle_core.http.server import HttpServer
-from plankspindle_core.http.server_exchange import CallerGoneError
+from plankspindle_core.http.server_exchange import CallerDisconnectedError
 from plankspindle_testkit.upstream_stand_in.behaviour import Behaviour
 from plankspindle_testkit.upstream_stand_in.behaviour import Mode
 
@@ -27,12 +27,12 @@
 
 MAX_BODY_BYTES = 64 * 1024 * 1024
 BYTES_PREFIX = "/bytes/"
-SHORT_LENGTH = b"1000"
+TRUNCATED_LENGTH = b"1000"
 CHUNK = b"x" * 65_536
-RUN_HEADER = b"x-run"
-CRASHED = 70
+MARK_HEADER = b"x-run"
+CRASH_EXIT_STATUS = 70
 """Exit status of a process that ends under a request."""
-WORK_HEADER = b"x-work-ms"
+WORK_MS_HEADER = b"x-work-ms"
 """Time that this request takes instead of the usual one, in milliseconds."""
 
 
@@ -53,7 +53,7 @@
     ----------
     runs_by_mark : Counter of str
         Executions by the value of the ``x-run`` header of requests.
-    most_in_flight : int
+    max_in_flight : int
         Most requests that ran at once.
     """
 
@@ -62,7 +62,7 @@
     slots: int
     behaviour: Behaviour = field(factory=Behaviour)
     in_flight: int = 0
-    most_in_flight: int = 0
+    max_in_flight: int = 0
     runs_by_mark: Counter[str] = field(factory=Counter)
     shed: int = 0
     cancelled: int = 0
@@ -91,7 +91,7 @@
             await source.answer(status=200, body=json.dumps(self.runs_by_mark).encode())
         elif path == "/control":
             await self._control(source, body)
-        elif self._refuses(source):
+        elif self._sheds(source):
             shed = [(header_names.SHED, b"1")]
             await source.answer(status=503, headers=shed, body=b"shed\n")
         else:
@@ -106,7 +106,7 @@
             "leaves_at": self.behaviour.leaves_at,
         }
 
-    def _refuses(self, source: ServerExchange) -> bool:
+    def _sheds(self, source: ServerExchange) -> bool:
         if self.behaviour.mode is Mode.SHED or self.in_flight >= self.slots:
             self.shed += 1
             return True
@@ -117,20 +117,20 @@
         return False
 
     async def _run(self, source: ServerExchange, path: str, body: bytes) -> None:
-        mark = find_header(source.headers, RUN_HEADER)
+        mark = find_header(source.headers, MARK_HEADER)
         if mark is not None:
             self.runs_by_mark[mark.decode()] += 1
         self.in_flight += 1
-        self.most_in_flight = max(self.most_in_flight, self.in_flight)
-        watcher = await source.watch_caller()
+        self.max_in_flight = max(self.max_in_flight, self.in_flight)
+        watcher = await source.monitor_caller()
         try:
-            own = find_header(source.headers, WORK_HEADER)
+            own = find_header(source.headers, WORK_MS_HEADER)
             work_ms = self.behaviour.service_ms if own is None else float(own)
             await sleep(work_ms / 1000)
             if path == self.behaviour.crash_path:
-                os._exit(CRASHED)
+                os._exit(CRASH_EXIT_STATUS)
             await self._answer(source, path, body)
-        except CallerGoneError:
+        except CallerDisconnectedError:
             self.cancelled += 1
             raise
         finally:
@@ -147,18 +147,18 @@
                 source.abort()
             case Mode.TRUNCATE:
                 size = path.removeprefix(BYTES_PREFIX)
-                length = size.encode() if size.isdigit() else SHORT_LENGTH
+                length = size.encode() if size.isdigit() else TRUNCATED_LENGTH
                 headers = [(b"content-length", length)]
                 await source.send_head(status=200, headers=headers)
                 await source.send_data(b"only this")
                 source.abort()
             case Mode.EXTRA_BYTES:
-                await self._answer_whole(source, path, body)
+                await self._answer_complete(source, path, body)
                 await source._socket.sendall(b"HTTP/1.1 200 OK\r\n\r\nstray")
             case Mode.SERVE | Mode.SHED:
-                await self._answer_whole(source, path, body)
+                await self._answer_complete(source, path, body)
 
-    async def _answer_whole(
+    async def _answer_complete(
         self, source: ServerExchange, path: str, body: bytes
     ) -> None:
         if path.startswith(BYTES_PREFIX):
@@ -195,7 +195,7 @@
         counts = {
             "runs": sum(self.runs_by_mark.values()),
             "most_runs": max(self.runs_by_mark.values(), default=0),
-            "most_in_flight": self.most_in_flight,
+            "most_in_flight": self.max_in_flight,
             "shed": self.shed,
             "cancelled": self.cancelled,
             "refused_late": self.refused_late,
--- a/packages/testkit/tests/lab/test_crashing_requests.py
+++ b/packages/testkit/tests/lab/test_crashing_requests.py
@@ -19,9 +19,9 @@
 
 from plankspindle_daemon.quarantine.crash_records import QUARANTINE_AFTER_CRASHES
 from plankspindle_testkit.lab.lab_run import LabRun
-from plankspindle_testkit.lab.mechanisms import setting
+from plankspindle_testkit.lab.mechanisms import override_constant
 from plankspindle_testkit.lab.outcomes import Outcome
-from plankspindle_testkit.lab.pattern import PATTERNS
+from plankspindle_testkit.lab.pattern import PATTERNS_FOLDER
 from plankspindle_testkit.lab.pattern import EventKind
 from plankspindle_testkit.lab.pattern import Pattern
 from plankspindle_testkit.lab.pattern import PatternEvent
@@ -37,7 +37,9 @@
 
 def pattern(vms: int) -> Pattern:
     """Give the pattern with the same load for each of more entry VMs."""
-    small = read_pattern(PATTERNS / "requests-that-crash-upstreams.yaml").unwrap()
+    small = read_pattern(
+        PATTERNS_FOLDER / "requests-that-crash-upstreams.yaml"
+    ).unwrap()
     factor = vms / sum(small.vms_by_domain.values())
     look = small.services_by_name["look"]
     look_up = small.operations_by_name["look-up"]
@@ -65,7 +67,7 @@
     run = LabRun(pattern=pattern(vms), seed=seed)
     outcomes = run.run()
     for request in (FIRST, SECOND):
-        assert run.crashes.sent_late(request, within_s=KNOWN_S) <= SENT_ON
+        assert run.crashes.count_late_sends(request, within_s=KNOWN_S) <= SENT_ON
     last_s = range(20, 22)
     served = [
         1 - outcomes.by_window[window][Outcome.FAILED] / total
@@ -81,7 +83,7 @@
     run.network.loss = loss
     run.run()
     for request in (FIRST, SECOND):
-        assert run.crashes.sent_late(request, within_s=KNOWN_S) <= SENT_ON
+        assert run.crashes.count_late_sends(request, within_s=KNOWN_S) <= SENT_ON
 
 
 def test_failure_domains_that_are_cut_off_hold_it_back_each() -> None:
@@ -116,7 +118,7 @@
     held = sum(vm.quarantine.requests_refused for vm in run.vms())
     assert held == 0
     failed = outcomes.by_outcome[Outcome.FAILED]
-    with setting("quarantine.crash_records", "WATCH_AFTER_CRASHES", 1e9):
+    with override_constant("quarantine.crash_records", "WATCH_AFTER_CRASHES", 1e9):
         without = LabRun(pattern=struck, seed=seed).run()
     assert failed <= without.by_outcome[Outcome.FAILED]
     assert failed < 0.01 * outcomes.by_outcome.total()
--- a/packages/testkit/tests/lab/test_decisions.py
+++ b/packages/testkit/tests/lab/test_decisions.py
@@ -9,14 +9,14 @@
 import pytest
 
 from plankspindle_testkit.lab.lab_run import LabRun
-from plankspindle_testkit.lab.pattern import PATTERNS
+from plankspindle_testkit.lab.pattern import PATTERNS_FOLDER
 from plankspindle_testkit.lab.pattern import read_pattern
 
 SEED = 1
 
 
 def worth_of(name: str) -> float:
-    pattern = read_pattern(PATTERNS / f"{name}.yaml").unwrap()
+    pattern = read_pattern(PATTERNS_FOLDER / f"{name}.yaml").unwrap()
     return LabRun(pattern=pattern, seed=SEED).run().worth
 
 
--- a/packages/testkit/tests/lab/test_lab_run.py
+++ b/packages/testkit/tests/lab/test_lab_run.py
@@ -10,19 +10,19 @@
 from plankspindle_testkit.lab.__main__ import lab
 from plankspindle_testkit.lab.lab_run import LabRun
 from plankspindle_testkit.lab.mechanisms import MECHANISMS
-from plankspindle_testkit.lab.mechanisms import setting
+from plankspindle_testkit.lab.mechanisms import override_constant
 from plankspindle_testkit.lab.outcomes import Outcome
 from plankspindle_testkit.lab.outcomes import Outcomes
-from plankspindle_testkit.lab.pattern import PATTERNS
+from plankspindle_testkit.lab.pattern import PATTERNS_FOLDER
 from plankspindle_testkit.lab.pattern import Pattern
 from plankspindle_testkit.lab.pattern import read_pattern
-from plankspindle_testkit.lab.plot import plot_of
+from plankspindle_testkit.lab.plot import render_plot
 
 SHORT_S = 4.0
 
 
 def pattern(name: str) -> Pattern:
-    return read_pattern(PATTERNS / f"{name}.yaml").unwrap()
+    return read_pattern(PATTERNS_FOLDER / f"{name}.yaml").unwrap()
 
 
 @cache
@@ -54,21 +54,23 @@
     assert outcomes.by_window[9][Outcome.FAILED] > 0.9 * sum(
         outcomes.by_window[9].values()
     )
-    assert outcomes.by_window[12][Outcome.IN_AIM] > 0.7 * sum(
+    assert outcomes.by_window[12][Outcome.ON_TIME] > 0.7 * sum(
         outcomes.by_window[12].values()
     )
 
 
 def test_a_constant_is_set_for_a_while_only() -> None:
     for mechanism in MECHANISMS:
-        with setting(mechanism.module, mechanism.constant, mechanism.off):
+        with override_constant(
+            mechanism.module, mechanism.constant, mechanism.disabled_value
+        ):
             pass
     calm = evolve(pattern("learning-at-the-start"), seconds=SHORT_S)
     assert LabRun(pattern=calm, seed=1).run().worth == short(1).worth
 
 
 def test_the_plot_shows_each_outcome() -> None:
-    drawn = plot_of("a & b", short(1))
+    drawn = render_plot("a & b", short(1))
     assert "a &amp; b" in drawn
     assert all(f">{outcome.value}<" in drawn for outcome in Outcome)
 
--- a/packages/testkit/tests/lab/test_pattern.py
+++ b/packages/testkit/tests/lab/test_pattern.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from plankspindle_testkit.lab.pattern import PATTERNS
+from plankspindle_testkit.lab.pattern import PATTERNS_FOLDER
 from plankspindle_testkit.lab.pattern import read_pattern
 
 if TYPE_CHECKING:
@@ -16,7 +16,7 @@
 
 
 def spoiled(folder: Path, before: str, after: str) -> Path:
-    text = (PATTERNS / f"{ONE}.yaml").read_text()
+    text = (PATTERNS_FOLDER / f"{ONE}.yaml").read_text()
     assert before in text
     path = folder / "spoiled.yaml"
     path.write_text(text.replace(before, after))
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize(
-    "path", sorted(PATTERNS.glob("*.yaml")), ids=lambda path: path.stem
+    "path", sorted(PATTERNS_FOLDER.glob("*.yaml")), ids=lambda path: path.stem
 )
 def test_each_pattern_says_what_it_answers_and_on_what_grounds(path: Path) -> None:
     pattern = read_pattern(path).unwrap()
--- a/packages/testkit/tests/lab/test_upstream_limits.py
+++ b/packages/testkit/tests/lab/test_upstream_limits.py
@@ -13,14 +13,14 @@
 
 from plankspindle_daemon.dispatch.messages import RejectReason
 from plankspindle_testkit.lab.lab_run import LabRun
-from plankspindle_testkit.lab.pattern import PATTERNS
+from plankspindle_testkit.lab.pattern import PATTERNS_FOLDER
 from plankspindle_testkit.lab.pattern import Pattern
 from plankspindle_testkit.lab.pattern import read_pattern
 
 
 def pattern(vms: int) -> Pattern:
     """Give the pattern with more entry VMs, and twice the load from 18 of them on."""
-    small = read_pattern(PATTERNS / "upstreams-that-name-limits.yaml").unwrap()
+    small = read_pattern(PATTERNS_FOLDER / "upstreams-that-name-limits.yaml").unwrap()
     if vms == sum(small.vms_by_domain.values()):
         return small
     look = small.services_by_name["look"]
@@ -50,7 +50,7 @@
     run = LabRun(pattern=pattern(vms), seed=seed)
     run.run()
     assert run.statements.limit_by_upstream
-    assert run.statements.most_of_allowed() <= 1.0
+    assert run.statements.max_share_of_allowed() <= 1.0
 
 
 @pytest.mark.parametrize(("share", "silent_part"), [(0.3, 0.1), (1.0, 0.02)])
@@ -62,9 +62,9 @@
     struck = evolve(small, events=(evolve(small.events[0], share=share),))
     run = LabRun(pattern=struck, seed=1)
     for upstream in run.upstreams():
-        upstream.silent_part = silent_part
+        upstream.omitted_statement_share = silent_part
     run.run()
-    assert run.statements.most_of_allowed() <= 1.0
+    assert run.statements.max_share_of_allowed() <= 1.0
 
 
 def test_requests_that_limits_leave_no_room_for_are_rejected_at_once() -> None:
@@ -75,8 +75,8 @@
     run.run()
     rejected: Counter[RejectReason] = Counter()
     for vm in run.vms():
-        for dispatcher in vm.book.dispatchers_by_service.values():
+        for dispatcher in vm.registry.dispatchers_by_service.values():
             rejected.update(dispatcher.rejections.count_by_reason)
     assert rejected[RejectReason.WITHHELD] > 0.8 * rejected.total()
     named = run.statements.limit_by_upstream
-    assert sum(map(run.statements.used, named)) / len(named) > 0.9
+    assert sum(map(run.statements.used_share, named)) / len(named) > 0.9
--- a/packages/testkit/tests/lab/test_upstream_statements.py
+++ b/packages/testkit/tests/lab/test_upstream_statements.py
@@ -11,7 +11,7 @@
 
 from plankspindle_testkit.lab.lab_run import LabRun
 from plankspindle_testkit.lab.outcomes import Outcome
-from plankspindle_testkit.lab.pattern import PATTERNS
+from plankspindle_testkit.lab.pattern import PATTERNS_FOLDER
 from plankspindle_testkit.lab.pattern import Pattern
 from plankspindle_testkit.lab.pattern import read_pattern
 
@@ -20,7 +20,7 @@
 
 
 def pattern(name: str) -> Pattern:
-    return read_pattern(PATTERNS / f"{name}.yaml").unwrap()
+    return read_pattern(PATTERNS_FOLDER / f"{name}.yaml").unwrap()
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -34,6 +34,6 @@
 def test_an_upstream_that_asks_for_rest_gets_it(seed: int) -> None:
     run = LabRun(pattern=pattern("upstreams-that-ask-for-rest"), seed=seed)
     outcomes = run.run()
-    assert run.statements.rests > 0
-    assert run.statements.most_in_rest() <= MOST_IN_REST
+    assert run.statements.backoff_count > 0
+    assert run.statements.max_requests_in_backoff() <= MOST_IN_REST
     assert outcomes.by_outcome[Outcome.FAILED] == 0
--- a/packages/testkit/tests/soak/test_drain_watch.py
+++ b/packages/testkit/tests/soak/test_drain_watch.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from plankspindle_testkit.soak.drain_watch import check_drains
-from plankspindle_testkit.soak.promises import DrainedRuns
-from plankspindle_testkit.soak.promises import Observations
-from plankspindle_testkit.soak.promises import Span
-from plankspindle_testkit.soak.promises import Told
+from plankspindle_testkit.soak.drain_check import check_drains
+from plankspindle_testkit.soak.guarantees import AttemptRecord
+from plankspindle_testkit.soak.guarantees import DrainedRuns
+from plankspindle_testkit.soak.guarantees import Observations
+from plankspindle_testkit.soak.guarantees import Span
 from plankspindle_testkit.soak.soak_fault import PLATFORM
 
 RUNS = DrainedRuns(upstream="u", begin=10.0, end=10.5, marks=("m",))
@@ -16,24 +16,26 @@
 
 def seen_at(*vms: str) -> Observations:
     told = [
-        Told(
+        AttemptRecord(
             mark="m",
-            request="",
+            log_id="",
             vm=vm,
-            may_repeat=True,
+            is_idempotent=True,
             outcome=None,
-            is_own=False,
-            asked_at=10.0,
-            told_at=10.1,
+            is_own_answer=False,
+            sent_at=10.0,
+            completed_at=10.1,
             deadline=12.0,
         )
         for vm in vms
     ]
-    return Observations(told=told, drained_runs=[RUNS])
+    return Observations(attempts=told, drained_runs=[RUNS])
 
 
 def is_broken(seen: Observations) -> bool:
-    return [each.promise for each in check_drains(seen)] == ["drained gets nothing new"]
+    return [each.guarantee for each in check_drains(seen)] == [
+        "drained gets nothing new"
+    ]
 
 
 def test_work_of_an_undisturbed_vm_is_seen() -> None:
@@ -44,27 +46,27 @@
 @pytest.mark.parametrize("struck", ["a", "u", PLATFORM])
 def test_what_lasts_at_the_vm_the_upstream_or_the_platform_excuses(struck: str) -> None:
     seen = seen_at("a")
-    seen.spans_by_struck[struck] = [Span(0.0, 10.2)]
+    seen.disturbances_by_target[struck] = [Span(0.0, 10.2)]
     assert not is_broken(seen)
-    seen.spans_by_struck[struck] = [Span(0.0, 9.9)]
+    seen.disturbances_by_target[struck] = [Span(0.0, 9.9)]
     assert is_broken(seen)
 
 
 def test_what_goes_on_elsewhere_excuses_nothing() -> None:
     seen = seen_at("a")
-    seen.spans_by_struck["b"] = seen.spans_by_struck["v"] = [Span(0.0)]
+    seen.disturbances_by_target["b"] = seen.disturbances_by_target["v"] = [Span(0.0)]
     assert is_broken(seen)
 
 
 def test_a_request_tried_at_an_excused_vm_too_may_come_from_there() -> None:
     seen = seen_at("a", "b")
     assert is_broken(seen)
-    seen.spans_by_struck["b"] = [Span(0.0)]
+    seen.disturbances_by_target["b"] = [Span(0.0)]
     assert not is_broken(seen)
 
 
 def test_a_request_is_judged_once_it_is_known_where_it_was_tried() -> None:
     assert not is_broken(Observations(drained_runs=[RUNS]))
     seen = seen_at("a")
-    seen.open_marks.add("m")
+    seen.in_flight_marks.add("m")
     assert not is_broken(seen)
--- a/packages/testkit/tests/soak/test_kept_connections.py
+++ b/packages/testkit/tests/soak/test_kept_connections.py
@@ -14,10 +14,10 @@
 from plankspindle_core.http.server import HttpServer
 from plankspindle_core.outcome import Outcome
 from plankspindle_core.steady_clock import monotonic
-from plankspindle_testkit.soak.kept_connections import KeptCaller
+from plankspindle_testkit.soak.guarantees import Observations
 from plankspindle_testkit.soak.layout import Layout
 from plankspindle_testkit.soak.load import Load
-from plankspindle_testkit.soak.promises import Observations
+from plankspindle_testkit.soak.persistent_caller import PersistentCaller
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable
@@ -28,7 +28,7 @@
     Handler = Callable[["ServerExchange"], Awaitable[None]]
 
 VM = "ba-1-0"
-LOAD = Load(kept_a_vm=1, slots=1, slow_part=0.0, rest_s=0.0)
+LOAD = Load(connections_per_vm=1, slots=1, slow_share=0.0, max_think_time_s=0.0)
 _FIRST_PORTS = count(26_000, 200)
 _DONE = (header_names.OUTCOME, Outcome.DONE.value.encode())
 
@@ -62,24 +62,24 @@
     async def _call(self, requests: int, leaving: bool) -> Observations:
         layout = Layout(vms=1, first_port=next(_FIRST_PORTS))
         seen = Observations()
-        caller = KeptCaller(
+        caller = PersistentCaller(
             name="k",
             vm=VM,
             layout=layout,
             load=LOAD,
-            seen=seen,
+            observations=seen,
             began_at=monotonic(),
             random=Random(1),
         )
         server = HttpServer(
-            endpoint=layout.entry("caller", VM),
+            endpoint=layout.proxy_endpoint("caller", VM),
             limits=HttpLimits(),
             handler=self.handle,
         )
         server.leaving = leaving
         await server.start()
         task = await curio.spawn(caller.run, daemon=True)
-        while len(seen.told) < requests:
+        while len(seen.attempts) < requests:
             await curio.sleep(0.01)
         await task.cancel()
         await server.close()
@@ -90,24 +90,24 @@
     listener = Listener(answer)
     seen = listener.call(5)
     assert len(listener.connections) == 1
-    assert {each.outcome for each in seen.told} == {Outcome.DONE}
-    assert all(each.is_own and not each.is_cut for each in seen.told)
-    assert len({each.mark for each in seen.told}) == len(seen.told)
+    assert {each.outcome for each in seen.attempts} == {Outcome.DONE}
+    assert all(each.is_own_answer and not each.is_cut_off for each in seen.attempts)
+    assert len({each.mark for each in seen.attempts}) == len(seen.attempts)
 
 
 def test_a_connection_is_left_when_an_answer_says_so() -> None:
     listener = Listener(answer)
     seen = listener.call(3, leaving=True)
     assert len(listener.connections) >= 3
-    assert not any(each.is_cut for each in seen.told)
+    assert not any(each.is_cut_off for each in seen.attempts)
 
 
 def test_a_close_without_an_answer_is_noted() -> None:
     async def abort(source: ServerExchange) -> None:
         source.abort()
 
-    (told, *_) = Listener(abort).call(1).told
-    assert told.is_cut
+    (told, *_) = Listener(abort).call(1).attempts
+    assert told.is_cut_off
     assert told.outcome is None
 
 
@@ -117,5 +117,5 @@
         await source.send_data(b"only this")
         source.abort()
 
-    (told, *_) = Listener(break_off).call(1).told
-    assert told.is_cut
+    (told, *_) = Listener(break_off).call(1).attempts
+    assert told.is_cut_off
--- a/packages/testkit/tests/soak/test_link_proxy.py
+++ b/packages/testkit/tests/soak/test_link_proxy.py
@@ -12,7 +12,7 @@
 from plankspindle_core.http.fetch import fetch
 from plankspindle_core.http.limits import HttpLimits
 from plankspindle_core.http.server import HttpServer
-from plankspindle_testkit.loopback_network import host_of_run
+from plankspindle_testkit.loopback_network import loopback_host
 from plankspindle_testkit.soak.link_proxy import LinkProxy
 from plankspindle_testkit.soak.link_proxy import LinkState
 
@@ -38,12 +38,14 @@
 def run(use: Callable[[LinkProxy, Server], Awaitable[Any]]) -> Any:
     async def run_with_proxy() -> Any:
         port = next(_PORTS)
-        target = Endpoint(host_of_run(7, 11), port)
+        target = Endpoint(loopback_host(7, 11), port)
         counted = Server()
         server = HttpServer(
             endpoint=target, limits=HttpLimits(), handler=counted.handle
         )
-        proxy = LinkProxy(listens=Endpoint(host_of_run(7, 11), port + 1), target=target)
+        proxy = LinkProxy(
+            endpoint=Endpoint(loopback_host(7, 11), port + 1), target=target
+        )
         await server.start()
         await proxy.start()
         try:
@@ -56,7 +58,7 @@
 
 
 async def is_answered(proxy: LinkProxy, timeout_s: float = 5.0) -> bool:
-    answer = await fetch(proxy.listens, timeout_s=timeout_s)
+    answer = await fetch(proxy.endpoint, timeout_s=timeout_s)
     return answer.is_ok() and answer.unwrap().body == b"whole"
 
 
@@ -83,7 +85,7 @@
 def test_a_reset_link_ends_the_connection() -> None:
     async def use(proxy: LinkProxy, _: Server) -> bool:
         proxy.state = LinkState.RESETS
-        answer = await fetch(proxy.listens, timeout_s=5.0)
+        answer = await fetch(proxy.endpoint, timeout_s=5.0)
         return "Lost" in type(answer.unwrap_err()).__name__
 
     assert run(use)
@@ -95,7 +97,7 @@
         stuck = await curio.spawn(is_answered, proxy, 1.0)
         while not proxy._pairs:
             await curio.sleep(0.01)
-        proxy.silence_open()
+        proxy.blackhole_open()
         proxy.state = LinkState.PASSES
         passes = await is_answered(proxy)
         return passes and not await stuck.join(), server.asked
--- a/packages/testkit/tests/soak/test_operators.py
+++ b/packages/testkit/tests/soak/test_operators.py
@@ -13,9 +13,9 @@
 from curio import spawn
 
 from plankspindle_testkit.soak import operators
+from plankspindle_testkit.soak.guarantees import Observations
 from plankspindle_testkit.soak.layout import Layout
 from plankspindle_testkit.soak.operators import Operators
-from plankspindle_testkit.soak.promises import Observations
 
 UPSTREAM = "u0-ba-1"
 CHANGE_S = 0.01
@@ -38,12 +38,14 @@
 
 
 def build_operators() -> RecordingOperators:
-    return RecordingOperators(layout=Layout(vms=2), seen=Observations(), began_at=0.0)
+    return RecordingOperators(
+        layout=Layout(vms=2), observations=Observations(), began_at=0.0
+    )
 
 
 async def drain_at_once(made: RecordingOperators, *watched_s: float) -> None:
     """Begin drains of one upstream while another change is being made."""
-    storm = await spawn(made.storm)
+    storm = await spawn(made.apply_several)
     drains = [await spawn(made.drain, UPSTREAM, for_s) for for_s in watched_s]
     for task in (storm, *drains):
         await task.join()
@@ -51,8 +53,8 @@
 
 @pytest.fixture(autouse=True)
 def short_times(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(operators, "DRAIN_BOUND_S", 0.05)
-    monkeypatch.setattr(operators, "LOOK_S", 0.05)
+    monkeypatch.setattr(operators, "DRAIN_EFFECT_S", 0.05)
+    monkeypatch.setattr(operators, "POLL_PERIOD_S", 0.05)
 
 
 def test_drains_that_wait_for_the_same_change_are_one() -> None:
@@ -60,8 +62,8 @@
     curio.run(drain_at_once, made, 0.4, 0.05)
     changes = [each for each in made.kinds if each != "apply"]
     assert changes == ["drain", "undo-drain"]
-    assert not any(each.marks for each in made.seen.drained_runs)
-    assert made.seen.drained_runs
+    assert not any(each.marks for each in made.observations.drained_runs)
+    assert made.observations.drained_runs
 
 
 def test_an_upstream_is_drained_again_once_it_was_taken_back() -> None:
--- a/packages/testkit/tests/soak/test_process_facts.py
+++ b/packages/testkit/tests/soak/test_process_facts.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from plankspindle_testkit.soak.process_facts import descriptors
-from plankspindle_testkit.soak.process_facts import handles
-from plankspindle_testkit.soak.process_facts import resident_kb
-from plankspindle_testkit.soak.process_facts import waited_s
+from plankspindle_testkit.soak.process_stats import cpu_wait_s
+from plankspindle_testkit.soak.process_stats import descriptor_count
+from plankspindle_testkit.soak.process_stats import handles_signal
+from plankspindle_testkit.soak.process_stats import resident_kb
 
 GONE = 2**22 + 1
 """More than the highest id that Linux gives."""
@@ -20,8 +20,8 @@
 def test_a_process_tells_of_its_use() -> None:
     pid = os.getpid()
     assert resident_kb(pid) > 1_000
-    assert descriptors(pid) > 2
-    assert waited_s(pid) >= 0.0
+    assert descriptor_count(pid) > 2
+    assert cpu_wait_s(pid) >= 0.0
 
 
 @pytest.mark.parametrize(
@@ -31,11 +31,11 @@
 def test_a_process_tells_which_signals_end_it(handler: Any, survives: bool) -> None:
     before = signal.signal(signal.SIGUSR2, handler)
     try:
-        assert handles(os.getpid(), signal.SIGUSR2) is survives
+        assert handles_signal(os.getpid(), signal.SIGUSR2) is survives
     finally:
         signal.signal(signal.SIGUSR2, before)
 
 
 def test_a_process_that_is_gone_uses_nothing() -> None:
-    assert resident_kb(GONE) == descriptors(GONE) == waited_s(GONE) == 0
-    assert not handles(GONE, signal.SIGINT)
+    assert resident_kb(GONE) == descriptor_count(GONE) == cpu_wait_s(GONE) == 0
+    assert not handles_signal(GONE, signal.SIGINT)
--- a/packages/testkit/tests/soak/test_running.py
+++ b/packages/testkit/tests/soak/test_running.py
@@ -9,8 +9,8 @@
 import pytest
 
 from plankspindle_testkit.processes import Processes
-from plankspindle_testkit.soak.running import run_and_end
-from plankspindle_testkit.soak.running import wait_for_start
+from plankspindle_testkit.soak.soak_runner import run_and_close
+from plankspindle_testkit.soak.soak_runner import wait_for_start
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -28,7 +28,7 @@
         return looked >= looks
 
     async def run() -> None:
-        await wait_for_start(holds, within_s=within_s, look_s=0.01, what="not yet")
+        await wait_for_start(holds, timeout_s=within_s, poll_s=0.01, message="not yet")
 
     curio.run(run)
     return looked
@@ -56,8 +56,8 @@
         return "verdict"
 
     if ends_by is None:
-        assert run_and_end(run, processes) == "verdict"
+        assert run_and_close(run, processes) == "verdict"
     else:
         with pytest.raises(ends_by):
-            run_and_end(run, processes)
-    assert processes.by_name["vm"].poll() is not None
+            run_and_close(run, processes)
+    assert processes.process_by_name["vm"].poll() is not None
--- a/packages/testkit/tests/soak/test_shrinking.py
+++ b/packages/testkit/tests/soak/test_shrinking.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from plankspindle_testkit.soak.shrinking import leave_out
+from plankspindle_testkit.soak.fault_minimizer import minimize_faults
 from plankspindle_testkit.soak.soak_fault import SoakFault
 
 FAULTS = [
@@ -13,12 +13,12 @@
 
 def test_only_faults_that_break_the_promise_are_kept() -> None:
     needed = [FAULTS[1], FAULTS[3]]
-    assert leave_out(FAULTS, lambda played: set(needed) <= set(played)) == needed
+    assert minimize_faults(FAULTS, lambda played: set(needed) <= set(played)) == needed
 
 
 def test_all_are_kept_if_fewer_do_not_break_it() -> None:
-    assert leave_out(FAULTS, lambda played: len(played) == len(FAULTS)) == FAULTS
+    assert minimize_faults(FAULTS, lambda played: len(played) == len(FAULTS)) == FAULTS
 
 
 def test_none_is_needed_if_it_breaks_without_faults() -> None:
-    assert leave_out(FAULTS, lambda _: True) == []
+    assert minimize_faults(FAULTS, lambda _: True) == []
--- a/packages/testkit/tests/soak/test_soak_fault.py
+++ b/packages/testkit/tests/soak/test_soak_fault.py
@@ -25,11 +25,11 @@
     faults = [each for seed in range(60) for each in draw(seed)]
     kinds = {each.kind for each in faults}
     assert kinds == {
-        *f.OF_VMS,
-        *f.OF_PLATFORM,
-        *f.OF_UPSTREAMS,
-        *f.OF_LINKS,
-        *f.OF_OPERATORS,
+        *f.VM_KINDS,
+        *f.PLATFORM_KINDS,
+        *f.UPSTREAM_KINDS,
+        *f.LINK_KINDS,
+        *f.OPERATOR_KINDS,
     }
     links = {each.target for each in faults if ":" in each.target}
     assert links == {
@@ -46,16 +46,18 @@
 
 
 def disturbed(kind: str, target: str = "") -> list[str]:
-    return f.SoakFault(at=0.0, for_s=1.0, kind=kind, target=target).disturbs()
+    return f.SoakFault(at=0.0, for_s=1.0, kind=kind, target=target).disturbed_targets()
 
 
 def test_a_fault_disturbs_what_it_strikes() -> None:
     assert disturbed("delays", "store:b") == ["b"]
     assert disturbed("delays", "upstream:u") == ["u"]
-    assert {name for kind in f.OF_PLATFORM for name in disturbed(kind)} == {f.PLATFORM}
+    assert {name for kind in f.PLATFORM_KINDS for name in disturbed(kind)} == {
+        f.PLATFORM
+    }
 
 
-@pytest.mark.parametrize("kind", [*f.OF_OPERATORS, *f.OF_UPSTREAMS, *f.OF_VMS])
+@pytest.mark.parametrize("kind", [*f.OPERATOR_KINDS, *f.UPSTREAM_KINDS, *f.VM_KINDS])
 def test_what_may_not_delay_answers_disturbs_no_vm(kind: str) -> None:
     assert disturbed(kind, "u") == []
 
@@ -74,12 +76,12 @@
 
 
 def test_seeds_draw_every_set_of_faults_that_meet() -> None:
-    wanted = {tuple(kind for _, kind in each) for each in f.SETS}
+    wanted = {tuple(kind for _, kind in each) for each in f.COMBINATIONS}
     drawn = set()
     for seed in range(60):
         starts = [(each.at, each.kind) for each in draw(seed)]
         for at, kind in starts:
-            for each in f.SETS:
+            for each in f.COMBINATIONS:
                 times = [(round(at + after, 3), name) for after, name in each]
                 if kind == each[0][1] and set(times) <= set(starts):
                     drawn.add(tuple(name for _, name in each))
@@ -88,7 +90,7 @@
 
 def test_states_of_links_have_a_kind_of_fault() -> None:
     states = {each.value for each in LinkState} - {"passes"}
-    assert states == set(f.OF_LINKS) - {"silence"}
+    assert states == set(f.LINK_KINDS) - {"silence"}
 
 
 def test_a_schedule_is_read_as_it_was_written() -> None:
--- a/packages/testkit/tests/test_loopback_network.py
+++ b/packages/testkit/tests/test_loopback_network.py
@@ -10,8 +10,8 @@
 
 from plankspindle_testkit.loopback_network import OCTETS
 from plankspindle_testkit.loopback_network import LoopbackNetwork
-from plankspindle_testkit.loopback_network import host_of_run
-from plankspindle_testkit.loopback_network import network_of_run
+from plankspindle_testkit.loopback_network import loopback_host
+from plankspindle_testkit.loopback_network import process_network
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -29,7 +29,7 @@
 @pytest.fixture
 def guard_port() -> int:
     """Give a port for claims that no run beside this one uses."""
-    return 19_000 + network_of_run().octet
+    return 19_000 + process_network().octet
 
 
 @pytest.fixture
@@ -84,9 +84,9 @@
 
 
 def test_all_hosts_of_a_run_are_of_one_network() -> None:
-    octet = network_of_run().octet
+    octet = process_network().octet
     assert octet in OCTETS
-    assert [host_of_run(7, 9), host_of_run(12, 1)] == [
+    assert [loopback_host(7, 9), loopback_host(12, 1)] == [
         f"127.{octet}.7.9",
         f"127.{octet}.12.1",
     ]
--- a/packages/testkit/tests/trial/test_fault_matrix.py
+++ b/packages/testkit/tests/trial/test_fault_matrix.py
@@ -4,34 +4,34 @@
 
 import pytest
 
-from plankspindle_daemon.drains.drain_clock import DrainClock
+from plankspindle_daemon.drains.drain_schedule import DrainSchedule
 from plankspindle_testkit.trial.fault_matrix import FAULTS
+from plankspindle_testkit.trial.fault_matrix import INJECTION_STEPS
 from plankspindle_testkit.trial.fault_matrix import OPERATIONS
-from plankspindle_testkit.trial.fault_matrix import STEPS
-from plankspindle_testkit.trial.fault_matrix import Operation
+from plankspindle_testkit.trial.fault_matrix import MatrixOperation
 from plankspindle_testkit.trial.fault_matrix import run_cell
-from plankspindle_testkit.trial.matrix import hand_written
+from plankspindle_testkit.trial.matrix import hand_written_part
 from plankspindle_testkit.trial.matrix import render_page
 
 
 @pytest.mark.parametrize("operation", OPERATIONS, ids=lambda each: each.name)
-def test_no_fault_breaks_an_operation(operation: Operation) -> None:
+def test_no_fault_breaks_an_operation(operation: MatrixOperation) -> None:
     for number, fault in enumerate(FAULTS):
-        step = STEPS[number % len(STEPS)]
+        step = INJECTION_STEPS[number % len(INJECTION_STEPS)]
         cell = run_cell(operation, fault, (step,))
-        assert cell.broken == (), fault
+        assert cell.violations == (), fault
 
 
 def test_a_broken_cell_is_seen_and_shown(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(DrainClock, "upstream_drained_at", lambda *_, **__: None)
+    monkeypatch.setattr(DrainSchedule, "upstream_drained_at", lambda *_, **__: None)
     drain = next(each for each in OPERATIONS if each.name == "drain")
     cells = [run_cell(drain, fault, (0, 10)) for fault in ("none", "platform down")]
-    assert any(cell.broken for cell in cells)
+    assert any(cell.violations for cell in cells)
     page = render_page(cells, cells)
     assert "**step" in page
 
 
 def test_what_is_hand_written_outlasts_the_matrix() -> None:
     rest = "\n# The soak\n\nFigures\n"
-    assert hand_written("# Fault matrix\n\nold\n" + rest) == rest
-    assert hand_written("# Fault matrix\n\nold\n") == ""
+    assert hand_written_part("# Fault matrix\n\nold\n" + rest) == rest
+    assert hand_written_part("# Fault matrix\n\nold\n") == ""
--- a/packages/testkit/tests/trial/test_trials.py
+++ b/packages/testkit/tests/trial/test_trials.py
@@ -13,8 +13,8 @@
 from plankspindle_daemon.idempotency.verdicts import RunIt
 from plankspindle_daemon.upstreams.slot_ledger import SlotLedger
 from plankspindle_daemon.upstreams.upstream_state import UpstreamState
-from plankspindle_testkit.trial.runs import run_trial
 from plankspindle_testkit.trial.shrinking import shrink
+from plankspindle_testkit.trial.standard_trial import run_trial
 
 SEEDS = range(1, 9)
 MUTATION_SEEDS = range(1, 60)
@@ -23,7 +23,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_promises_hold_under_faults(seed: int) -> None:
     verdict = run_trial(seed=seed, simulated_s=60.0)
-    assert verdict.broken is None
+    assert verdict.violation is None
 
 
 def test_trials_serve_requests_in_spite_of_their_faults() -> None:
@@ -34,8 +34,8 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_the_bound_on_slots_holds_with_vms_cut_apart(seed: int) -> None:
-    verdict = run_trial(seed=seed, simulated_s=30.0, cuts=True)
-    assert verdict.broken is None
+    verdict = run_trial(seed=seed, simulated_s=30.0, partitions=True)
+    assert verdict.violation is None
 
 
 def _claim_without_nonce(self: ClaimAttempt, row: Any) -> Any:
@@ -55,9 +55,9 @@
 MUTATIONS = [
     (SlotLedger, "own_allowance", lambda self, now: self.share, "u"),
     (SlotLedger, "shrink_share", lambda self, share: None, "u"),
-    (Exchange, "_why_no_retry", lambda self: None, "non-idempotent-sent-once"),
+    (Exchange, "_retry_denial", lambda self: None, "non-idempotent-sent-once"),
     (UpstreamState, "_set_leaving", lambda self, **_: None, "while leaving"),
-    (ClaimAttempt, "_take_row", _claim_without_nonce, "ran twice"),
+    (ClaimAttempt, "_handle_row", _claim_without_nonce, "ran twice"),
     (IssuedIds, "begin", _run_every_repeat, "ran twice"),
     (Fingerprint, "__eq__", _trust_every_caller, "was told a stranger"),
 ]
@@ -84,7 +84,9 @@
     caught_as: str,
 ) -> None:
     monkeypatch.setattr(owner, name, mutant)
-    found = (run_trial(seed=seed, simulated_s=60.0).broken for seed in MUTATION_SEEDS)
+    found = (
+        run_trial(seed=seed, simulated_s=60.0).violation for seed in MUTATION_SEEDS
+    )
     broken = next((each for each in found if each is not None), "")
     assert caught_as in broken
 
@@ -97,12 +99,12 @@
     seed, found = next(
         (seed, each)
         for seed, each in zip(MUTATION_SEEDS, verdicts, strict=False)
-        if each.broken is not None
+        if each.violation is not None
     )
     shortest = shrink(found, seed=seed)
-    assert shortest.broken is not None
-    assert "while leaving" in shortest.broken
-    ways = [fault.way for fault in shortest.schedule]
+    assert shortest.violation is not None
+    assert "while leaving" in shortest.violation
+    ways = [fault.kind for fault in shortest.schedule]
     assert ways == ["leave"]
     assert [line for line in shortest.trace if "fault" in line]
     assert len(found.schedule) > len(ways)
--- a/tests/fleet/builders.py
+++ b/tests/fleet/builders.py
@@ -9,7 +9,7 @@
 
 from plankspindle_platform.boot_settings import BootSettings
 from plankspindle_platform.boot_settings import read_boot_settings
-from plankspindle_platform.row_store import Rows
+from plankspindle_platform.row_store import RowSnapshot
 from plankspindle_platform.row_store import StoredRow
 
 BOOT = Path(__file__).with_name("boot.yaml")
@@ -65,9 +65,9 @@
     return StoredRow(key=key, version=version, value=value)
 
 
-def build_rows(*rows: StoredRow, version: int) -> Rows:
+def build_rows(*rows: StoredRow, version: int) -> RowSnapshot:
     """Build an answer of the store."""
-    return Rows(rows=rows, version=version)
+    return RowSnapshot(rows=rows, version=version)
 
 
 def wire_row(row: StoredRow) -> dict[str, Any]:
--- a/tests/fleet/fleet_vm.py
+++ b/tests/fleet/fleet_vm.py
@@ -26,14 +26,14 @@
 from plankspindle_platform.operator_reader import OperatorReader
 from plankspindle_platform.row_store import RowStore
 from plankspindle_platform.store_platform import StorePlatform
-from plankspindle_testkit.loopback_network import host_of_run
+from plankspindle_testkit.loopback_network import loopback_host
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from plankspindle_platform.boot_settings import BootSettings
 
-LOOKS = 400
+MAX_POLLS = 400
 """Looks at the VMs before a test gives up waiting, 0.05 s each."""
 
 
@@ -51,7 +51,7 @@
 
     async def start(self) -> None:
         await self.peers.start(self.effects.receive)
-        await self.platform.entries.announce()
+        await self.platform.entry_vms.announce()
         self.tasks.append(await curio.spawn(self.tick))
         self.tasks.append(await curio.spawn(self.lists.run))
         self.tasks.append(await curio.spawn(self.configurations.run))
@@ -83,7 +83,7 @@
     number: int, store: Endpoint, boot: BootSettings, **timing: int
 ) -> FleetVm:
     """Build a VM; timing that is not given follows from the platform's bounds."""
-    host = host_of_run(8, number + 1)
+    host = loopback_host(8, number + 1)
     settings = evolve(
         boot.daemon,
         vm=f"edge-a-{number}",
@@ -136,10 +136,10 @@
     )
 
 
-async def until(holds: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     """Wait until something holds; fail if it never does."""
-    for _ in range(LOOKS):
-        if holds():
+    for _ in range(MAX_POLLS):
+        if condition():
             return
         await curio.sleep(0.05)
     raise AssertionError("it never held")
--- a/tests/fleet/soak/__main__.py
+++ b/tests/fleet/soak/__main__.py
@@ -12,21 +12,21 @@
 import click
 from attrs import evolve
 
-from plankspindle_testkit.soak.running import run_and_end
-from plankspindle_testkit.soak.shrinking import leave_out
+from plankspindle_testkit.soak.fault_minimizer import minimize_faults
 from plankspindle_testkit.soak.soak_fault import read_schedule
 from plankspindle_testkit.soak.soak_fault import write_schedule
+from plankspindle_testkit.soak.soak_runner import run_and_close
+from soak.fault_injector import MODULE
 from soak.fleet_soak import FleetSoak
-from soak.fleet_soak import Plan
-from soak.fleet_soak import Verdict
-from soak.striker import MODULE
+from soak.fleet_soak import SoakPlan
+from soak.fleet_soak import SoakResult
 
 if TYPE_CHECKING:
     from typing import TextIO
 
     from plankspindle_testkit.soak.soak_fault import SoakFault
 
-MOST_TOLD = 5
+MAX_PRINTED_VIOLATIONS = 5
 
 
 @click.command()
@@ -58,7 +58,7 @@
     failed = []
     faults = None if schedule is None else tuple(read_schedule(schedule.read()))
     for number in count(seed):
-        plan = Plan(
+        plan = SoakPlan(
             seed=number,
             vms=vms,
             first_port=first_port,
@@ -68,14 +68,14 @@
         )
         verdict = _run(plan)
         counts += verdict.counts
-        struck += verdict.struck_by_kind
-        state = "broken" if verdict.broken else "held"
+        struck += verdict.injected_by_kind
+        state = "broken" if verdict.violations else "held"
         click.echo(f"{state}: seed={number} vms={vms} logs: {verdict.folder}")
-        kinds = Counter(each.check for each in verdict.broken)
-        if verdict.broken:
+        kinds = Counter(each.check for each in verdict.violations)
+        if verdict.violations:
             failed.append(number)
             click.echo(f"  {_text(kinds)}")
-            for each in verdict.broken[:MOST_TOLD]:
+            for each in verdict.violations[:MAX_PRINTED_VIOLATIONS]:
                 click.echo(f"  {each.check} at {each.at:.3f}: {each.detail}")
             if shrink:
                 _shrink(plan, verdict)
@@ -86,22 +86,22 @@
     sys.exit(bool(failed))
 
 
-def _run(plan: Plan) -> Verdict:
+def _run(plan: SoakPlan) -> SoakResult:
     soak = FleetSoak(plan=plan)
-    return run_and_end(soak.run, soak.striker.processes)
+    return run_and_close(soak.run, soak.fault_injector.processes)
 
 
-def _shrink(plan: Plan, verdict: Verdict) -> None:
+def _shrink(plan: SoakPlan, verdict: SoakResult) -> None:
     """Leave out one fault after the other while what broke first breaks."""
-    check = verdict.broken[0].check
+    check = verdict.violations[0].check
     path = verdict.folder / "schedule.jsonl"
     faults = read_schedule(path.read_text(encoding="utf-8"))
 
     def breaks(fewer: tuple[SoakFault, ...]) -> bool:
-        found = _run(evolve(plan, faults=fewer)).broken
+        found = _run(evolve(plan, faults=fewer)).violations
         return any(each.check == check for each in found)
 
-    needed = leave_out(faults, breaks)
+    needed = minimize_faults(faults, breaks)
     click.echo(f"needed to break {check!r}, {len(needed)} of {len(faults)} faults:")
     click.echo(write_schedule(needed))
 
--- a/tests/fleet/soak/callers.py
+++ b/tests/fleet/soak/callers.py
@@ -20,20 +20,20 @@
 from plankspindle_core.steady_clock import monotonic
 from plankspindle_platform.dialect import DIALECT
 from soak.checks import Checks
-from soak.checks import Told
+from soak.checks import ObservedRequest
 from soak.history import CREDENTIALS
 from soak.history import HOST
-from soak.history import ONCE
+from soak.history import RUN_ONCE_PREFIXES
 from soak.upstreams import ID
 from soak.upstreams import Upstreams
 
 KEY_COOKIE = DIALECT.affinity_cookie
 DEADLINE_MS = 2_500
-PATIENCE_S = 4.0
-CONNECT_S = 1.0
-KEYED_PART = 0.75
+ANSWER_TIMEOUT_S = 4.0
+CONNECT_TIMEOUT_S = 1.0
+KEYED_SHARE = 0.75
 """Keys spread requests over all upstreams; without, few are used while little runs."""
-AFTER = "bytes came after an answer"
+SURPLUS_AFTER_ANSWER = "bytes came after an answer"
 PAUSE_S = (0.08, 0.25)
 MAX_BODY_BYTES = 100_000
 
@@ -48,7 +48,7 @@
         The VM.
     endpoint : Endpoint
         Its address.
-    life : callable
+    incarnation : callable
         Gives the number of the process that runs there.
     checks : Checks
         What judges the answers.
@@ -56,38 +56,38 @@
         What knows where requests ran.
     random : Random
         Source of choices.
-    pauses : float
+    pause_factor : float
         Factor on the pauses.
-    keyed_part : float
+    keyed_share : float
         Part of its requests that carry an affinity key, a new one each.
     """
 
     vm: str
     endpoint: Endpoint
-    life: Callable[[], int]
+    incarnation: Callable[[], int]
     checks: Checks
     upstreams: Upstreams
     random: Random
-    pauses: float = 1.0
-    keyed_part: float = KEYED_PART
+    pause_factor: float = 1.0
+    keyed_share: float = KEYED_SHARE
     _connection: Any = field(default=None)
     _surplus: str = ""
 
     async def run(self) -> None:
         """Send requests until cancelled."""
         while True:
-            await sleep(self.random.uniform(*PAUSE_S) * self.pauses)
+            await sleep(self.random.uniform(*PAUSE_S) * self.pause_factor)
             if await self._connect():
                 await self._send()
 
     async def _connect(self) -> bool:
-        if self._connection is not None and self._connection.is_quiet():
+        if self._connection is not None and self._connection.is_idle():
             return True
         if self._connection is not None and _has_bytes(self._connection):
-            self._surplus = AFTER
+            self._surplus = SURPLUS_AFTER_ANSWER
         await self._close()
         self._connection = ClientConnection(endpoint=self.endpoint)
-        started = await self._connection.start(timeout_s=CONNECT_S)
+        started = await self._connection.start(timeout_s=CONNECT_TIMEOUT_S)
         if started.is_err():
             await self._close()
         return bool(started.is_ok())
@@ -100,23 +100,23 @@
     async def _send(self) -> None:
         request = f"{self.random.getrandbits(64):016x}"
         prefix = self.checks.history.draw_prefix(self.random)
-        has_key = self.random.random() < self.keyed_part
-        life, sent_at = self.life(), monotonic()
+        has_key = self.random.random() < self.keyed_share
+        life, sent_at = self.incarnation(), monotonic()
         status, surplus, self._surplus = None, self._surplus, ""
         with suppress(TaskTimeout):
             status = await timeout_after(
-                PATIENCE_S, self._exchange, request, prefix, has_key
+                ANSWER_TIMEOUT_S, self._exchange, request, prefix, has_key
             )
         ended_at = monotonic()
         if status is None or not self._connection.prepare_reuse():
             if status is not None and _has_bytes(self._connection):
-                self._surplus = AFTER
+                self._surplus = SURPLUS_AFTER_ANSWER
             await self._close()
-        told = Told(
+        told = ObservedRequest(
             request=request,
             vm=self.vm,
             prefix=prefix,
-            life=life if life == self.life() else None,
+            incarnation=life if life == self.incarnation() else None,
             sent_at=sent_at,
             ended_at=ended_at,
             status=status,
@@ -125,7 +125,9 @@
             surplus=surplus or self._surplus,
         )
         self._surplus = ""
-        self.checks.take(told, self.upstreams.runs_by_id.setdefault(request, []))
+        self.checks.record_request(
+            told, self.upstreams.runs_by_id.setdefault(request, [])
+        )
 
     async def _exchange(self, request: str, prefix: str, has_key: bool) -> int | None:
         connection = self._connection
@@ -138,10 +140,10 @@
         ]
         if has_key:
             headers.append((b"cookie", f"{KEY_COOKIE}={request}".encode()))
-        if prefix in ONCE:
+        if prefix in RUN_ONCE_PREFIXES:
             headers.append((b"content-length", b"0"))
         await connection.send_request(
-            method="POST" if prefix in ONCE else "GET",
+            method="POST" if prefix in RUN_ONCE_PREFIXES else "GET",
             target=f"{prefix}{request}",
             headers=headers,
         )
