--- a/tests/fleet/soak/checks.py
+++ b/tests/fleet/soak/checks.py
@@ -10,36 +10,36 @@
 from attrs import define
 from attrs import frozen
 
-from soak.history import NOT_FOUND
-from soak.history import ONCE
+from soak.history import NO_SERVICE
+from soak.history import RUN_ONCE_PREFIXES
 from soak.history import Disturbances
 from soak.history import History
 from soak.layout import Bounds
 from soak.upstreams import Run
 
-ROLLBACK_S = 0.25
+ALLOWED_ROLLBACK_S = 0.25
 """Time in which an older version may still be seen after a newer one, in seconds."""
-UNREAD_S = 0.2
+CLOSE_CROSSING_S = 0.2
 """Time in which a request may cross the close of its connection, in seconds."""
-SILENT_S = 3.9
+CALLER_GAVE_UP_S = 3.9
 """Time from which on a caller gave up, and the connection was not closed on it."""
-MOST_HELD_S = 0.5
-LEAST_SERVED = 0.9
-NOT_THERE = 404
+MAX_STALL_S = 0.5
+MIN_SERVED_SHARE = 0.9
+NOT_FOUND_STATUS = 404
 OK = 200
-NEVER_DUE = (401, 429)
+UNDUE_STATUSES = (401, 429)
 """Answers that are never due to a known key whose workspace is below its quota."""
 
 
 @frozen(kw_only=True)
-class Told:
+class ObservedRequest:
     """One request and what its caller saw.
 
     Parameters
     ----------
     request, vm, prefix : str
         Its id, where it was sent, and its route.
-    life : int
+    incarnation : int
         Which process of the VM took it; None if that was not one alone.
     sent_at, ended_at : float
         Monotonic seconds.
@@ -56,7 +56,7 @@
     request: str
     vm: str
     prefix: str
-    life: int | None
+    incarnation: int | None
     sent_at: float
     ended_at: float
     status: int | None
@@ -66,7 +66,7 @@
 
 
 @frozen(kw_only=True)
-class Broken:
+class Violation:
     """Something that must hold and did not.
 
     Parameters
@@ -94,72 +94,78 @@
         Times allowed.
     history : History
         What was put in force.
-    disturbed : Disturbances
+    disturbances : Disturbances
         What was disturbed.
 
     Attributes
     ----------
-    broken : list of Broken
+    violations : list of Violation
         What was found.
     counts : Counter of str
         Requests and how many of them each check could judge.
-    taken : list of tuple of Told and list of Run
+    requests_with_runs : list of tuple of Told and list of Run
         Requests and where they ran; runs that begin later join.
     """
 
     bounds: Bounds
     history: History
-    disturbed: Disturbances
-    broken: list[Broken] = Factory(list)
+    disturbances: Disturbances
+    violations: list[Violation] = Factory(list)
     counts: Counter[str] = Factory(Counter)
-    told: list[Told] = Factory(list)
-    taken: list[tuple[Told, list[Run]]] = Factory(list)
-    _waiting: deque[tuple[Told, list[Run]]] = Factory(deque)
-    _floors_by_life: dict[tuple[str, int], list[tuple[float, int]]] = Factory(dict)
+    requests: list[ObservedRequest] = Factory(list)
+    requests_with_runs: list[tuple[ObservedRequest, list[Run]]] = Factory(list)
+    _waiting: deque[tuple[ObservedRequest, list[Run]]] = Factory(deque)
+    _floors_by_incarnation: dict[tuple[str, int], list[tuple[float, int]]] = Factory(
+        dict
+    )
 
     def fail(self, check: str, detail: str, at: float) -> None:
         """Note that something does not hold."""
-        self.broken.append(Broken(check=check, detail=detail, at=at))
+        self.violations.append(Violation(check=check, detail=detail, at=at))
 
-    def take(self, told: Told, runs: list[Run]) -> None:
+    def record_request(self, request: ObservedRequest, runs: list[Run]) -> None:
         """Take a request that has ended.
 
         Parameters
         ----------
-        told : Told
+        request : Told
             What its caller saw.
         runs : list of Run
             Where it ran.
         """
-        self.told.append(told)
-        self.taken.append((told, runs))
-        self._waiting.append((told, runs))
+        self.requests.append(request)
+        self.requests_with_runs.append((request, runs))
+        self._waiting.append((request, runs))
 
-    def judge(self, before: float = inf) -> None:
+    def evaluate(self, before: float = inf) -> None:
         """Judge what ended before some time, until when all is known."""
         while self._waiting and self._waiting[0][0].ended_at < before:
-            self._judge(*self._waiting.popleft())
+            self._evaluate(*self._waiting.popleft())
 
-    def _judge(self, told: Told, runs: list[Run]) -> None:
+    def _evaluate(self, told: ObservedRequest, runs: list[Run]) -> None:
         self.counts["requests"] += 1
         for run in runs:
             self._check_handled(told, run.at.service, run.arrived_at)
             self._check_upstream(told, run)
-            if not run.keeps_key:
+            if not run.hides_key:
                 self.fail("key and workspace", f"{told}: {run}", run.arrived_at)
-        if told.status in NEVER_DUE:
+        if told.status in UNDUE_STATUSES:
             self.fail("good key refused", f"{told}", told.ended_at)
-        if told.status == NOT_THERE:
-            self._check_handled(told, NOT_FOUND, told.ended_at)
-        self.counts["judged for running once"] += told.prefix in ONCE and bool(runs)
-        if told.prefix in ONCE and len(runs) > 1:
+        if told.status == NOT_FOUND_STATUS:
+            self._check_handled(told, NO_SERVICE, told.ended_at)
+        self.counts["judged for running once"] += (
+            told.prefix in RUN_ONCE_PREFIXES and bool(runs)
+        )
+        if told.prefix in RUN_ONCE_PREFIXES and len(runs) > 1:
             self.fail("once", f"{told} ran {len(runs)} times", told.ended_at)
         if told.surplus:
             detail = f"{told}: {told.surplus}"
             self.fail("answered twice", detail, told.ended_at)
         self._check_lost(told, runs)
 
-    def _check_handled(self, told: Told, ran_at: str, seen_at: float) -> None:
+    def _check_handled(
+        self, told: ObservedRequest, ran_at: str, seen_at: float
+    ) -> None:
         possible = [
             number
             for number, version in enumerate(self.history.versions)
@@ -169,28 +175,33 @@
         if not possible:
             self.fail("allowed", handled, seen_at)
             return
-        if self.disturbed.is_calm(told.vm, told.sent_at, seen_at):
+        if self.disturbances.is_undisturbed(told.vm, told.sent_at, seen_at):
             self.counts["judged for lateness"] += 1
-            due = self._due(told.sent_at)
+            due = self._due_version(told.sent_at)
             if possible[-1] < due:
                 late = f"{handled}, version {possible[-1]} at most; {due} was due"
                 self.fail("in force", late, seen_at)
-        if told.life is not None:
-            self._check_floor(told, told.life, possible, seen_at, handled)
+        if told.incarnation is not None:
+            self._check_rollback(told, told.incarnation, possible, seen_at, handled)
 
-    def _due(self, now: float) -> int:
-        later, apply = self.disturbed.later, self.bounds.config_apply
+    def _due_version(self, now: float) -> int:
+        later, apply = self.disturbances.extended_deadline, self.bounds.config_apply
         for number in range(len(self.history.versions) - 1, 0, -1):
             if later(self.history.versions[number].acked_at, apply, now) < now:
                 return number
         return 0
 
-    def _check_floor(
-        self, told: Told, life: int, possible: list[int], seen_at: float, handled: str
+    def _check_rollback(
+        self,
+        told: ObservedRequest,
+        life: int,
+        possible: list[int],
+        seen_at: float,
+        handled: str,
     ) -> None:
-        floors = self._floors_by_life.setdefault((told.vm, life), [])
-        before = told.sent_at - ROLLBACK_S
-        before -= self.disturbed.held_s(before, seen_at)
+        floors = self._floors_by_incarnation.setdefault((told.vm, life), [])
+        before = told.sent_at - ALLOWED_ROLLBACK_S
+        before -= self.disturbances.stalled_s(before, seen_at)
         floor = max((number for at, number in floors if at < before), default=0)
         self.counts["judged for going back"] += floor > 0
         least = min((each for each in possible if each >= floor), default=None)
@@ -199,20 +210,24 @@
         elif not floors or least > floors[-1][1]:
             floors.append((seen_at, least))
 
-    def _check_upstream(self, told: Told, run: Run) -> None:
-        if not self.disturbed.is_calm(told.vm, run.arrived_at, run.arrived_at):
+    def _check_upstream(self, told: ObservedRequest, run: Run) -> None:
+        if not self.disturbances.is_undisturbed(
+            told.vm, run.arrived_at, run.arrived_at
+        ):
             return
         late_s = run.arrived_at - run.at.left_at
         self.counts["judged for upstreams that left"] += run.others_left > 0
         vanished = run.others_vanished > 0
         self.counts["judged for upstreams that vanished in outages"] += vanished
-        due = self.disturbed.later(run.at.left_at, self.bounds.drain, run.arrived_at)
+        due = self.disturbances.extended_deadline(
+            run.at.left_at, self.bounds.drain, run.arrived_at
+        )
         if run.arrived_at > due:
             detail = f"{told} reached {run.at.name} {late_s:.3f} s after it left"
             self.fail("left", detail, run.arrived_at)
         for evacuation in self.history.evacuations:
             late_s = run.arrived_at - evacuation.acked_at
-            due = self.disturbed.later(
+            due = self.disturbances.extended_deadline(
                 evacuation.acked_at, self.bounds.evacuate, run.arrived_at
             )
             is_due = due < run.arrived_at < evacuation.undone_at
@@ -221,18 +236,18 @@
                 detail = f"{told} reached {run.at.name} {late_s:.3f} s after evacuation"
                 self.fail("evacuated", detail, run.arrived_at)
 
-    def _check_lost(self, told: Told, runs: list[Run]) -> None:
+    def _check_lost(self, told: ObservedRequest, runs: list[Run]) -> None:
         took_s = told.ended_at - told.sent_at
-        held_s = self.disturbed.held_s(told.sent_at, told.ended_at)
-        if not told.is_lost or not (runs or took_s > UNREAD_S + held_s):
+        held_s = self.disturbances.stalled_s(told.sent_at, told.ended_at)
+        if not told.is_lost or not (runs or took_s > CLOSE_CROSSING_S + held_s):
             return
-        if any(run.is_cut for run in runs):
+        if any(run.is_aborted for run in runs):
             return
-        calm = self.disturbed.is_calm(
-            told.vm, told.sent_at, told.ended_at, planned_too=False
+        calm = self.disturbances.is_undisturbed(
+            told.vm, told.sent_at, told.ended_at, include_planned=False
         )
         self.counts["without an answer"] += 1
-        if calm and not (took_s > SILENT_S and held_s > MOST_HELD_S):
+        if calm and not (took_s > CALLER_GAVE_UP_S and held_s > MAX_STALL_S):
             detail = f"{told} got no answer in {took_s:.3f} s; ran {len(runs)} times"
             self.fail("answered", detail, told.ended_at)
 
@@ -250,9 +265,9 @@
         for vm in vms:
             asked = [
                 each
-                for each in self.told
+                for each in self.requests
                 if each.vm == vm and each.sent_at > since and each.prefix in routes
             ]
             served = sum(each.status == OK for each in asked)
-            if not asked or served < LEAST_SERVED * len(asked):
+            if not asked or served < MIN_SERVED_SHARE * len(asked):
                 self.fail("served", f"{vm} served {served} of {len(asked)}", since)
--- a/tests/fleet/soak/crashers.py
+++ b/tests/fleet/soak/crashing_requests.py
@@ -20,27 +20,27 @@
 from soak.checks import Checks
 from soak.history import CREDENTIALS
 from soak.history import HOST
-from soak.history import MAIN
-from soak.history import ONCE
-from soak.upstreams import CRASHING
+from soak.history import MAIN_PREFIXES
+from soak.history import RUN_ONCE_PREFIXES
+from soak.upstreams import CRASHING_PATH_PREFIX
 from soak.upstreams import ID
 from soak.upstreams import Upstreams
 
-MANY = 3
+QUARANTINE_CRASHES = 3
 """Upstreams that end under a request before it is to be held back."""
-SENT_ON = 3
+MAX_FORWARDED = 3
 """How often it may be sent on in all, later than the bound after that."""
-GAP_S = 0.3
+MEAN_ATTEMPT_GAP_S = 0.3
 """Mean time between two tries of one request, in seconds."""
-PATIENCE_S = 4.0
-AT_ONCE_S = 0.5
+ANSWER_TIMEOUT_S = 4.0
+QUARANTINE_ANSWER_S = 0.5
 """Time in which a request that is held back is answered, in seconds."""
 DEADLINE_MS = 2_500
 NOT_RUN = 503
 
 
 @frozen(kw_only=True)
-class Try:
+class Attempt:
     """One try.
 
     Parameters
@@ -61,7 +61,7 @@
 
 
 @define(kw_only=True)
-class Crashers:
+class CrashingRequests:
     """Send requests under which upstreams crash, and check where they came to.
 
     Parameters
@@ -83,32 +83,34 @@
     front: Callable[[str], Endpoint]
     vms: list[str]
     seed: int
-    tries_by_path: dict[str, list[Try]] = Factory(dict)
+    attempts_by_path: dict[str, list[Attempt]] = Factory(dict)
 
-    async def strike(self, at: float, for_s: float) -> None:
+    async def inject(self, at: float, for_s: float) -> None:
         """Let one such request come for a while, at any entry VM."""
         random = Random(f"crashing request of {self.seed} at {at}")
-        prefix = random.choice(MAIN)
-        path = f"{prefix}{CRASHING}{len(self.tries_by_path)}"
-        tries = self.tries_by_path.setdefault(path, [])
+        prefix = random.choice(MAIN_PREFIXES)
+        path = f"{prefix}{CRASHING_PATH_PREFIX}{len(self.attempts_by_path)}"
+        tries = self.attempts_by_path.setdefault(path, [])
         ends_at = monotonic() + for_s
         while monotonic() < ends_at:
-            await spawn(self._try, path, prefix in ONCE, random, tries, daemon=True)
-            await sleep(random.expovariate(1 / GAP_S))
+            await spawn(
+                self._try, path, prefix in RUN_ONCE_PREFIXES, random, tries, daemon=True
+            )
+            await sleep(random.expovariate(1 / MEAN_ATTEMPT_GAP_S))
 
     async def _try(
-        self, path: str, is_once: bool, random: Random, tries: list[Try]
+        self, path: str, is_once: bool, random: Random, tries: list[Attempt]
     ) -> None:
         vm, request = random.choice(self.vms), f"{random.getrandbits(64):016x}"
         connection = ClientConnection(endpoint=self.front(vm))
         sent_at, status = monotonic(), None
         with suppress(TaskTimeout):
             status = await timeout_after(
-                PATIENCE_S, _exchange, connection, path, is_once, request
+                ANSWER_TIMEOUT_S, _exchange, connection, path, is_once, request
             )
         await connection.close()
         tries.append(
-            Try(
+            Attempt(
                 request=request,
                 vm=vm,
                 sent_at=sent_at,
@@ -119,40 +121,40 @@
 
     def check(self) -> None:
         """Check all of them, at the end."""
-        for path, tries in self.tries_by_path.items():
+        for path, tries in self.attempts_by_path.items():
             crashed_at = sorted(self.upstreams.crashed_at_by_path.get(path, []))
             self.checks.counts["upstreams that crashed under requests"] += len(
                 crashed_at
             )
             self._check_truth(path, tries)
-            if len(crashed_at) >= MANY:
-                self._check_held_back(path, tries, crashed_at[MANY - 1])
+            if len(crashed_at) >= QUARANTINE_CRASHES:
+                self._check_held_back(path, tries, crashed_at[QUARANTINE_CRASHES - 1])
 
-    def _check_truth(self, path: str, tries: list[Try]) -> None:
+    def _check_truth(self, path: str, tries: list[Attempt]) -> None:
         for each in tries:
             runs = self.upstreams.runs_by_id.get(each.request, [])
             if each.status == NOT_RUN and runs:
                 detail = f"{path} at {each.vm} ran and was told as not run"
                 self.checks.fail("not run", detail, each.ended_at)
 
-    def _check_held_back(self, path: str, tries: list[Try], since: float) -> None:
-        contact_s, disturbed = self.checks.bounds.contact, self.checks.disturbed
+    def _check_held_back(self, path: str, tries: list[Attempt], since: float) -> None:
+        contact_s, disturbed = self.checks.bounds.contact, self.checks.disturbances
         late = []
         for each in tries:
             for run in self.upstreams.runs_by_id.get(each.request, []):
                 at = run.arrived_at
-                is_late = at > disturbed.later(since, contact_s, at)
-                late += [each] * (is_late and disturbed.is_calm(each.vm, at, at))
+                is_late = at > disturbed.extended_deadline(since, contact_s, at)
+                late += [each] * (is_late and disturbed.is_undisturbed(each.vm, at, at))
         judged = [each for each in tries if each.sent_at > since + contact_s]
         self.checks.counts["judged for crashing requests"] += len(judged)
-        if len(late) > SENT_ON:
+        if len(late) > MAX_FORWARDED:
             detail = f"{path} came to upstreams {len(late)} times more, from {late[0]}"
             self.checks.fail("held back", detail, late[0].ended_at)
         for each in judged:
             took_s = each.ended_at - each.sent_at
-            took_s -= disturbed.held_s(each.sent_at, each.ended_at)
-            is_calm = disturbed.is_calm(each.vm, each.sent_at, each.ended_at)
-            if each not in late and is_calm and took_s > AT_ONCE_S:
+            took_s -= disturbed.stalled_s(each.sent_at, each.ended_at)
+            is_calm = disturbed.is_undisturbed(each.vm, each.sent_at, each.ended_at)
+            if each not in late and is_calm and took_s > QUARANTINE_ANSWER_S:
                 detail = f"{path} at {each.vm} waited {took_s:.3f} s for {each.status}"
                 self.checks.fail("at once", detail, each.ended_at)
 
--- a/tests/fleet/soak/faults.py
+++ b/tests/fleet/soak/faults.py
@@ -6,17 +6,26 @@
 
 from plankspindle_testkit.soak.soak_fault import SoakFault
 
-OF_STORE = ("away", "held", "refused", "slow", "loses")
-OF_LINKS = ("silence", "reset-links", "forget")
-OF_VMS = ("kill", "stop", "term", "hup", "rolling", "herd-kill", "herd-stop", "hup-all")
-OF_LAPSES = ("lapse-away", "lapse-refused", "lapse-resets")
-OF_CRASHERS = ("crashing",)
-OF_STATEMENTS = ("limit", "rest", "say-leave", "misspeak")
-OF_SUSPENDS = ("suspend", "herd-suspend")
-OF_OPERATORS = ("change", "storm", "evacuate", "leave", "vanish")
+STORE_KINDS = ("away", "held", "refused", "slow", "loses")
+LINK_KINDS = ("silence", "reset-links", "forget")
+VM_KINDS = (
+    "kill",
+    "stop",
+    "term",
+    "hup",
+    "rolling",
+    "herd-kill",
+    "herd-stop",
+    "hup-all",
+)
+LAPSE_KINDS = ("lapse-away", "lapse-refused", "lapse-resets")
+CRASHING_REQUEST_KINDS = ("crashing",)
+STATEMENT_KINDS = ("limit", "rest", "say-leave", "misspeak")
+SUSPEND_KINDS = ("suspend", "herd-suspend")
+OPERATOR_KINDS = ("change", "storm", "evacuate", "leave", "vanish")
 STORE_S = (0.2, 12.0)
 STOP_S = (0.2, 5.0)
-AROUND_S = (-0.4, -0.05, 0.0, 0.05, 0.3, 0.7, 1.1, 1.4)
+CHANGE_OFFSETS_S = (-0.4, -0.05, 0.0, 0.05, 0.3, 0.7, 1.1, 1.4)
 """When changes are made by the beginning and the end of each fault, in seconds."""
 GAPS_S = (5.0, 10.0, 16.0)
 """Mean times between faults of the store, of which a seed has one."""
@@ -51,14 +60,14 @@
     faults: list[SoakFault] = []
     gap_s = random.choice(GAPS_S)
     for at in _times(random, gap_s, seconds):
-        faults += _draw_of_store(random, at, vms)
+        faults += _draw_store_fault(random, at, vms)
     for at in _times(random, VM_GAP_S, seconds):
-        kind = random.choice(OF_VMS)
+        kind = random.choice(VM_KINDS)
         is_one = kind in ("kill", "stop", "term", "hup")
         target = random.choice(vms) if is_one else ""
         faults.append(_fault(at, random.uniform(*STOP_S), kind, target))
     for at in _times(random, CHANGE_GAP_S, seconds):
-        faults.append(_draw_of_operator(random, at))
+        faults.append(_draw_operator_action(random, at))
     faults += _draw_lapses(seed, seconds)
     faults += _draw_crashing(seed, seconds)
     faults += _draw_suspends(seed, seconds, vms)
@@ -70,7 +79,7 @@
     """Draw outages with lapses from a source of their own: the others stay as drawn."""
     random = Random(f"lapses of fleet soak {seed}")
     return [
-        _fault(at, random.uniform(*LAPSE_S), random.choice(OF_LAPSES), "")
+        _fault(at, random.uniform(*LAPSE_S), random.choice(LAPSE_KINDS), "")
         for at in _times(random, LAPSE_GAP_S, seconds)
     ]
 
@@ -89,7 +98,7 @@
     random = Random(f"suspends of fleet soak {seed}")
     faults = []
     for at in _times(random, SUSPEND_GAP_S, seconds):
-        kind = random.choice(OF_SUSPENDS)
+        kind = random.choice(SUSPEND_KINDS)
         target = random.choice(vms) if kind == "suspend" else ""
         faults.append(_fault(at, random.uniform(*SUSPEND_S), kind, target))
     return faults
@@ -99,7 +108,7 @@
     """Draw what upstreams say of themselves from a source of its own, too."""
     random = Random(f"statements of fleet soak {seed}")
     return [
-        _fault(at, random.uniform(*STATEMENT_S), random.choice(OF_STATEMENTS), "")
+        _fault(at, random.uniform(*STATEMENT_S), random.choice(STATEMENT_KINDS), "")
         for at in _times(random, STATEMENT_GAP_S, seconds)
     ]
 
@@ -111,22 +120,22 @@
     return times[:-1]
 
 
-def _draw_of_store(random: Random, at: float, vms: list[str]) -> list[SoakFault]:
-    kind = random.choice((*OF_STORE, *OF_STORE, "away", "away", *OF_LINKS))
-    for_s = random.uniform(*STORE_S) if kind in OF_STORE else 0.0
+def _draw_store_fault(random: Random, at: float, vms: list[str]) -> list[SoakFault]:
+    kind = random.choice((*STORE_KINDS, *STORE_KINDS, "away", "away", *LINK_KINDS))
+    for_s = random.uniform(*STORE_S) if kind in STORE_KINDS else 0.0
     target = ""
     if kind != "forget" and random.random() < 1 / 3:
         target = ",".join(random.sample(vms, random.randint(1, len(vms))))
     around = [
-        _draw_of_operator(random, max(0.0, end + offset))
+        _draw_operator_action(random, max(0.0, end + offset))
         for end in (at, at + for_s)
-        for offset in random.sample(AROUND_S, 2)
+        for offset in random.sample(CHANGE_OFFSETS_S, 2)
     ]
     return [_fault(at, for_s, kind, target), *around]
 
 
-def _draw_of_operator(random: Random, at: float) -> SoakFault:
-    kinds = ("change",) * 6 + OF_OPERATORS
+def _draw_operator_action(random: Random, at: float) -> SoakFault:
+    kinds = ("change",) * 6 + OPERATOR_KINDS
     return _fault(at, random.uniform(*STORE_S), random.choice(kinds), "")
 
 
--- a/tests/fleet/soak/fleet_soak.py
+++ b/tests/fleet/soak/fleet_soak.py
@@ -18,51 +18,51 @@
 from plankspindle_core.steady_clock import monotonic
 from plankspindle_testkit.processes import Processes
 from plankspindle_testkit.soak.link_proxy import LinkProxy
-from plankspindle_testkit.soak.process_facts import waited_s
-from plankspindle_testkit.soak.running import wait_for_start
+from plankspindle_testkit.soak.process_stats import cpu_wait_s
 from plankspindle_testkit.soak.soak_fault import SoakFault
 from plankspindle_testkit.soak.soak_fault import write_schedule
-from soak.callers import KEYED_PART
+from plankspindle_testkit.soak.soak_runner import wait_for_start
+from soak.callers import KEYED_SHARE
 from soak.callers import Caller
-from soak.checks import Broken
 from soak.checks import Checks
-from soak.crashers import Crashers
+from soak.checks import Violation
+from soak.crashing_requests import CrashingRequests
+from soak.fault_injector import MODULE
+from soak.fault_injector import FaultInjector
 from soak.faults import draw
 from soak.history import Disturbances
 from soak.history import History
-from soak.lapser import Lapser
-from soak.lapses import LapseChecks
+from soak.lapse_checks import LapseChecks
+from soak.lapse_injector import LapseInjector
 from soak.layout import Bounds
 from soak.layout import Layout
-from soak.standstills import Standstills
+from soak.process_pauses import ProcessPauses
+from soak.soak_store import SoakStore
 from soak.statements import Statements
-from soak.store import SoakStore
-from soak.striker import MODULE
-from soak.striker import Striker
 from soak.upstreams import Upstreams
 
-LOOK_S = 0.25
-MOST_HELD_S = 0.5
+POLL_S = 0.25
+MAX_STALL_S = 0.5
 """Time held up by the machine, of the calm time, up to which the end is judged."""
-START_S = 60.0
+START_TIMEOUT_S = 60.0
 CALM_S = 5.0
 """Time at the end in which everything must be served."""
-MOST_WAIT_S = 8.0
+MAX_CALM_WAIT_S = 8.0
 RECOVERY_S = 10.0
 """Time after the last fault until then, in seconds."""
-CALLERS_A_VM = 2
-OF_EACH_PLACE = (3, 3, 2, 1)
+CALLERS_PER_VM = 2
+UPSTREAMS_PER_SERVICE_AND_ZONE = (3, 3, 2, 1)
 """Upstreams of a service in a zone, by seed: the fleet has 2 to 4."""
-LATE_CALLERS_A_VM = 1
-LATE_PAUSES = 0.3
+LATE_CALLERS_PER_VM = 1
+LATE_PAUSE_FACTOR = 0.3
 """Callers that join after the last fault, so that each upstream should be used soon."""
-MOST_REQUESTS_S = 100.0
+MAX_REQUESTS_PER_S = 100.0
 """Requests a second that the soak's own process bears beside the store."""
 MEAN_GAP_S = 0.25
 
 
 @frozen(kw_only=True)
-class Plan:
+class SoakPlan:
     """What a soak does.
 
     Parameters
@@ -86,22 +86,22 @@
 
 
 @frozen(kw_only=True)
-class Verdict:
+class SoakResult:
     """How a soak ended.
 
     Parameters
     ----------
-    broken : list of Broken
+    violations : list of Violation
         What did not hold, with times since the beginning.
-    counts, struck_by_kind : Counter of str
+    counts, injected_by_kind : Counter of str
         What was judged, and what happened.
     folder : Path
         Where logs and the schedule are.
     """
 
-    broken: list[Broken]
+    violations: list[Violation]
     counts: Counter[str]
-    struck_by_kind: Counter[str]
+    injected_by_kind: Counter[str]
     folder: Path
 
 
@@ -111,14 +111,14 @@
 
     Parameters
     ----------
-    plan : Plan
+    plan : SoakPlan
         What it does.
     """
 
-    plan: Plan
+    plan: SoakPlan
     layout: Layout = field(init=False)
     checks: Checks = field(init=False)
-    striker: Striker = field(init=False)
+    fault_injector: FaultInjector = field(init=False)
     _tasks: list[Any] = field(factory=list)
 
     def __attrs_post_init__(self) -> None:
@@ -130,7 +130,7 @@
             bounds=bounds,
             # Its own, so that a seed has the same versions however requests fall.
             history=History(random=Random(f"versions of {plan.seed}")),
-            disturbed=Disturbances(contact_s=bounds.contact),
+            disturbances=Disturbances(contact_s=bounds.contact),
         )
         store = SoakStore(random)
         upstreams = Upstreams(
@@ -138,44 +138,47 @@
             store=store,
             random=random,
             drain_s=bounds.drain,
-            of_each_place=OF_EACH_PLACE[plan.seed % len(OF_EACH_PLACE)],
+            per_service_and_zone=UPSTREAMS_PER_SERVICE_AND_ZONE[
+                plan.seed % len(UPSTREAMS_PER_SERVICE_AND_ZONE)
+            ],
         )
-        crashers = Crashers(
+        crashers = CrashingRequests(
             checks=self.checks,
             upstreams=upstreams,
             front=self.layout.front,
             vms=self.layout.names(),
             seed=plan.seed,
         )
-        standstills = Standstills()
-        self.striker = Striker(
+        standstills = ProcessPauses()
+        self.fault_injector = FaultInjector(
             layout=self.layout,
             processes=Processes(folder=Path(tempfile.mkdtemp(prefix="fleet-soak-"))),
             store=store,
             upstreams=upstreams,
             checks=self.checks,
-            lapser=Lapser(
+            lapse_injector=LapseInjector(
                 store=store,
                 upstreams=upstreams,
                 lapses=LapseChecks(
                     checks=self.checks,
                     crashed=upstreams.crashed,
-                    spoken=upstreams.spoken,
+                    restricted=upstreams.restricted,
                 ),
                 vms=self.layout.names(),
                 seed=plan.seed,
             ),
-            crashers=crashers,
+            crashing_requests=crashers,
             statements=Statements(
                 checks=self.checks,
                 upstreams=upstreams,
-                standstills=standstills,
+                process_pauses=standstills,
                 seed=plan.seed,
             ),
-            standstills=standstills,
+            process_pauses=standstills,
             proxies_by_vm={
                 vm: LinkProxy(
-                    listens=self.layout.at(vm, 30), target=self.layout.at(vm, 31)
+                    endpoint=self.layout.listener(vm, 30),
+                    target=self.layout.listener(vm, 31),
                 )
                 for vm in self.layout.names()
             },
@@ -183,16 +186,19 @@
             module=plan.module,
         )
 
-    async def run(self) -> Verdict:
+    async def run(self) -> SoakResult:
         """Run it; processes that it started are ended whatever happens."""
-        striker = self.striker
+        striker = self.fault_injector
         try:
             await self._start()
             began_at = monotonic()
             wall = time() - began_at
-            await self._strike()
+            await self._inject_faults()
             await self._start_callers(
-                "late caller", LATE_CALLERS_A_VM, pauses=LATE_PAUSES, keyed_part=1.0
+                "late caller",
+                LATE_CALLERS_PER_VM,
+                pauses=LATE_PAUSE_FACTOR,
+                keyed_part=1.0,
             )
             await sleep(RECOVERY_S)
             await self._check_end()
@@ -205,41 +211,41 @@
                 await proxy.close()
             await striker.upstreams.close()
             await striker.store.close()
-        self.checks.judge()
-        striker.lapser.lapses.check(striker.upstreams.lives, ended_at)
-        striker.crashers.check()
+        self.checks.evaluate()
+        striker.lapse_injector.lapses.check(striker.upstreams.current, ended_at)
+        striker.crashing_requests.check()
         striker.statements.check()
-        held_s = self.checks.disturbed.held_s(0.0, monotonic())
+        held_s = self.checks.disturbances.stalled_s(0.0, monotonic())
         self.checks.counts["seconds held up by the machine"] += round(held_s)
         self._write_history(wall)
-        return Verdict(
-            broken=self.checks.broken,
+        return SoakResult(
+            violations=self.checks.violations,
             counts=self.checks.counts,
-            struck_by_kind=striker.struck_by_kind,
+            injected_by_kind=striker.injected_by_kind,
             folder=striker.processes.folder,
         )
 
     async def _start(self) -> None:
-        striker = self.striker
+        striker = self.fault_injector
         for vm, proxy in striker.proxies_by_vm.items():
             await striker.store.listen(vm, proxy.target)
             await proxy.start()
         await striker.upstreams.start()
         await striker.change()
-        self._tasks.append(await spawn(striker.upstreams.beat, daemon=True))
-        starting = self.checks.disturbed.begin(self.layout.names(), 0.0)
+        self._tasks.append(await spawn(striker.upstreams.send_heartbeats, daemon=True))
+        starting = self.checks.disturbances.begin(self.layout.names(), 0.0)
         for vm in self.layout.names():
             striker.start(vm)
-        await self._start_callers("caller", CALLERS_A_VM)
+        await self._start_callers("caller", CALLERS_PER_VM)
         what = f"not all serve: {striker.processes.folder}"
         await wait_for_start(
-            self._all_serve, within_s=START_S, look_s=LOOK_S, what=what
+            self._all_serve, timeout_s=START_TIMEOUT_S, poll_s=POLL_S, message=what
         )
         starting.end = monotonic()
-        self._tasks.append(await spawn(self._watch, daemon=True))
+        self._tasks.append(await spawn(self._monitor, daemon=True))
 
     async def _all_serve(self) -> bool:
-        serving = {each.vm for each in self.checks.told if each.status == 200}
+        serving = {each.vm for each in self.checks.requests if each.status == 200}
         return serving.issuperset(self.layout.names())
 
     async def _start_callers(
@@ -248,65 +254,67 @@
         callers_a_vm: int,
         *,
         pauses: float = 1.0,
-        keyed_part: float = KEYED_PART,
+        keyed_part: float = KEYED_SHARE,
     ) -> None:
         callers = callers_a_vm * self.plan.vms
-        pauses *= max(1.0, callers / MEAN_GAP_S / MOST_REQUESTS_S)
+        pauses *= max(1.0, callers / MEAN_GAP_S / MAX_REQUESTS_PER_S)
         for number in range(callers):
             vm = self.layout.names()[number % self.plan.vms]
             caller = Caller(
                 vm=vm,
                 endpoint=self.layout.front(vm),
-                life=lambda vm=vm: self.striker.lives_by_vm[vm],  # type: ignore[misc]
+                incarnation=lambda vm=vm: self.fault_injector.incarnation_by_vm[vm],  # type: ignore[misc]
                 checks=self.checks,
-                upstreams=self.striker.upstreams,
+                upstreams=self.fault_injector.upstreams,
                 random=Random(f"{name} {number} of {self.plan.seed}"),
-                pauses=pauses,
-                keyed_part=keyed_part,
+                pause_factor=pauses,
+                keyed_share=keyed_part,
             )
             self._tasks.append(await spawn(caller.run, daemon=True))
 
-    async def _watch(self) -> None:
+    async def _monitor(self) -> None:
         """Look at the processes, and at what the machine holds up."""
         waited_by_vm: dict[str, float] = {}
         while True:
             before = monotonic()
-            await sleep(LOOK_S)
-            held_s = monotonic() - before - LOOK_S
+            await sleep(POLL_S)
+            held_s = monotonic() - before - POLL_S
             waits = {
-                vm: waited_s(self.striker.processes.by_name[vm].pid)
+                vm: cpu_wait_s(self.fault_injector.processes.process_by_name[vm].pid)
                 for vm in self.layout.names()
             }
             grown = [waits[vm] - waited_by_vm.get(vm, waits[vm]) for vm in waits]
             waited_by_vm = waits
-            self.checks.disturbed.note_held(monotonic(), held_s + max(0.0, *grown))
-            self.checks.judge(before=before)
-            self.striker.look()
+            self.checks.disturbances.record_stall(
+                monotonic(), held_s + max(0.0, *grown)
+            )
+            self.checks.evaluate(before=before)
+            self.fault_injector.restart_ended()
 
     async def _check_end(self) -> None:
         """Check the end once little was held up for a while."""
-        last = monotonic() + MOST_WAIT_S
+        last = monotonic() + MAX_CALM_WAIT_S
         while monotonic() < last:
             since = monotonic()
             await sleep(CALM_S)
-            if self.checks.disturbed.held_s(since, monotonic()) < MOST_HELD_S:
+            if self.checks.disturbances.stalled_s(since, monotonic()) < MAX_STALL_S:
                 self.checks.check_served(self.layout.names(), since)
                 return
         self.checks.counts["ends that were not judged"] += 1
 
-    async def _strike(self) -> None:
+    async def _inject_faults(self) -> None:
         plan, began_at = self.plan, monotonic()
         drawn = draw(plan.seed, seconds=plan.seconds, vms=self.layout.names())
         strikes = []
         for fault in drawn if plan.faults is None else plan.faults:
             await sleep(max(0.0, began_at + fault.at - monotonic()))
-            strikes.append(await spawn(self.striker.strike, fault, daemon=True))
+            strikes.append(await spawn(self.fault_injector.inject, fault, daemon=True))
         for strike in strikes:
             await strike.join()
 
     def _write_history(self, wall: float) -> None:
         """Leave what is needed to trace a finding beside the logs."""
-        folder, checks = self.striker.processes.folder, self.checks
+        folder, checks = self.fault_injector.processes.folder, self.checks
         drawn = draw(self.plan.seed, seconds=self.plan.seconds, vms=self.layout.names())
         (folder / "schedule.jsonl").write_text(
             write_schedule(drawn if self.plan.faults is None else self.plan.faults)
@@ -314,12 +322,19 @@
         lines = [f"wall = monotonic + {wall}"]
         lines += [f"{n} {each}" for n, each in enumerate(checks.history.versions)]
         lines += [str(each) for each in checks.history.evacuations]
-        lines += [f"{vm} {s}" for vm, all_ in checks.disturbed.all() for s in all_]
-        lines += [str(each) for each in self.striker.lapser.lapses.lapses]
-        lines += self.striker.lapser.lapses.uses
-        for path, tries in self.striker.crashers.tries_by_path.items():
-            crashed_at = self.striker.upstreams.crashed_at_by_path.get(path, [])
+        lines += [
+            f"{vm} {s}" for vm, all_ in checks.disturbances.spans_by_vm() for s in all_
+        ]
+        lines += [
+            str(each) for each in self.fault_injector.lapse_injector.lapses.lapses
+        ]
+        lines += self.fault_injector.lapse_injector.lapses.uses
+        for (
+            path,
+            tries,
+        ) in self.fault_injector.crashing_requests.attempts_by_path.items():
+            crashed_at = self.fault_injector.upstreams.crashed_at_by_path.get(path, [])
             lines += [f"{path} crashed upstreams at {crashed_at}", *map(str, tries)]
-        lines += [str(each) for each in checks.broken]
-        lines += [str(each) for each in checks.told]
+        lines += [str(each) for each in checks.violations]
+        lines += [str(each) for each in checks.requests]
         (folder / "history.txt").write_text("\n".join(lines) + "\n")
--- a/tests/fleet/soak/history.py
+++ b/tests/fleet/soak/history.py
@@ -18,17 +18,17 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-PROBES = 4
+PROBE_ROUTE_VERSIONS = 4
 """Versions for which a route that one of them added stays."""
-MAIN = ("/m0/", "/m1/", "/m2/", "/m3/")
-ONCE = ("/m2/", "/m3/")
+MAIN_PREFIXES = ("/m0/", "/m1/", "/m2/", "/m3/")
+RUN_ONCE_PREFIXES = ("/m2/", "/m3/")
 """Routes whose requests may run once."""
 HOST = "desk.example"
 WORKSPACE = "depot"
 CREDENTIALS = (b"authorization", b"Token soak-key-of-depot")
 RATE_PER_S = 5_000
 """Quota of the workspace, which callers stay far below even at one entry VM."""
-NOT_FOUND = ""
+NO_SERVICE = ""
 """Stands in place of a service where there is no route."""
 
 
@@ -50,7 +50,7 @@
 
     def allows(self, prefix: str, ran_at: str) -> bool:
         """Tell whether a request of a route may be handled so."""
-        return self.service_by_prefix.get(prefix, NOT_FOUND) == ran_at
+        return self.service_by_prefix.get(prefix, NO_SERVICE) == ran_at
 
 
 @define(kw_only=True)
@@ -92,9 +92,9 @@
             prefix: self.random.choice(SERVICES)
             if prefix not in old or self.random.random() < 1 / 2
             else old[prefix]
-            for prefix in MAIN
+            for prefix in MAIN_PREFIXES
         }
-        for probe in range(max(0, number + 1 - PROBES), number + 1):
+        for probe in range(max(0, number + 1 - PROBE_ROUTE_VERSIONS), number + 1):
             prefix = f"/p{probe}/"
             routes[prefix] = old.get(prefix) or self.random.choice(SERVICES)
         self.versions.append(Version(service_by_prefix=routes, sent_at=now))
@@ -103,7 +103,7 @@
     def draw_prefix(self, random: Random) -> str:
         """Choose a route that is there, was, or never will be."""
         if random.random() < 1 / 2:
-            return random.choice(MAIN)
+            return random.choice(MAIN_PREFIXES)
         newest = len(self.versions) - 1
         return f"/p{random.choice((newest, *range(max(0, newest - 6), newest + 1)))}/"
 
@@ -114,7 +114,7 @@
             name=prefix.strip("/"),
             path_prefix=prefix,
             service=service,
-            type="non_idempotent" if prefix in ONCE else "idempotent",
+            type="non_idempotent" if prefix in RUN_ONCE_PREFIXES else "idempotent",
             timeout="2s",
         )
         for prefix, service in routes.items()
@@ -163,20 +163,20 @@
 
     contact_s: float
     _spans_by_vm: dict[str, list[Span]] = Factory(dict)
-    _held: list[tuple[float, float]] = Factory(list)
+    _stalls: list[tuple[float, float]] = Factory(list)
 
-    def note_held(self, now: float, held_s: float) -> None:
+    def record_stall(self, now: float, held_s: float) -> None:
         """Note how long the machine gave no processor since the last note."""
-        before = self._held[-1][1] if self._held else 0.0
-        self._held.append((now, before + held_s))
+        before = self._stalls[-1][1] if self._stalls else 0.0
+        self._stalls.append((now, before + held_s))
 
-    def held_s(self, begin: float, end: float) -> float:
+    def stalled_s(self, begin: float, end: float) -> float:
         """Tell how long at most the machine gave no processor from then to then."""
-        if not self._held:
+        if not self._stalls:
             return 0.0
-        first = bisect_left(self._held, (begin, 0.0)) - 1
-        last = min(bisect_left(self._held, (end, 0.0)), len(self._held) - 1)
-        return self._held[last][1] - (self._held[first][1] if first >= 0 else 0.0)
+        first = bisect_left(self._stalls, (begin, 0.0)) - 1
+        last = min(bisect_left(self._stalls, (end, 0.0)), len(self._stalls) - 1)
+        return self._stalls[last][1] - (self._stalls[first][1] if first >= 0 else 0.0)
 
     def begin(self, vms: list[str], now: float, *, is_planned: bool = False) -> Span:
         """Note that VMs are disturbed from now on."""
@@ -185,22 +185,23 @@
             self._spans_by_vm.setdefault(vm, []).append(span)
         return span
 
-    def all(self) -> Iterable[tuple[str, list[Span]]]:
+    def spans_by_vm(self) -> Iterable[tuple[str, list[Span]]]:
         """Give all disturbances by VM."""
         return self._spans_by_vm.items()
 
-    def later(self, since: float, bound_s: float, now: float) -> float:
+    def extended_deadline(self, since: float, bound_s: float, now: float) -> float:
         """Give when a bound has passed, of the time that the machine gave."""
         if since + bound_s >= now:
             return since + bound_s
-        return since + bound_s + self.held_s(since, now)
+        return since + bound_s + self.stalled_s(since, now)
 
-    def is_calm(
-        self, vm: str, begin: float, end: float, *, planned_too: bool = True
+    def is_undisturbed(
+        self, vm: str, begin: float, end: float, *, include_planned: bool = True
     ) -> bool:
         """Tell whether a VM was in touch from one time to another."""
         return not any(
-            span.begin <= end and begin <= self.later(span.end, self.contact_s, begin)
+            span.begin <= end
+            and begin <= self.extended_deadline(span.end, self.contact_s, begin)
             for span in self._spans_by_vm.get(vm, ())
-            if planned_too or not span.is_planned
+            if include_planned or not span.is_planned
         )
--- a/tests/fleet/soak/lapses.py
+++ b/tests/fleet/soak/lapse_checks.py
@@ -10,7 +10,7 @@
 from attrs import frozen
 
 from soak.checks import Checks
-from soak.history import ONCE
+from soak.history import RUN_ONCE_PREFIXES
 from soak.layout import ZONES
 from soak.upstreams import DOWN_S
 from soak.upstreams import Upstream
@@ -18,15 +18,15 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from soak.checks import Told
+    from soak.checks import ObservedRequest
 
-PROMISES = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 """Answers that say that the request has not run and will not."""
 WINDOW_S = 6.0
 """Time after an outage in which reads are judged for being served, in seconds."""
-LEAST_READS = 10
-LEAST_SERVED = 0.9
-LEAST_EXPECTED = 15.0
+MIN_READS = 10
+MIN_SERVED_SHARE = 0.9
+MIN_EXPECTED_REQUESTS = 15.0
 """Requests that an upstream had to get for their lack to show that it was lost.
 
 Keys spread requests evenly over the upstreams of a service in a region; by chance
@@ -34,7 +34,7 @@
 don't count: few upstreams get them while little runs.
 """
 OK = 200
-ALL = "all entry VMs"
+ALL_VMS = "all entry VMs"
 
 
 @define(kw_only=True)
@@ -45,21 +45,21 @@
     ----------
     ended_at : float
         When the store was back, monotonic seconds.
-    back_at : list of tuple of Upstream and float
+    relisted_at : list of tuple of Upstream and float
         Which entries came back when, monotonic seconds.
     """
 
     ended_at: float
-    back_at: list[tuple[Upstream, float]] = Factory(list)
+    relisted_at: list[tuple[Upstream, float]] = Factory(list)
 
     @property
-    def whole_at(self) -> float:
+    def completed_at(self) -> float:
         """When the last entry was back, monotonic seconds."""
-        return max((at for _, at in self.back_at), default=self.ended_at)
+        return max((at for _, at in self.relisted_at), default=self.ended_at)
 
 
 @frozen(kw_only=True)
-class _Use:
+class _ServedRequest:
     vm: str
     at: Upstream
     arrived_at: float
@@ -76,7 +76,7 @@
     crashed : list of Upstream
         Upstreams that ended under requests. Their services may have none left for a
         while, where one crashes beside others that leave or are evacuated.
-    spoken : list of Upstream
+    restricted : list of Upstream
         Those that said something which keeps requests away.
 
     Attributes
@@ -87,7 +87,7 @@
 
     checks: Checks
     crashed: list[Upstream] = Factory(list)
-    spoken: list[Upstream] = Factory(list)
+    restricted: list[Upstream] = Factory(list)
     lapses: list[Lapse] = Factory(list)
     uses: list[str] = Factory(list)
 
@@ -104,12 +104,12 @@
         self._check_not_run()
         for lapse in self.lapses:
             self._check_served_again(lapse)
-            for upstream, back_at in lapse.back_at:
+            for upstream, back_at in lapse.relisted_at:
                 self._check_used_again(lapse, upstream, back_at, upstreams, end)
 
     def _check_not_run(self) -> None:
-        for told, runs in self.checks.taken:
-            if told.status not in PROMISES:
+        for told, runs in self.checks.requests_with_runs:
+            if told.status not in NOT_RUN_STATUSES:
                 continue
             self.checks.counts["judged for not running"] += 1
             if runs:
@@ -120,29 +120,29 @@
         """Check the share of reads served from the bound after the last entry on."""
         asked: Counter[str] = Counter()
         served: Counter[str] = Counter()
-        for told, _ in self.checks.taken:
-            due = self.checks.disturbed.later(
+        for told, _ in self.checks.requests_with_runs:
+            due = self.checks.disturbances.extended_deadline(
                 lapse.ended_at, self.checks.bounds.contact, told.sent_at
             )
-            if max(due, lapse.whole_at) < told.sent_at < due + WINDOW_S and (
+            if max(due, lapse.completed_at) < told.sent_at < due + WINDOW_S and (
                 self._must_be_served(told)
             ):
                 asked[told.vm] += 1
                 served[told.vm] += told.status == OK
         for vm, number in asked.items():
-            if number < LEAST_READS:
+            if number < MIN_READS:
                 continue
             self.checks.counts["judged for being served after a lapse"] += number
-            if served[vm] < LEAST_SERVED * number:
+            if served[vm] < MIN_SERVED_SHARE * number:
                 detail = f"{vm} served {served[vm]} of {number} reads"
-                self.checks.fail("served again", detail, lapse.whole_at)
+                self.checks.fail("served again", detail, lapse.completed_at)
 
-    def _must_be_served(self, told: Told) -> bool:
-        if told.prefix in ONCE:
+    def _must_be_served(self, told: ObservedRequest) -> bool:
+        if told.prefix in RUN_ONCE_PREFIXES:
             return False
         versions = self.checks.history.versions
         apply_s = self.checks.bounds.config_apply
-        later = self.checks.disturbed.later
+        later = self.checks.disturbances.extended_deadline
         due = max(
             number
             for number, version in enumerate(versions)
@@ -155,7 +155,9 @@
             return False
         if self._is_withheld(services, told.sent_at, told.ended_at):
             return False
-        return self.checks.disturbed.is_calm(told.vm, told.sent_at, told.ended_at)
+        return self.checks.disturbances.is_undisturbed(
+            told.vm, told.sent_at, told.ended_at
+        )
 
     def _has_crashed(self, services: set[str | None], now: float) -> bool:
         """Tell whether upstreams of services may still be missing after a crash."""
@@ -171,7 +173,7 @@
         contact_s = self.checks.bounds.contact
         return any(
             each.service in services and each.is_withheld(begin - contact_s, end)
-            for each in self.spoken
+            for each in self.restricted
         )
 
     def _check_used_again(
@@ -184,21 +186,21 @@
     ) -> None:
         """Check that an upstream gets its part of what its service and region get."""
         begin = back_at + self.checks.bounds.contact
-        spoke_at = (each.begin for each in upstream.withheld if each.end > begin)
+        spoke_at = (each.begin for each in upstream.withheld_spans if each.end > begin)
         ends = (upstream.left_at, upstream.crashed_at, *spoke_at, end)
         until = min([*ends, *self._later_lapses(lapse, upstream)])
-        rivals = sum(_is_rival(each, upstream) for each in upstreams)
+        rivals = sum(_is_equivalent(each, upstream) for each in upstreams)
         expected: Counter[str] = Counter()
         used: Counter[str] = Counter()
         for use in self._uses(upstream, begin, until):
-            for who in (use.vm, ALL):
+            for who in (use.vm, ALL_VMS):
                 expected[who] += 1
                 used[who] += use.at is upstream
         for who, number in expected.items():
             self.uses.append(
                 f"{upstream.name} got {used[who]} of {number} of {who} among {rivals}"
             )
-            if number < LEAST_EXPECTED * rivals:
+            if number < MIN_EXPECTED_REQUESTS * rivals:
                 continue
             self.checks.counts["judged for being used after a lapse"] += 1
             if not used[who]:
@@ -208,27 +210,31 @@
                 )
                 self.checks.fail("used again", detail, begin)
 
-    def _uses(self, upstream: Upstream, begin: float, until: float) -> Iterator[_Use]:
+    def _uses(
+        self, upstream: Upstream, begin: float, until: float
+    ) -> Iterator[_ServedRequest]:
         """Give what the service got in the region while it could be used."""
-        for told, runs in self.checks.taken:
+        for told, runs in self.checks.requests_with_runs:
             for run in runs:
                 if (
                     told.has_key
                     and begin < run.arrived_at < until
-                    and _is_rival(run.at, upstream)
+                    and _is_equivalent(run.at, upstream)
                     and not self._is_evacuated(upstream.zone, run.arrived_at)
-                    and self.checks.disturbed.is_calm(
+                    and self.checks.disturbances.is_undisturbed(
                         told.vm, run.arrived_at, run.arrived_at
                     )
                 ):
-                    yield _Use(vm=told.vm, at=run.at, arrived_at=run.arrived_at)
+                    yield _ServedRequest(
+                        vm=told.vm, at=run.at, arrived_at=run.arrived_at
+                    )
 
     def _later_lapses(self, lapse: Lapse, upstream: Upstream) -> list[float]:
         return [
             each.ended_at
             for each in self.lapses
             if each.ended_at > lapse.ended_at
-            and any(other is upstream for other, _ in each.back_at)
+            and any(other is upstream for other, _ in each.relisted_at)
         ]
 
     def _is_evacuated(self, zone: str, at: float) -> bool:
@@ -239,5 +245,5 @@
         )
 
 
-def _is_rival(each: Upstream, of: Upstream) -> bool:
+def _is_equivalent(each: Upstream, of: Upstream) -> bool:
     return each.service == of.service and ZONES[each.zone] == ZONES[of.zone]
--- a/tests/fleet/soak/layout.py
+++ b/tests/fleet/soak/layout.py
@@ -7,7 +7,7 @@
 from attrs import frozen
 
 from plankspindle_core.endpoint import Endpoint
-from plankspindle_testkit.loopback_network import host_of_run
+from plankspindle_testkit.loopback_network import loopback_host
 
 ZONES = {"zone-a": "region-1", "zone-b": "region-1", "zone-c": "region-2"}
 SERVICES = ("desk", "vault", "press")
@@ -48,7 +48,7 @@
         chosen = _BOUNDS_MS[seed % len(_BOUNDS_MS)]
         return cls(**{name: ms / 1000 for name, ms in chosen.items()})
 
-    def written(self) -> dict[str, str]:
+    def to_document(self) -> dict[str, str]:
         """Give them as the settings file tells them."""
         names = ("contact", "drain", "config_apply", "evacuate")
         return {name: f"{getattr(self, name)}s" for name in names}
@@ -73,23 +73,23 @@
         """Name the entry VMs."""
         return [f"edge-{number}" for number in range(self.vms)]
 
-    def at(self, vm: str, offset: int) -> Endpoint:
+    def listener(self, vm: str, offset: int) -> Endpoint:
         """Give one of the ports of a VM: front, ready, control, directory, store."""
         number = int(vm.rpartition("-")[2])
         return Endpoint(self._host(FIRST_VM + number), self.first_port + offset)
 
     def front(self, vm: str) -> Endpoint:
         """Give where a VM takes requests."""
-        return self.at(vm, 0)
+        return self.listener(vm, 0)
 
     def upstream(self, number: int) -> Endpoint:
         """Give the address of an upstream."""
         return Endpoint(self._host(FIRST_UPSTREAM + number), self.first_port)
 
     def _host(self, last: int) -> str:
-        return host_of_run(_OCTETS + self.first_port // 100 % _OCTETS, last)
+        return loopback_host(_OCTETS + self.first_port // 100 % _OCTETS, last)
 
-    def boot(self, vm: str, bounds: Bounds) -> dict[str, Any]:
+    def boot_document(self, vm: str, bounds: Bounds) -> dict[str, Any]:
         """Build the settings file of a VM."""
         zone = list(ZONES)[int(vm.rpartition("-")[2]) % len(ZONES)]
         doors = ("front", "ready", "control", "directory")
@@ -105,17 +105,19 @@
                 "limits": {"max_fds": 2000},
             },
             "network": {
-                "listen": {each: str(self.at(vm, n)) for n, each in enumerate(doors)},
+                "listen": {
+                    each: str(self.listener(vm, n)) for n, each in enumerate(doors)
+                },
                 "port_range": [self.first_port + 5, self.first_port + 20],
-                "seeds": [str(self.at(each, 2)) for each in seeds],
+                "seeds": [str(self.listener(each, 2)) for each in seeds],
                 "zones": ZONES,
             },
             "provider": {
-                "provider": {"address": str(self.at(vm, 30)), "form": "table"}
+                "provider": {"address": str(self.listener(vm, 30)), "form": "table"}
             },
             "terms": {
                 "bounds": {
-                    **bounds.written(),
+                    **bounds.to_document(),
                     "grace": f"{GRACE_S}s",
                     "retry_budget_ratio": 0.2,
                     "budget_slack": 58,
--- a/tests/fleet/soak/mutant.py
+++ b/tests/fleet/soak/mutant.py
@@ -35,7 +35,7 @@
 
 def go_back() -> None:
     """Put the document of every third version in force again instead of the next."""
-    translate, kept, seen = operator_reader.translate, [], []
+    translate, kept, seen = operator_reader.translate_document, [], []
 
     def translate_old(document: Any, **rest: Any) -> Any:
         seen.append(document)
@@ -43,56 +43,56 @@
             kept.append(document)
         return translate(kept[-1] if len(seen) % 3 == 0 else document, **rest)
 
-    operator_reader.translate = translate_old
+    operator_reader.translate_document = translate_old
 
 
 def keep_upstreams() -> None:
     """Overlook that an upstream leaves or is gone."""
-    take = store_platform.StorePlatform._take_servers
+    take = store_platform.StorePlatform._apply_server_rows
 
     def take_kept(self: Any, rows: Any) -> None:
-        before = dict(self._servers_by_id)
+        before = dict(self._servers_by_name)
         take(self, rows)
-        self._servers_by_id |= before
+        self._servers_by_name |= before
 
-    store_platform.StorePlatform._take_servers = take_kept  # type: ignore[method-assign]
+    store_platform.StorePlatform._apply_server_rows = take_kept  # type: ignore[method-assign]
 
 
 def lose_lapsed() -> None:
     """Never list an upstream again whose entry was gone once."""
-    take = store_platform.StorePlatform._take_servers
+    take = store_platform.StorePlatform._apply_server_rows
     lost: set[str] = set()
     seen: set[str] = set()
 
     def take_unless_lost(self: Any, rows: Any) -> None:
         take(self, rows)
-        seen.update(self._servers_by_id)
-        lost.update(seen - self._servers_by_id.keys())
+        seen.update(self._servers_by_name)
+        lost.update(seen - self._servers_by_name.keys())
         for name in lost:
-            self._servers_by_id.pop(name, None)
+            self._servers_by_name.pop(name, None)
 
-    store_platform.StorePlatform._take_servers = (  # type: ignore[method-assign]
+    store_platform.StorePlatform._apply_server_rows = (  # type: ignore[method-assign]
         take_unless_lost
     )
 
 
 def keep_vanished() -> None:
     """Keep upstreams that are gone also when the list is read whole."""
-    take = store_platform.StorePlatform._take_servers
+    take = store_platform.StorePlatform._apply_server_rows
     seen: dict[str, Any] = {}
 
     def take_and_keep(self: Any, rows: Any) -> None:
         take(self, rows)
-        seen.update(self._servers_by_id)
-        self._servers_by_id |= seen
+        seen.update(self._servers_by_name)
+        self._servers_by_name |= seen
 
-    store_platform.StorePlatform._take_servers = take_and_keep  # type: ignore[method-assign]
+    store_platform.StorePlatform._apply_server_rows = take_and_keep  # type: ignore[method-assign]
 
 
 def stay() -> None:
     """Overlook evacuations."""
-    translate = operator_reader.translate
-    operator_reader.translate = lambda document, *, zones, boot: translate(
+    translate = operator_reader.translate_document
+    operator_reader.translate_document = lambda document, *, zones, boot: translate(
         document, zones=[], boot=boot
     )
 
--- a/tests/fleet/soak/standstills.py
+++ b/tests/fleet/soak/process_pauses.py
@@ -9,7 +9,7 @@
 
 
 @define(kw_only=True)
-class Standstills:
+class ProcessPauses:
     """Times in which nothing of a process could run."""
 
     _spans_by_vm: dict[str, list[Span]] = Factory(dict)
@@ -20,7 +20,7 @@
         self._spans_by_vm.setdefault(vm, []).append(span)
         return span
 
-    def lasted_s(self, vm: str, since: float, until: float) -> float:
+    def total_s(self, vm: str, since: float, until: float) -> float:
         """Add up the time between two moments; where spans overlap it counts once."""
         spans = self._spans_by_vm.get(vm, ())
         total, reached = 0.0, since
--- a/tests/fleet/soak/store.py
+++ b/tests/fleet/soak/soak_store.py
@@ -23,18 +23,18 @@
     from plankspindle_core.endpoint import Endpoint
     from plankspindle_core.http.server_exchange import ServerExchange
 
-LOOK_S = 0.02
+POLL_S = 0.02
 SLOW_S = (0.2, 1.5)
-LOST_S = 30.0
+LOST_CALL_S = 30.0
 """Time after which the connection of a lost call ends, in seconds: beyond any wait."""
 ANSWER_S = 0.004
 """Time of a call, as of the fleet's store, in seconds."""
-KEEP_AWAY = ("away", "held", "refused", "resets")
+WRITE_BLOCKING_KINDS = ("away", "held", "refused", "resets")
 """Troubles in which the operator and upstreams write nothing."""
 
 
 @frozen(kw_only=True, eq=False)
-class Trouble:
+class StoreFault:
     """A fault of the store.
 
     Parameters
@@ -61,7 +61,7 @@
 
     def __init__(self, random: Random) -> None:
         super().__init__()
-        self.troubles: list[Trouble] = []
+        self.faults: list[StoreFault] = []
         self._random = random
         self._servers: list[HttpServer] = []
 
@@ -69,7 +69,7 @@
         """Serve a VM."""
         server = HttpServer(
             endpoint=endpoint,
-            limits=HttpLimits(idle_timeout_s=LOST_S),
+            limits=HttpLimits(idle_timeout_s=LOST_CALL_S),
             handler=partial(self.serve, vm),
         )
         await server.start()
@@ -80,43 +80,45 @@
         for server in self._servers:
             await server.close()
 
-    def has(self, kind: str, vm: str) -> bool:
+    def has_fault(self, kind: str, vm: str) -> bool:
         """Tell whether a kind of trouble concerns a VM now."""
         return any(
             each.kind == kind and (not each.vms or vm in each.vms)
-            for each in self.troubles
+            for each in self.faults
         )
 
-    def forget(self) -> None:
+    def truncate_history(self) -> None:
         """Drop the history so far."""
-        self.oldest = self.version
+        self.oldest_version = self.version
 
     async def serve(self, vm: str, source: ServerExchange) -> None:
         """Answer a call of a VM, as far as its troubles let it."""
         body = await source.read_body(max_bytes=1_000_000) or b""
-        if self.has("away", vm):
+        if self.has_fault("away", vm):
             await self._lose(source)
             return
-        if self.has("refused", vm):
+        if self.has_fault("refused", vm):
             await self._refuse(source)
             return
-        if self.has("resets", vm):
+        if self.has_fault("resets", vm):
             source.abort()
             return
         await self._slow_down(vm)
-        loses = self.has("loses", vm) and self._random.random() < 1 / 2
+        loses = self.has_fault("loses", vm) and self._random.random() < 1 / 2
         if loses and self._random.random() < 1 / 2:
             source.abort()
             return
         answered = await self._answer_for(vm, source.target, body)
-        if answered is None and self.has("resets", vm):
+        if answered is None and self.has_fault("resets", vm):
             source.abort()
             return
         if answered is None or loses:
-            await (self._lose(source) if answered is None else self._cut(source))
+            await (
+                self._lose(source) if answered is None else self._lose_answer(source)
+            )
             return
-        while self.has("held", vm):
-            await sleep(LOOK_S)
+        while self.has_fault("held", vm):
+            await sleep(POLL_S)
         status, answer = answered
         await source.answer(status=status, body=json.dumps(answer).encode())
 
@@ -124,7 +126,7 @@
         self, vm: str, target: str, body: bytes
     ) -> tuple[int, Any] | None:
         await sleep(ANSWER_S)
-        if self._ends_calls(vm):
+        if self._drops_calls(vm):
             return None
         path, _, query = target.partition("?")
         if path == "/rows-tx":
@@ -138,22 +140,22 @@
         """Wait for a change; False if the call is lost meanwhile."""
         end, looked_at = monotonic() + int(fields["wait_ms"]) / 1000, -1
         while monotonic() < end:
-            if self._ends_calls(vm):
+            if self._drops_calls(vm):
                 return False
-            if looked_at != self.version or int(fields["after"]) < self.oldest:
+            if looked_at != self.version or int(fields["after"]) < self.oldest_version:
                 looked_at = self.version
                 status, found = self._feed(fields)
                 if status != 200 or found["rows"]:
                     return True
-            await sleep(LOOK_S)
+            await sleep(POLL_S)
         return True
 
-    def _ends_calls(self, vm: str) -> bool:
+    def _drops_calls(self, vm: str) -> bool:
         """Tell whether calls that have come get no answer."""
-        return self.has("away", vm) or self.has("resets", vm)
+        return self.has_fault("away", vm) or self.has_fault("resets", vm)
 
     async def _slow_down(self, vm: str) -> None:
-        if self.has("slow", vm):
+        if self.has_fault("slow", vm):
             await sleep(self._random.uniform(*SLOW_S))
 
     async def _refuse(self, source: ServerExchange) -> None:
@@ -163,20 +165,20 @@
         else:
             source.abort()
 
-    async def _cut(self, source: ServerExchange) -> None:
+    async def _lose_answer(self, source: ServerExchange) -> None:
         if self._random.random() < 1 / 2:
             source.abort()
         else:
             await self._lose(source)
 
     async def _lose(self, source: ServerExchange) -> None:
-        await sleep(LOST_S)
+        await sleep(LOST_CALL_S)
         source.abort()
 
     async def wait_until_back(self) -> None:
         """Wait until the operator and upstreams can write."""
-        while any(self.has(kind, "") for kind in KEEP_AWAY):
-            await sleep(LOOK_S)
+        while any(self.has_fault(kind, "") for kind in WRITE_BLOCKING_KINDS):
+            await sleep(POLL_S)
 
     async def write(self, table: str, key: str, make: Callable[[], Any]) -> float:
         """Write a row for the operator or an upstream, as often as needed.
@@ -199,9 +201,9 @@
             document = make()
             if document is not None:
                 self.put(table, key, document)
-            elif (table, key) in self.rows_by_place:
-                self.drop(table, key)
+            elif (table, key) in self.rows_by_key:
+                self.remove(table, key)
             await self._slow_down("")
-            if self.has("loses", "") and self._random.random() < 1 / 2:
+            if self.has_fault("loses", "") and self._random.random() < 1 / 2:
                 continue
             return monotonic()
--- a/tests/fleet/soak/suspendable.py
+++ b/tests/fleet/soak/suspendable.py
@@ -19,7 +19,7 @@
 DAEMON = "plankspindle_platform"
 
 
-def stand_still() -> None:
+def exclude_suspended_time() -> None:
     """Take the time for which the machine was suspended off the steady clock."""
     with open(os.environ[SUSPENDED], "r+b") as file:
         suspended = mmap.mmap(file.fileno(), SECONDS.size)
@@ -33,5 +33,5 @@
 
 
 if __name__ == "__main__":
-    stand_still()
+    exclude_suspended_time()
     runpy.run_module(DAEMON, run_name="__main__", alter_sys=True)
--- a/tests/fleet/soak/upstreams.py
+++ b/tests/fleet/soak/upstreams.py
@@ -26,7 +26,7 @@
 from soak.layout import SLOTS
 from soak.layout import ZONES
 from soak.layout import Layout
-from soak.store import SoakStore
+from soak.soak_store import SoakStore
 
 if TYPE_CHECKING:
     from plankspindle_core.http.headers import HeaderList
@@ -39,20 +39,20 @@
 INSTANCE = b"x-plankspindle-instance-id"
 SHORT_S = (0.002, 0.03)
 LONG_S = (0.3, 0.9)
-LONG_PART = 0.1
-CUT_PART = 0.01
-TABLE = "servers"
+LONG_SHARE = 0.1
+ABORTED_SHARE = 0.01
+SERVER_TABLE = "servers"
 LIMIT = b"server-limit"
 LEAVING = b"server-leaving"
 RETRY_AFTER = b"retry-after"
-LEFT_OUT_PART = 0.05
+OMITTED_LIMIT_SHARE = 0.05
 """Part of the answers that leave the limit out, as answers to failed requests may."""
-CRASHING = "crashing-"
+CRASHING_PATH_PREFIX = "crashing-"
 """Begins the last part of the path of a request under which upstreams crash."""
 CRASH_AFTER_S = (0.02, 0.15)
 DOWN_S = (1.0, 4.0)
 """Time after which an upstream that crashed is back under another id, in seconds."""
-SILENT_BEATS = 3
+MISSED_HEARTBEATS = 3
 """Heartbeats that are missing when an entry goes."""
 
 
@@ -72,14 +72,14 @@
         When the store acknowledged that it leaves or is gone, monotonic seconds.
     crashed_at : float
         When it ended under a request, monotonic seconds.
-    limit_per_s, rest_s : float, optional
+    limit_per_s, retry_after_s : float, optional
         Limit that it names, in requests a second, and rest that it asks for as it turns
         requests away, in seconds.
-    is_saying_so : bool
+    announces_leaving : bool
         Whether it says in answers that it leaves.
-    misspoken : tuple of (bytes, bytes), optional
+    malformed_statement : tuple of (bytes, bytes), optional
         A statement in its answers that cannot be read.
-    withheld : list of Span
+    withheld_spans : list of Span
         When it said something that keeps requests away.
     """
 
@@ -95,10 +95,10 @@
     crashed_at: float = inf
     sequence: int = 0
     limit_per_s: float | None = None
-    rest_s: float | None = None
-    is_saying_so: bool = False
-    misspoken: tuple[bytes, bytes] | None = None
-    withheld: list[Span] = Factory(list)
+    retry_after_s: float | None = None
+    announces_leaving: bool = False
+    malformed_statement: tuple[bytes, bytes] | None = None
+    withheld_spans: list[Span] = Factory(list)
 
     @property
     def has_crashed(self) -> bool:
@@ -113,17 +113,19 @@
 
     def is_withheld(self, begin: float, end: float) -> bool:
         """Tell whether it kept requests away between two moments."""
-        return any(each.begin <= end and begin <= each.end for each in self.withheld)
+        return any(
+            each.begin <= end and begin <= each.end for each in self.withheld_spans
+        )
 
     def statements(self, *, names_limit: bool = True) -> HeaderList:
         """Give what its answers say of it; some leave the limit out."""
         said: HeaderList = []
         if self.limit_per_s is not None and names_limit:
             said.append((LIMIT, str(self.limit_per_s).encode()))
-        if self.is_saying_so or self.is_draining:
+        if self.announces_leaving or self.is_draining:
             said.append((LEAVING, b"1"))
-        if self.misspoken is not None:
-            said.append(self.misspoken)
+        if self.malformed_statement is not None:
+            said.append(self.malformed_statement)
         return said
 
     def row(self) -> dict[str, Any] | None:
@@ -161,9 +163,9 @@
         Upstreams of the service that left longer ago than the bound and still serve.
     others_vanished : int
         Those of them that vanished in an outage of the store.
-    is_cut : bool
+    is_aborted : bool
         Whether its answer is lost by the upstream.
-    keeps_key : bool
+    hides_key : bool
         Whether it told its caller's workspace and nothing of the key.
     """
 
@@ -171,8 +173,8 @@
     arrived_at: float
     others_left: int = 0
     others_vanished: int = 0
-    is_cut: bool = False
-    keeps_key: bool = True
+    is_aborted: bool = False
+    hides_key: bool = True
 
 
 @define(kw_only=True)
@@ -187,7 +189,7 @@
         Its id.
     arrived_at, answered_at : float
         Monotonic seconds.
-    limit_per_s, rest_s : float, optional
+    limit_per_s, retry_after_s : float, optional
         Limit of that moment, in requests a second, and rest asked for, in seconds.
     names_limit : bool
         Whether the answer names the limit.
@@ -201,21 +203,21 @@
     answered_at: float = inf
     limit_per_s: float | None = None
     names_limit: bool = True
-    rest_s: float | None = None
+    retry_after_s: float | None = None
     is_leaving: bool = False
 
-    def note_answer(self, now: float) -> None:
+    def record_answer(self, now: float) -> None:
         """Note what the upstream says of itself as it answers.
 
         What is said twice, once so that it cannot be read, counts as not said.
         """
-        spoilt = self.at.misspoken[0] if self.at.misspoken else None
+        spoilt = self.at.malformed_statement[0] if self.at.malformed_statement else None
         self.answered_at = now
         self.limit_per_s = self.at.limit_per_s
         self.names_limit = self.names_limit and spoilt != LIMIT
-        is_leaving = self.at.is_saying_so or self.at.is_draining
+        is_leaving = self.at.announces_leaving or self.at.is_draining
         self.is_leaving = is_leaving and spoilt != LEAVING
-        self.rest_s = None if spoilt == RETRY_AFTER else self.at.rest_s
+        self.retry_after_s = None if spoilt == RETRY_AFTER else self.at.retry_after_s
 
 
 @define(kw_only=True)
@@ -232,7 +234,7 @@
         Source of choices.
     drain_s : float
         Time for which one that leaves must serve on, in seconds.
-    of_each_place : int
+    per_service_and_zone : int
         Upstreams of each service in each zone.
     """
 
@@ -240,36 +242,38 @@
     store: SoakStore
     random: Random
     drain_s: float
-    of_each_place: int
-    lives: list[Upstream] = Factory(list)
+    per_service_and_zone: int
+    current: list[Upstream] = Factory(list)
     runs_by_id: dict[str, list[Run]] = Factory(dict)
     arrivals: list[Arrival] = Factory(list)
     crashed_at_by_path: dict[str, list[float]] = Factory(dict)
     crashed: list[Upstream] = Factory(list)
-    spoken: list[Upstream] = Factory(list)
+    restricted: list[Upstream] = Factory(list)
     _servers: list[HttpServer] = Factory(list)
-    _left_out: Random = Factory(lambda: Random("limits left out"))
+    _omission_random: Random = Factory(lambda: Random("limits left out"))
 
     async def start(self) -> None:
         """Listen and enter all of them."""
         places = [(service, zone) for service in SERVICES for zone in ZONES]
-        places *= self.of_each_place
+        places *= self.per_service_and_zone
         for number, (service, zone) in enumerate(places):
-            self.lives.append(self._make(number, service, zone, life=0))
+            self.current.append(self._make(number, service, zone, incarnation=0))
             self._servers.append(await self._listen(number))
-            await self._enter(self.lives[number])
+            await self._enter(self.current[number])
 
-    def _make(self, number: int, service: str, zone: str, *, life: int) -> Upstream:
+    def _make(
+        self, number: int, service: str, zone: str, *, incarnation: int
+    ) -> Upstream:
         endpoint = self.layout.upstream(number)
-        name = f"i-{number}-{life}"
+        name = f"i-{number}-{incarnation}"
         return Upstream(name=name, service=service, zone=zone, endpoint=endpoint)
 
     async def _enter(self, upstream: Upstream) -> float:
-        return await self.store.write(TABLE, upstream.name, upstream.row)
+        return await self.store.write(SERVER_TABLE, upstream.name, upstream.row)
 
     async def _listen(self, number: int) -> HttpServer:
         async def handle(source: ServerExchange) -> None:
-            await self._handle(self.lives[number], source)
+            await self._handle(self.current[number], source)
 
         server = HttpServer(
             endpoint=self.layout.upstream(number),
@@ -284,22 +288,22 @@
         for server in self._servers:
             await server.close()
 
-    async def beat(self) -> None:
+    async def send_heartbeats(self) -> None:
         """Write the entries again and again."""
         while True:
-            for number in range(len(self.lives)):
-                await sleep(HEARTBEAT_S / len(self.lives))
-                upstream = self.lives[number]
+            for number in range(len(self.current)):
+                await sleep(HEARTBEAT_S / len(self.current))
+                upstream = self.current[number]
                 is_silent = upstream.is_lapsed or upstream.has_crashed
                 if upstream.is_listed and not is_silent:
                     await self._enter(upstream)
 
-    async def leave(self, number: int, *, says_so: bool) -> None:
+    async def leave(self, number: int, *, is_announced: bool) -> None:
         """Let an upstream leave, and another life of it come at its address."""
-        upstream = self.lives[number]
+        upstream = self.current[number]
         if not upstream.is_staying:
             return
-        if says_so:
+        if is_announced:
             upstream.is_draining = True
             upstream.left_at = await self._enter(upstream)
             await sleep(self.drain_s + LINGER_S)
@@ -308,34 +312,34 @@
         upstream.left_at = min(upstream.left_at, gone_at)
         await self.replace(number)
 
-    async def leave_unlisted(self, number: int) -> None:
+    async def leave_by_header(self, number: int) -> None:
         """Let an upstream say only in answers that it leaves, then let it go."""
-        upstream = self.lives[number]
-        if not upstream.is_staying or upstream.is_saying_so:
+        upstream = self.current[number]
+        if not upstream.is_staying or upstream.announces_leaving:
             return
-        upstream.is_saying_so = True
-        self.note_withheld(upstream)
+        upstream.announces_leaving = True
+        self.begin_withholding(upstream)
         await sleep(self.drain_s + LINGER_S)
-        if self.lives[number] is upstream and upstream.is_staying:
-            await self.leave(number, says_so=False)
+        if self.current[number] is upstream and upstream.is_staying:
+            await self.leave(number, is_announced=False)
 
-    def note_withheld(self, upstream: Upstream) -> Span:
+    def begin_withholding(self, upstream: Upstream) -> Span:
         """Note that an upstream keeps requests away by what it says from now on."""
         span = Span(begin=monotonic())
-        upstream.withheld.append(span)
-        self.spoken.append(upstream)
+        upstream.withheld_spans.append(span)
+        self.restricted.append(upstream)
         return span
 
-    def drop(self, number: int, *, is_gone: bool) -> None:
+    def remove_entry(self, number: int, *, is_gone: bool) -> None:
         """Drop an entry while the store is away, of one that lives on or is gone."""
-        upstream = self.lives[number]
+        upstream = self.current[number]
         upstream.is_listed, upstream.is_lapsed = not is_gone, not is_gone
         if is_gone:
             upstream.left_at, upstream.has_vanished = monotonic(), True
-        if (TABLE, upstream.name) in self.store.rows_by_place:
-            self.store.drop(TABLE, upstream.name)
+        if (SERVER_TABLE, upstream.name) in self.store.rows_by_key:
+            self.store.remove(SERVER_TABLE, upstream.name)
 
-    async def come_back(self, upstream: Upstream) -> None:
+    async def relist(self, upstream: Upstream) -> None:
         """Enter one again whose entry has lapsed, unless it crashed meanwhile."""
         upstream.is_lapsed = False
         if not upstream.has_crashed:
@@ -345,22 +349,22 @@
         """Let one that is gone serve on for a while, and another life of it come."""
         await sleep(self.drain_s + LINGER_S)
         await self._servers[number].close(drain_s=1.0)
-        await self._begin_life(number)
+        await self._start_incarnation(number)
 
-    async def _begin_life(self, number: int) -> None:
+    async def _start_incarnation(self, number: int) -> None:
         """Start the next life of an upstream at its address."""
-        upstream = self.lives[number]
+        upstream = self.current[number]
         life = int(upstream.name.rpartition("-")[2]) + 1
-        self.lives[number] = self._make(
-            number, upstream.service, upstream.zone, life=life
+        self.current[number] = self._make(
+            number, upstream.service, upstream.zone, incarnation=life
         )
         self._servers[number] = await self._listen(number)
-        await self._enter(self.lives[number])
+        await self._enter(self.current[number])
 
     async def _crash(self, upstream: Upstream, path: str) -> None:
         """End an upstream without a word, and all that runs there with it."""
         number = next(
-            (n for n, each in enumerate(self.lives) if each is upstream), None
+            (n for n, each in enumerate(self.current) if each is upstream), None
         )
         if number is None or upstream.has_crashed:
             return
@@ -369,15 +373,15 @@
         upstream.crashed_at = monotonic()
         self.crashed.append(upstream)
         await self._servers[number].close()
-        await spawn(self._forget, upstream, daemon=True)
+        await spawn(self._expire_entry, upstream, daemon=True)
         # What leaves or has vanished is replaced in any case.
         if upstream.is_listed and not upstream.is_draining:
             await sleep(self.random.uniform(*DOWN_S))
-            await self._begin_life(number)
+            await self._start_incarnation(number)
 
-    async def _forget(self, upstream: Upstream) -> None:
+    async def _expire_entry(self, upstream: Upstream) -> None:
         """Drop the entry of one that crashed, after some heartbeats of silence."""
-        await sleep(SILENT_BEATS * HEARTBEAT_S)
+        await sleep(MISSED_HEARTBEATS * HEARTBEAT_S)
         if upstream.is_listed and not upstream.is_lapsed:
             upstream.is_listed = False
             await self._enter(upstream)
@@ -398,15 +402,15 @@
             at=upstream,
             request=request.decode(),
             arrived_at=arrived_at,
-            names_limit=self._left_out.random() >= LEFT_OUT_PART,
+            names_limit=self._omission_random.random() >= OMITTED_LIMIT_SHARE,
         )
         self.arrivals.append(arrival)
-        if upstream.rest_s is not None:
-            await self._turn_away(upstream, arrival, source, own)
+        if upstream.retry_after_s is not None:
+            await self._reject(upstream, arrival, source, own)
             return
         left = [
             each
-            for each in self.lives
+            for each in self.current
             if each.left_at < arrived_at - self.drain_s
             and each.service == upstream.service
         ]
@@ -415,28 +419,28 @@
             arrived_at=arrived_at,
             others_left=len(left),
             others_vanished=sum(each.has_vanished for each in left),
-            is_cut=self.random.random() < CUT_PART,
-            keeps_key=_keeps_key(source.headers),
+            is_aborted=self.random.random() < ABORTED_SHARE,
+            hides_key=_hides_key(source.headers),
         )
         self.runs_by_id.setdefault(request.decode(), []).append(run)
-        if CRASHING in source.target:
+        if CRASHING_PATH_PREFIX in source.target:
             await sleep(self.random.uniform(*CRASH_AFTER_S))
             # Not by this task, which ends with its upstream.
             await spawn(self._crash, upstream, source.target, daemon=True)
             await sleep(inf)
-        is_long = self.random.random() < LONG_PART
+        is_long = self.random.random() < LONG_SHARE
         await sleep(self.random.uniform(*(LONG_S if is_long else SHORT_S)))
-        if run.is_cut:
+        if run.is_aborted:
             source.abort()
             return
         signed = (b"x-plankspindle-response-signature", upstream.name.encode())
         said = upstream.statements(names_limit=arrival.names_limit)
-        arrival.note_answer(monotonic())
-        arrival.rest_s = None
+        arrival.record_answer(monotonic())
+        arrival.retry_after_s = None
         headers = [*own, signed, *said]
         await source.answer(status=200, headers=headers, body=b"done")
 
-    async def _turn_away(
+    async def _reject(
         self,
         upstream: Upstream,
         arrival: Arrival,
@@ -445,12 +449,15 @@
     ) -> None:
         """Answer that a request was not run, and ask for rest."""
         said = upstream.statements(names_limit=arrival.names_limit)
-        arrival.note_answer(monotonic())
-        rest = [(DIALECT.not_run, b"1"), (RETRY_AFTER, str(upstream.rest_s).encode())]
+        arrival.record_answer(monotonic())
+        rest = [
+            (DIALECT.not_run, b"1"),
+            (RETRY_AFTER, str(upstream.retry_after_s).encode()),
+        ]
         headers = [*own, *rest, *said]
         await source.answer(status=503, headers=headers)
 
 
-def _keeps_key(headers: HeaderList) -> bool:
+def _hides_key(headers: HeaderList) -> bool:
     told = [value for name, value in headers if name == DIALECT.workspace]
     return told == [WORKSPACE.encode()] and not find_header(headers, CREDENTIALS[0])
--- a/tests/fleet/store_stand_in.py
+++ b/tests/fleet/store_stand_in.py
@@ -16,7 +16,7 @@
 from plankspindle_core.http.limits import HttpLimits
 from plankspindle_core.http.server import HttpServer
 from plankspindle_core.steady_clock import monotonic
-from plankspindle_testkit.loopback_network import host_of_run
+from plankspindle_testkit.loopback_network import loopback_host
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable
@@ -24,9 +24,9 @@
 
     from plankspindle_core.http.server_exchange import ServerExchange
 
-STEP_S = 0.02
+POLL_S = 0.02
 _PORTS = count(18_400)
-SERVER = {
+SERVER_DOCUMENT = {
     "address": "10.6.0.1:8080",
     "info": {"service": "desk", "config_version": "v1", "zone": "zone-b", "slots": 9},
     "status": {"state": "ready", "sequence": 4, "cold_remaining": "1500ms"},
@@ -38,85 +38,85 @@
 
     Attributes
     ----------
-    waits_ms : list of int
+    requested_waits_ms : list of int
         Waits that callers of the feed asked for.
-    waits : bool
+    honours_waits : bool
         Whether the feed waits for a change as it is asked to.
-    turns_writes_away : bool
+    rejects_writes : bool
         Whether transactions get 429.
-    is_away : bool
+    is_unresponsive : bool
         Whether calls that come or wait get no answer, then or later; their connections
         stay open.
     """
 
     def __init__(self) -> None:
-        self.rows_by_place: dict[tuple[str, str], tuple[int, str]] = {}
-        self.dropped_by_place: dict[tuple[str, str], int] = {}
+        self.rows_by_key: dict[tuple[str, str], tuple[int, str]] = {}
+        self.removed_version_by_key: dict[tuple[str, str], int] = {}
         self.version = 0
-        self.oldest = 0
-        self.page = 500
-        self.waits_ms: list[int] = []
-        self.waits = False
-        self.loses_answers = False
-        self.is_silent = False
-        self.is_away = False
-        self.turns_writes_away = False
-        self._silent: set[Any] = set()
+        self.oldest_version = 0
+        self.page_rows = 500
+        self.requested_waits_ms: list[int] = []
+        self.honours_waits = False
+        self.drops_answers = False
+        self.delays_answers = False
+        self.is_unresponsive = False
+        self.rejects_writes = False
+        self._silenced: set[Any] = set()
         self._connections: set[Any] = set()
-        self.changes_before_writes: str | None = None
+        self.vm_replaced_before_write: str | None = None
 
     async def handle(self, source: ServerExchange) -> None:
         body = await source.read_body(max_bytes=1_000_000) or b""
         path, _, query = source.target.partition("?")
         connection = source._socket
         self._connections.add(connection)
-        lost = self.is_away or connection in self._silent
-        if self.is_silent:
+        lost = self.is_unresponsive or connection in self._silenced
+        if self.delays_answers:
             await curio.sleep(1.0)
         if path == "/rows-tx":
             status, answer = self._transact(json.loads(body))
         else:
             fields = {key: each[0] for key, each in parse_qs(query).items()}
             status, answer = await self._read(path, fields)
-        if self.is_away or lost or connection in self._silent:
+        if self.is_unresponsive or lost or connection in self._silenced:
             await curio.Event().wait()
-        if self.loses_answers:
+        if self.drops_answers:
             source.abort()
             return
         await source.answer(status=status, body=json.dumps(answer).encode())
 
     def silence_connections(self) -> None:
         """Answer nothing more on the connections that there are; new ones work."""
-        self._silent |= self._connections
+        self._silenced |= self._connections
 
     def _transact(self, change: dict[str, Any]) -> tuple[int, Any]:
-        if self.turns_writes_away:
+        if self.rejects_writes:
             return 429, {"error": "too many"}
-        if self.changes_before_writes is not None:
-            self.put("plankspindle-vms", self.changes_before_writes, {"nonce": "new"})
-        for wanted in change["expected_revision"]:
-            found = self.rows_by_place.get(
-                (wanted["table"], wanted["tls_key"]), (0, "")
+        if self.vm_replaced_before_write is not None:
+            self.put(
+                "plankspindle-vms", self.vm_replaced_before_write, {"nonce": "new"}
             )
+        for wanted in change["expected_revision"]:
+            found = self.rows_by_key.get((wanted["table"], wanted["tls_key"]), (0, ""))
             if found[0] != wanted["schema_version"]:
                 row = {"tls_key": wanted["tls_key"], "schema_version": found[0]}
                 return 412, {"rows": [row]}
         self.version += 1
         for put in change["puts"]:
             place = (put["table"], put["tls_key"])
-            self.rows_by_place[place] = (self.version, put["value"])
+            self.rows_by_key[place] = (self.version, put["value"])
         for drop in change["remove"]:
-            self.rows_by_place.pop((drop["table"], drop["tls_key"]), None)
+            self.rows_by_key.pop((drop["table"], drop["tls_key"]), None)
         return 200, {"schema_version": self.version}
 
     async def _read(self, path: str, fields: dict[str, str]) -> tuple[int, Any]:
         if path == "/rows-feed":
             await self._wait(fields)
             return self._feed(fields)
-        limit = min(int(fields["limit"]), self.page)
+        limit = min(int(fields["limit"]), self.page_rows)
         rows = [
             {"tls_key": key, "schema_version": version, "value": value}
-            for (table, key), (version, value) in sorted(self.rows_by_place.items())
+            for (table, key), (version, value) in sorted(self.rows_by_key.items())
             if table == fields["table"]
             and key >= fields.get("from", "")
             and ("target_version" not in fields or key < fields["target_version"])
@@ -127,44 +127,44 @@
 
     async def _wait(self, fields: dict[str, str]) -> None:
         """Wait for a change of a table, as long as the caller wants."""
-        self.waits_ms.append(int(fields["wait_ms"]))
-        wait_s = int(fields["wait_ms"]) / 1000 if self.waits else 0.0
+        self.requested_waits_ms.append(int(fields["wait_ms"]))
+        wait_s = int(fields["wait_ms"]) / 1000 if self.honours_waits else 0.0
         end = monotonic() + wait_s
         while monotonic() < end and not self._feed(fields)[1].get("rows"):
-            if self.is_away:
+            if self.is_unresponsive:
                 await curio.Event().wait()
-            await curio.sleep(STEP_S)
+            await curio.sleep(POLL_S)
 
     def _feed(self, fields: dict[str, str]) -> tuple[int, Any]:
         after = int(fields["after"])
-        if after < self.oldest:
+        if after < self.oldest_version:
             return 410, {"error": "gone"}
         rows = [
             {"tls_key": key, "schema_version": version, "value": value}
-            for (table, key), (version, value) in sorted(self.rows_by_place.items())
+            for (table, key), (version, value) in sorted(self.rows_by_key.items())
             if table == fields["table"] and version > after
         ]
         rows += [
             {"tls_key": key, "schema_version": version, "tombstone": True}
-            for (table, key), version in self.dropped_by_place.items()
+            for (table, key), version in self.removed_version_by_key.items()
             if table == fields["table"] and version > after
         ]
         return 200, {"rows": rows, "schema_version": self.version}
 
-    def drop(self, table: str, key: str) -> None:
+    def remove(self, table: str, key: str) -> None:
         self.version += 1
-        del self.rows_by_place[table, key]
-        self.dropped_by_place[table, key] = self.version
+        del self.rows_by_key[table, key]
+        self.removed_version_by_key[table, key] = self.version
 
     def put(self, table: str, key: str, document: Any) -> None:
         self.version += 1
         value = wire_row(build_row(key, self.version, document))["value"]
-        self.dropped_by_place.pop((table, key), None)
-        self.rows_by_place[table, key] = (self.version, value)
+        self.removed_version_by_key.pop((table, key), None)
+        self.rows_by_key[table, key] = (self.version, value)
 
 
-def run_with_store(use: Callable[[StoreStandIn, Endpoint], Awaitable[Any]]) -> Any:
-    endpoint = Endpoint(host_of_run(7, 1), next(_PORTS))
+def run_with_store(scenario: Callable[[StoreStandIn, Endpoint], Awaitable[Any]]) -> Any:
+    endpoint = Endpoint(loopback_host(7, 1), next(_PORTS))
     store = StoreStandIn()
 
     async def run() -> Any:
@@ -173,7 +173,7 @@
         )
         await server.start()
         try:
-            return await use(store, endpoint)
+            return await scenario(store, endpoint)
         finally:
             await server.close()
 
--- a/tests/fleet/test_after_outage.py
+++ b/tests/fleet/test_after_outage.py
@@ -24,8 +24,8 @@
 from builders import build_operator_document
 from builders import build_path
 from fleet_vm import build_vm
-from fleet_vm import until
-from store_stand_in import SERVER
+from fleet_vm import wait_until
+from store_stand_in import SERVER_DOCUMENT
 from store_stand_in import StoreStandIn
 from store_stand_in import run_with_store
 
@@ -55,15 +55,15 @@
     """Run a VM that knows some upstreams and waits for changes, and then a test."""
 
     async def with_vm(store: StoreStandIn, endpoint: Endpoint) -> Any:
-        store.waits = True
+        store.honours_waits = True
         store.put("op", "config", build_operator_document())
         for name in names:
-            store.put("servers", name, SERVER)
+            store.put("servers", name, SERVER_DOCUMENT)
         vm = build_vm(0, endpoint, build_boot(monkeypatch))
         await vm.start()
         try:
-            await until(lambda: vm.routes() == 1 and vm.upstreams() == names)
-            await until(lambda: len(store.waits_ms) >= 2)
+            await wait_until(lambda: vm.routes() == 1 and vm.upstreams() == names)
+            await wait_until(lambda: len(store.requested_waits_ms) >= 2)
             return await use(store, vm)
         finally:
             await vm.close()
@@ -81,12 +81,12 @@
     """Let a VM wait for changes, lose that wait, and make a change afterwards."""
 
     async def use(store: StoreStandIn, vm: FleetVm) -> float:
-        store.is_away = True
+        store.is_unresponsive = True
         await curio.sleep(away_s)
-        store.is_away = False
+        store.is_unresponsive = False
         back_at = monotonic()
         change(store)
-        await until(lambda: holds(vm))
+        await wait_until(lambda: holds(vm))
         return monotonic() - back_at
 
     return run_vm(monkeypatch, frozenset({"i-1"}), use)
@@ -101,7 +101,7 @@
 
 
 def add_upstream(store: StoreStandIn) -> None:
-    store.put("servers", "i-2", SERVER)
+    store.put("servers", "i-2", SERVER_DOCUMENT)
 
 
 @pytest.mark.parametrize("away_s", [AWAY_S, 5.0])
@@ -147,8 +147,8 @@
         store.silence_connections()
         fell_silent_at = monotonic()
         for name in ("i-0", "i-1"):
-            store.drop("servers", name)
-        await until(lambda: vm.upstreams() == {"i-2", "i-3"})
+            store.remove("servers", name)
+        await wait_until(lambda: vm.upstreams() == {"i-2", "i-3"})
         return monotonic() - fell_silent_at
 
     assert run_vm(monkeypatch, NAMES, use) < CONTACT_S
@@ -160,10 +160,10 @@
     """A wait that is given up inside an outage is not followed by another one."""
 
     async def use(store: StoreStandIn, vm: FleetVm) -> list[int]:
-        store.is_away = True
-        asked = len(store.waits_ms)
+        store.is_unresponsive = True
+        asked = len(store.requested_waits_ms)
         await curio.sleep(CONTACT_S)
-        return store.waits_ms[asked:]
+        return store.requested_waits_ms[asked:]
 
     waited = run_vm(monkeypatch, frozenset(), use)
     assert waited
@@ -194,15 +194,15 @@
             await curio.sleep(0.02)
 
     async def use(store: StoreStandIn, vm: FleetVm) -> None:
-        store.is_away = True
+        store.is_unresponsive = True
         await look(vm, away_s / 2)
         for name in NAMES:
-            store.drop("servers", name)
+            store.remove("servers", name)
         await look(vm, away_s / 2)
-        store.is_away = False
+        store.is_unresponsive = False
         await look(vm, RETURN_S)
         for name in NAMES:
-            store.put("servers", name, SERVER)
+            store.put("servers", name, SERVER_DOCUMENT)
         await look(vm, CONTACT_S)
 
     run_vm(monkeypatch, NAMES, use)
@@ -220,9 +220,9 @@
         await until_asked_again(store)
         store.silence_connections()
         fell_silent_at = monotonic()
-        vm.platform.entries._due = fell_silent_at + 0.5
+        vm.platform.entry_vms._read_due_at = fell_silent_at + 0.5
         add_upstream(store)
-        await until(lambda: vm.upstreams() == {"i-1", "i-2"})
+        await wait_until(lambda: vm.upstreams() == {"i-1", "i-2"})
         return monotonic() - fell_silent_at
 
     assert run_vm(monkeypatch, frozenset({"i-1"}), use) < CONTACT_S
@@ -230,8 +230,8 @@
 
 async def until_asked_again(store: StoreStandIn) -> None:
     """Wait until a VM has just begun to wait for changes of list and configuration."""
-    asked = len(store.waits_ms)
-    while len(store.waits_ms) < asked + 2:
+    asked = len(store.requested_waits_ms)
+    while len(store.requested_waits_ms) < asked + 2:
         await curio.sleep(0.01)
 
 
@@ -248,15 +248,15 @@
             await curio.sleep(0.1)
 
     async def use(store: StoreStandIn, vm: FleetVm) -> float:
-        store.turns_writes_away = True
+        store.rejects_writes = True
         writer = await curio.spawn(write, vm, daemon=True)
         await curio.sleep(0.5)
         try:
             store.silence_connections()
             fell_silent_at = monotonic()
             for name in ("i-0", "i-1"):
-                store.drop("servers", name)
-            await until(lambda: vm.upstreams() == {"i-2", "i-3"})
+                store.remove("servers", name)
+            await wait_until(lambda: vm.upstreams() == {"i-2", "i-3"})
             return monotonic() - fell_silent_at
         finally:
             await writer.cancel()
--- a/tests/fleet/test_boot_settings.py
+++ b/tests/fleet/test_boot_settings.py
@@ -11,16 +11,16 @@
 from builders import build_boot
 
 from plankspindle_core.endpoint import Endpoint
-from plankspindle_daemon.platform.read_watch import RETRY_S
+from plankspindle_daemon.platform.read_failure_log import RETRY_PAUSE_S
 from plankspindle_daemon.sharing.shared_reads import MAX_RANK_DELAY_PERIODS
 from plankspindle_daemon.sharing.shared_reads import MIN_CHECK_DELAY_S
 from plankspindle_daemon.sharing.shared_reads import STALE_AFTER_PERIODS
 from plankspindle_daemon.sharing.shared_reads import STALE_MARGIN_S
-from plankspindle_platform.boot_settings import UNBOUNDED_WATCH_MS
+from plankspindle_platform.boot_settings import DEFAULT_LONG_POLL_MS
 from plankspindle_platform.boot_settings import read_daemon_settings
 from plankspindle_platform.store_platform import MAX_OPEN_S
-from plankspindle_platform.times import milliseconds
-from plankspindle_platform.times import seconds
+from plankspindle_platform.times import parse_milliseconds
+from plankspindle_platform.times import parse_seconds
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -67,10 +67,10 @@
 
 
 def test_times_have_units() -> None:
-    assert seconds("2.5s") == 2.5
-    assert milliseconds("1500ms") == 1500
+    assert parse_seconds("2.5s") == 2.5
+    assert parse_milliseconds("1500ms") == 1500
     with pytest.raises(ValueError, match="not a time"):
-        seconds("15")
+        parse_seconds("15")
 
 
 @pytest.mark.parametrize("contact", ["2500ms", "3000ms", "4000ms", "6s"])
@@ -83,8 +83,10 @@
     timing = build_boot(monkeypatch, path).daemon.timing
     given_up_ms = timing.watch_ms + timing.platform_timeout_ms
     trial_lost_ms = timing.platform_timeout_ms + 1_000 * MAX_OPEN_S
-    asked_again_ms = max(given_up_ms, trial_lost_ms) + 1_000 * MOST_PAUSE * RETRY_S
-    assert asked_again_ms + READ_MS <= milliseconds(contact)
+    asked_again_ms = (
+        max(given_up_ms, trial_lost_ms) + 1_000 * MOST_PAUSE * RETRY_PAUSE_S
+    )
+    assert asked_again_ms + READ_MS <= parse_milliseconds(contact)
 
 
 def test_a_reader_that_falls_silent_is_replaced_before_the_bounds_apply(
@@ -96,7 +98,7 @@
     replaced_ms = (STALE_AFTER_PERIODS + MAX_RANK_DELAY_PERIODS) * period_ms
     replaced_ms += 1000 * (STALE_MARGIN_S + 1.2 * MIN_CHECK_DELAY_S)
     for name in ("drain", "config_apply", "evacuate"):
-        assert 0 < replaced_ms < 0.8 * milliseconds(bounds[name])
+        assert 0 < replaced_ms < 0.8 * parse_milliseconds(bounds[name])
 
 
 def test_without_bounds_on_changes_every_vm_reads_for_itself(
@@ -115,7 +117,7 @@
 ) -> None:
     path = tmp_path / "boot.yaml"
     path.write_text(BOOT.read_text().replace("contact:", "of_another_matter:"))
-    assert build_boot(monkeypatch, path).daemon.timing.watch_ms == UNBOUNDED_WATCH_MS
+    assert build_boot(monkeypatch, path).daemon.timing.watch_ms == DEFAULT_LONG_POLL_MS
 
 
 def test_what_is_gone_is_left_when_the_bounds_hold_again(
--- a/tests/fleet/test_crashers.py
+++ b/tests/fleet/test_crashers.py
@@ -7,13 +7,13 @@
 
 import pytest
 from soak.checks import Checks
-from soak.crashers import Crashers
-from soak.crashers import Try
+from soak.crashing_requests import Attempt
+from soak.crashing_requests import CrashingRequests
 from soak.history import Disturbances
 from soak.history import History
 from soak.layout import Bounds
 from soak.layout import Layout
-from soak.store import SoakStore
+from soak.soak_store import SoakStore
 from soak.upstreams import Run
 from soak.upstreams import Upstream
 from soak.upstreams import Upstreams
@@ -24,30 +24,30 @@
 DUE = THIRD_AT + Bounds.of_seed(0).contact
 
 
-def build(*, crashes: int = 3) -> Crashers:
+def build(*, crashes: int = 3) -> CrashingRequests:
     layout = Layout(vms=1, first_port=28_700)
     upstreams = Upstreams(
         layout=layout,
         store=SoakStore(Random(1)),
         random=Random(1),
         drain_s=1.0,
-        of_each_place=1,
+        per_service_and_zone=1,
     )
     upstreams.crashed_at_by_path[PATH] = [10.0, 11.0, THIRD_AT, 13.0][:crashes]
     checks = Checks(
         bounds=Bounds.of_seed(0),
         history=History(random=Random(1)),
-        disturbed=Disturbances(contact_s=Bounds.of_seed(0).contact),
+        disturbances=Disturbances(contact_s=Bounds.of_seed(0).contact),
     )
-    return Crashers(
+    return CrashingRequests(
         checks=checks, upstreams=upstreams, front=layout.front, vms=[VM], seed=1
     )
 
 
-def send(crashers: Crashers, at: float, *, runs: bool, **fields: Any) -> None:
-    tries = crashers.tries_by_path.setdefault(PATH, [])
+def send(crashers: CrashingRequests, at: float, *, runs: bool, **fields: Any) -> None:
+    tries = crashers.attempts_by_path.setdefault(PATH, [])
     given = {"request": f"{len(tries)}", "vm": VM, "sent_at": at, "ended_at": at + 0.1}
-    tries.append(Try(**{**given, "status": 502 if runs else 503, **fields}))
+    tries.append(Attempt(**{**given, "status": 502 if runs else 503, **fields}))
     if runs:
         endpoint = crashers.front(VM)
         upstream = Upstream(name="i-0", service="desk", zone="", endpoint=endpoint)
@@ -55,9 +55,9 @@
         crashers.upstreams.runs_by_id[tries[-1].request] = found
 
 
-def broken(crashers: Crashers) -> list[str]:
+def broken(crashers: CrashingRequests) -> list[str]:
     crashers.check()
-    return [each.check for each in crashers.checks.broken]
+    return [each.check for each in crashers.checks.violations]
 
 
 @pytest.mark.parametrize(("times", "found"), [(3, []), (4, ["held back"])])
@@ -81,7 +81,7 @@
 
 def test_a_vm_that_was_disturbed_does_not_count() -> None:
     crashers = build()
-    crashers.checks.disturbed.begin([VM], DUE).end = DUE + 20
+    crashers.checks.disturbances.begin([VM], DUE).end = DUE + 20
     for number in range(9):
         send(crashers, DUE + 1 + number, runs=True)
     assert broken(crashers) == []
--- a/tests/fleet/test_fleet_soak.py
+++ b/tests/fleet/test_fleet_soak.py
@@ -12,28 +12,28 @@
 import curio
 import pytest
 from soak import fleet_soak
-from soak import lapser
-from soak.callers import AFTER
+from soak import lapse_injector
+from soak.callers import SURPLUS_AFTER_ANSWER
 from soak.callers import Caller
 from soak.checks import Checks
-from soak.checks import Told
-from soak.faults import OF_LAPSES
+from soak.checks import ObservedRequest
+from soak.faults import LAPSE_KINDS
 from soak.faults import draw
 from soak.fleet_soak import FleetSoak
-from soak.fleet_soak import Plan
-from soak.fleet_soak import Verdict
+from soak.fleet_soak import SoakPlan
+from soak.fleet_soak import SoakResult
 from soak.history import Disturbances
 from soak.history import Evacuation
 from soak.history import History
 from soak.history import Version
-from soak.lapser import Lapser
-from soak.lapses import Lapse
-from soak.lapses import LapseChecks
+from soak.lapse_checks import Lapse
+from soak.lapse_checks import LapseChecks
+from soak.lapse_injector import LapseInjector
 from soak.layout import ZONES
 from soak.layout import Bounds
 from soak.layout import Layout
-from soak.store import SoakStore
-from soak.upstreams import TABLE
+from soak.soak_store import SoakStore
+from soak.upstreams import SERVER_TABLE
 from soak.upstreams import Run
 from soak.upstreams import Upstream
 from soak.upstreams import Upstreams
@@ -69,20 +69,20 @@
 
 def soak(
     monkeypatch: pytest.MonkeyPatch, schedule: Path, *, seed: int, first_port: int
-) -> Verdict:
+) -> SoakResult:
     """Run a schedule with three real entry VMs."""
     root = Path(__file__).parents[2]
     paths = f"{root / 'platform'}:{root / 'tests/fleet'}"
     monkeypatch.setenv("PYTHONPATH", paths)
     faults = tuple(read_schedule(schedule.read_text()))
-    plan = Plan(seed=seed, vms=3, first_port=first_port, seconds=0.0, faults=faults)
-    verdict: Verdict = curio.run(FleetSoak(plan=plan).run)
+    plan = SoakPlan(seed=seed, vms=3, first_port=first_port, seconds=0.0, faults=faults)
+    verdict: SoakResult = curio.run(FleetSoak(plan=plan).run)
     return verdict
 
 
 def test_a_short_soak_holds(monkeypatch: pytest.MonkeyPatch) -> None:
     verdict = soak(monkeypatch, SHORT, seed=1, first_port=28_300)
-    assert verdict.broken == []
+    assert verdict.violations == []
     counts = verdict.counts
     assert counts["judged for going back"] > 100
     assert counts["judged for lateness"] > 100
@@ -104,7 +104,7 @@
     held back everywhere after the third end, no other upstream ends.
     """
     verdict = soak(monkeypatch, CRASHING, seed=4, first_port=28_500)
-    assert verdict.broken == []
+    assert verdict.violations == []
     assert verdict.counts["judged for crashing requests"] > 10
 
 
@@ -120,7 +120,7 @@
     in a suspension. What proved it: the pauses are logged with the one that does not.
     """
     verdict = soak(monkeypatch, SUSPEND, seed=1, first_port=28_600)
-    assert verdict.broken == []
+    assert verdict.violations == []
     for vm, least_s in (("edge-0", 5.9), ("edge-1", 2.9), ("edge-2", 2.9)):
         log = (verdict.folder / f"{vm}.log").read_text()
         paused_s = [float(each) for each in PAUSED.findall(log)]
@@ -136,7 +136,7 @@
     said it leaves, and ones that had asked for rest, went on getting requests.
     """
     verdict = soak(monkeypatch, STATEMENTS, seed=4, first_port=28_700)
-    assert verdict.broken == []
+    assert verdict.violations == []
     assert verdict.counts["judged for rests"] > 10
 
 
@@ -149,12 +149,12 @@
 def test_versions_of_a_seed_are_the_same_whatever_else_is_drawn() -> None:
     drawn = []
     for others in (0, 3):
-        plan = Plan(seed=1, vms=3, first_port=28_300, seconds=0.0, faults=())
+        plan = SoakPlan(seed=1, vms=3, first_port=28_300, seconds=0.0, faults=())
         soak = FleetSoak(plan=plan)
         for _ in range(11):
             soak.checks.history.draw(0.0)
             for _ in range(others):
-                soak.striker.random.random()
+                soak.fault_injector.random.random()
         drawn.append([v.service_by_prefix for v in soak.checks.history.versions])
     assert drawn[0] == drawn[1]
 
@@ -168,20 +168,20 @@
             Version(service_by_prefix=routes, sent_at=at, acked_at=at)
         )
     disturbed = Disturbances(contact_s=4.0)
-    return Checks(bounds=Bounds.of_seed(0), history=history, disturbed=disturbed)
+    return Checks(bounds=Bounds.of_seed(0), history=history, disturbances=disturbed)
 
 
-def build_told(**fields: Any) -> Told:
+def build_told(**fields: Any) -> ObservedRequest:
     told = {"request": "1", "vm": "edge-0", "prefix": "/m0/", "life": 1, "status": 200}
     told |= {"sent_at": 20.0, "ended_at": 20.1, **fields}
-    return Told(**told)  # type: ignore[arg-type]
+    return ObservedRequest(**told)  # type: ignore[arg-type]
 
 
 def take(checks: Checks, at: Upstream | None, **fields: Any) -> None:
     told = build_told(**fields)
     runs = [] if at is None else [Run(at=at, arrived_at=told.sent_at + 0.01)]
-    checks.take(told, runs)
-    checks.judge()
+    checks.record_request(told, runs)
+    checks.evaluate()
 
 
 def go_back(checks: Checks) -> None:
@@ -204,8 +204,8 @@
 
 def run_twice(checks: Checks) -> None:
     told = build_told(prefix="/m2/")
-    checks.take(told, [Run(at=VAULT, arrived_at=20.0)] * 2)
-    checks.judge()
+    checks.record_request(told, [Run(at=VAULT, arrived_at=20.0)] * 2)
+    checks.evaluate()
 
 
 BREAKS: dict[str, tuple[str, Callable[[Checks], None]]] = {
@@ -243,9 +243,9 @@
     checks = build_checks()
     check, deed = BREAKS[name]
     take(checks, VAULT, sent_at=13.0, ended_at=13.1)
-    assert checks.broken == []
+    assert checks.violations == []
     deed(checks)
-    assert check in {each.check for each in checks.broken}
+    assert check in {each.check for each in checks.violations}
 
 
 @pytest.mark.parametrize(("end", "is_judged"), [(15.9, True), (16.1, False)])
@@ -253,26 +253,26 @@
     end: float, is_judged: bool
 ) -> None:
     checks = build_checks()
-    checks.disturbed.begin(["edge-0"], 12.0).end = end
+    checks.disturbances.begin(["edge-0"], 12.0).end = end
     take(checks, DESK)
-    assert bool(checks.broken) is is_judged
+    assert bool(checks.violations) is is_judged
 
 
 def test_time_that_the_machine_gave_no_processor_counts_for_no_bound() -> None:
     checks = build_checks()
     for second in range(10, 30):
-        checks.disturbed.note_held(float(second), 0.6)
+        checks.disturbances.record_stall(float(second), 0.6)
     take(checks, DESK, sent_at=15.0, ended_at=15.1)
-    assert checks.broken == []
+    assert checks.violations == []
     take(checks, DESK, sent_at=24.0, ended_at=24.1)
-    assert [each.check for each in checks.broken] == ["in force"]
+    assert [each.check for each in checks.violations] == ["in force"]
 
 
 def test_planned_work_is_no_excuse_for_a_lost_answer() -> None:
     checks = build_checks()
-    checks.disturbed.begin(["edge-0"], 18.0, is_planned=True).end = inf
+    checks.disturbances.begin(["edge-0"], 18.0, is_planned=True).end = inf
     take(checks, VAULT, status=None, is_lost=True)
-    assert [each.check for each in checks.broken] == ["answered"]
+    assert [each.check for each in checks.violations] == ["answered"]
 
 
 def check_lapse(
@@ -284,10 +284,10 @@
         at = used[number % len(used)]
         times = {"sent_at": sent_at, "ended_at": sent_at + 0.05}
         take(checks, at, has_key=True, **times, **fields)
-    lapse = Lapse(ended_at=20.0, back_at=[(VAULT, 21.0)])
+    lapse = Lapse(ended_at=20.0, relisted_at=[(VAULT, 21.0)])
     lapses = LapseChecks(checks=checks, lapses=[lapse])
     lapses.check([VAULT, SECOND_VAULT], 40.0)
-    return {each.check for each in checks.broken}
+    return {each.check for each in checks.violations}
 
 
 def test_what_follows_a_lapse_holds() -> None:
@@ -300,7 +300,7 @@
 def test_an_upstream_that_is_not_used_again_after_a_lapse_is_found() -> None:
     checks = build_checks()
     assert check_lapse(checks, used=(SECOND_VAULT,)) == {"used again"}
-    whose = [each.detail.split("requests of ")[1] for each in checks.broken]
+    whose = [each.detail.split("requests of ")[1] for each in checks.violations]
     assert whose == ["edge-0 among 2", "all entry VMs among 2"]
 
 
@@ -330,22 +330,22 @@
         at = (VAULT, SECOND_VAULT)[number % 2]
         times = {"sent_at": sent_at, "ended_at": sent_at + 0.05}
         take(checks, at, has_key=True, status=504, **times)
-    lapse = Lapse(ended_at=20.0, back_at=[(VAULT, 21.0)])
+    lapse = Lapse(ended_at=20.0, relisted_at=[(VAULT, 21.0)])
     lapses = LapseChecks(checks=checks, crashed=[crashed], lapses=[lapse])
     lapses.check([VAULT, SECOND_VAULT], 40.0)
-    assert {each.check.split()[0] for each in checks.broken} == found
+    assert {each.check.split()[0] for each in checks.violations} == found
 
 
 def test_a_refused_request_that_ran_is_found() -> None:
     checks = build_checks()
     told = build_told(status=503)
     runs: list[Run] = []
-    checks.take(told, runs)
+    checks.record_request(told, runs)
     LapseChecks(checks=checks).check([], 30.0)
-    assert checks.broken == []
+    assert checks.violations == []
     runs.append(Run(at=VAULT, arrived_at=22.0))
     LapseChecks(checks=checks).check([], 30.0)
-    assert [each.check for each in checks.broken] == ["not run"]
+    assert [each.check for each in checks.violations] == ["not run"]
 
 
 @pytest.mark.parametrize(("arrived_at", "is_late"), [(23.9, False), (24.1, True)])
@@ -353,7 +353,7 @@
     arrived_at: float, is_late: bool
 ) -> None:
     checks = build_checks()
-    checks.disturbed.begin(["edge-0"], 16.0).end = 20.0
+    checks.disturbances.begin(["edge-0"], 16.0).end = 20.0
     gone = Upstream(
         name="i-9",
         service="vault",
@@ -363,20 +363,20 @@
         has_vanished=True,
     )
     take(checks, gone, sent_at=arrived_at - 0.01)
-    assert [each.check for each in checks.broken] == ["left"] * is_late
+    assert [each.check for each in checks.violations] == ["left"] * is_late
 
 
-@pytest.mark.parametrize("kind", OF_LAPSES)
+@pytest.mark.parametrize("kind", LAPSE_KINDS)
 def test_entries_lapse_while_the_store_is_away_and_come_back(
     kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(lapser, "SHARES", (1.0,))
-    monkeypatch.setattr(lapser, "MOST_VANISH", 0)
-    monkeypatch.setattr(lapser, "BACK_S", 0.2)
+    monkeypatch.setattr(lapse_injector, "SHARES", (1.0,))
+    monkeypatch.setattr(lapse_injector, "MAX_VANISHED", 0)
+    monkeypatch.setattr(lapse_injector, "MAX_RELIST_S", 0.2)
     listed, answered, lapses = curio.run(watch_a_lapse, kind)
     assert (listed[0], min(listed), listed[-1]) == (9, 0, 9)
     assert answered is None
-    assert len(lapses[0].back_at) == 9
+    assert len(lapses[0].relisted_at) == 9
 
 
 async def watch_a_lapse(kind: str) -> tuple[list[int], Any, list[Lapse]]:
@@ -387,37 +387,37 @@
         store=store,
         random=Random(1),
         drain_s=0.1,
-        of_each_place=1,
+        per_service_and_zone=1,
     )
     for number, zone in enumerate(list(ZONES) * 3):
-        upstreams.lives.append(upstreams._make(number, "desk", zone, life=0))
-        await upstreams._enter(upstreams.lives[number])
+        upstreams.current.append(upstreams._make(number, "desk", zone, incarnation=0))
+        await upstreams._enter(upstreams.current[number])
     lapses = LapseChecks(checks=build_checks())
-    striker = Lapser(
+    striker = LapseInjector(
         store=store, upstreams=upstreams, lapses=lapses, vms=["edge-0"], seed=1
     )
-    target = f"/rows-feed?table={TABLE}&after={store.version}&wait_ms=5000"
+    target = f"/rows-feed?table={SERVER_TABLE}&after={store.version}&wait_ms=5000"
     waiting = await curio.spawn(store._answer_for, "edge-0", target, b"")
     await curio.sleep(0.1)
     fault = SoakFault(at=0.0, for_s=0.3, kind=kind)
-    striking = await curio.spawn(striker.strike, fault)
-    beating = await curio.spawn(upstreams.beat)
+    striking = await curio.spawn(striker.inject, fault)
+    beating = await curio.spawn(upstreams.send_heartbeats)
     listed = []
     while not striking.terminated:
-        listed.append(len(store.rows_by_place))
+        listed.append(len(store.rows_by_key))
         await curio.sleep(0.01)
-    listed.append(len(store.rows_by_place))
+    listed.append(len(store.rows_by_key))
     await beating.cancel()
     return listed, await waiting.join(), lapses.lapses
 
 
 def test_an_entry_that_came_back_is_not_told_as_gone() -> None:
     store = SoakStore(Random(1))
-    store.put(TABLE, "i-0", {})
-    store.drop(TABLE, "i-0")
+    store.put(SERVER_TABLE, "i-0", {})
+    store.remove(SERVER_TABLE, "i-0")
     gone_at = store.version
-    store.put(TABLE, "i-0", {})
-    _, fed = store._feed({"after": "0", "table": TABLE})
+    store.put(SERVER_TABLE, "i-0", {})
+    _, fed = store._feed({"after": "0", "table": SERVER_TABLE})
     assert [each.get("tombstone") for each in fed["rows"]] == [None]
     assert fed["schema_version"] == gone_at + 1
 
@@ -432,8 +432,8 @@
     ("answers", "surplus"),
     [
         ([ANSWER], ""),
-        ([ANSWER + ANSWER], AFTER),
-        ([ANSWER, ANSWER], AFTER),
+        ([ANSWER + ANSWER], SURPLUS_AFTER_ANSWER),
+        ([ANSWER, ANSWER], SURPLUS_AFTER_ANSWER),
         ([OTHER], "the answer to 1"),
     ],
 )
@@ -445,7 +445,7 @@
     assert {each.surplus for each in seen} - {""} == ({surplus} if surplus else set())
 
 
-async def call(answers: list[bytes]) -> list[Told]:
+async def call(answers: list[bytes]) -> list[ObservedRequest]:
     """Send two requests to a server that answers each with pieces, a while apart."""
     endpoint = Endpoint("127.0.9.9", 28_410)
 
@@ -462,21 +462,21 @@
     caller = Caller(
         vm="edge-0",
         endpoint=endpoint,
-        life=lambda: 1,
+        incarnation=lambda: 1,
         checks=checks,
         upstreams=Upstreams(
             layout=Layout(vms=1, first_port=28_400),
             store=SoakStore(Random(1)),
             random=Random(1),
             drain_s=0.1,
-            of_each_place=1,
+            per_service_and_zone=1,
         ),
         random=Random(1),
     )
     calling = await curio.spawn(caller.run, daemon=True)
-    while len(checks.told) < 2:
+    while len(checks.requests) < 2:
         await curio.sleep(0.01)
     await calling.cancel()
     await caller._close()
     await server.cancel()
-    return checks.told
+    return checks.requests
--- a/tests/fleet/test_operator_reader.py
+++ b/tests/fleet/test_operator_reader.py
@@ -21,10 +21,10 @@
 from plankspindle_core.configuration.workspace import Workspace
 from plankspindle_daemon.platform.errors import PlatformUnavailable
 from plankspindle_platform.operator_reader import OperatorReader
-from plankspindle_platform.operator_reader import translate
-from plankspindle_platform.row_store import HistoryGone
+from plankspindle_platform.operator_reader import translate_document
+from plankspindle_platform.row_store import HistoryExpired
 from plankspindle_platform.row_store import RowStore
-from plankspindle_testkit.trial.fake_platform import run_to_end
+from plankspindle_testkit.trial.fake_platform import run_to_completion
 
 
 class FakeStore:
@@ -49,14 +49,14 @@
 
 
 def read(reader: OperatorReader, version: int) -> Any:
-    return run_to_end(reader.read_newer(version))
+    return run_to_completion(reader.read_newer(version))
 
 
 def test_a_document_becomes_a_valid_configuration(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     document = build_operator_document()
-    configuration = translate(document, zones=[], boot=build_boot(monkeypatch))
+    configuration = translate_document(document, zones=[], boot=build_boot(monkeypatch))
     assert configuration.problems() == []
     route = configuration.routes_by_name["r1"]
     assert (route.host, route.timeout_ms, route.target_ms) == (
@@ -79,7 +79,7 @@
         build_path(name="r2", path_prefix="/b/", priority=0, type="non_idempotent"),
     ]
     hosts = [{"host": "h", "paths": paths}]
-    configuration = translate(
+    configuration = translate_document(
         build_operator_document(hosts=hosts), zones=[], boot=build_boot(monkeypatch)
     )
     assert configuration.priority_classes == ["priority-0", "priority-2"]
@@ -90,7 +90,7 @@
     split = [{"service": "desk", "weight": 90}, {"service": "vault", "weight": 10}]
     path = build_path(traffic_split=split)
     hosts = [{"host": "h", "paths": [path]}]
-    configuration = translate(
+    configuration = translate_document(
         build_operator_document(hosts=hosts), zones=[], boot=build_boot(monkeypatch)
     )
     parts = configuration.routes_by_name["r1"].parts
@@ -128,7 +128,7 @@
     reader = build_reader(
         monkeypatch,
         Ok(build_rows(build_row("config", 5, document), version=5)),
-        Err(HistoryGone()),
+        Err(HistoryExpired()),
         Ok(build_rows(build_row("config", 30, document), version=31)),
     )
     assert read(reader, 0).unwrap().head.version == 5
@@ -188,7 +188,7 @@
         {"name": "jelo10", "api_keys": []},
     ]
     document = build_operator_document(tenants=tenants)
-    configuration = translate(document, zones=[], boot=boot)
+    configuration = translate_document(document, zones=[], boot=boot)
     assert configuration.problems() == []
     assert configuration.priority_classes == ["priority-0", "priority-2"]
     first = configuration.workspaces_by_name["huka270"]
@@ -204,7 +204,7 @@
 ) -> None:
     tenants = [{"name": name, "api_keys": [KEY]} for name in ("one", "two")]
     document = build_operator_document(tenants=tenants)
-    configuration = translate(document, zones=[], boot=build_boot(monkeypatch))
+    configuration = translate_document(document, zones=[], boot=build_boot(monkeypatch))
     assert configuration.problems() == []
     assert configuration.workspaces_by_name["one"].key_sha256s == []
     assert len(configuration.workspaces_by_name["two"].key_sha256s) == 1
@@ -213,6 +213,6 @@
 def test_only_a_route_that_says_so_is_public(monkeypatch: pytest.MonkeyPatch) -> None:
     paths = [build_path(), build_path(name="r2", path_prefix="/b/", public=True)]
     document = build_operator_document(hosts=[{"host": "h", "paths": paths}])
-    configuration = translate(document, zones=[], boot=build_boot(monkeypatch))
+    configuration = translate_document(document, zones=[], boot=build_boot(monkeypatch))
     assert not configuration.routes_by_name["r1"].public
     assert configuration.routes_by_name["r2"].public
--- a/tests/fleet/test_shared_reads.py
+++ b/tests/fleet/test_shared_reads.py
@@ -11,8 +11,8 @@
 from builders import build_operator_document
 from fleet_vm import FleetVm
 from fleet_vm import build_vm
-from fleet_vm import until
-from store_stand_in import SERVER
+from fleet_vm import wait_until
+from store_stand_in import SERVER_DOCUMENT
 from store_stand_in import StoreStandIn
 from store_stand_in import run_with_store
 
@@ -43,14 +43,16 @@
     timing = {**TIMING, **timing}
 
     async def with_vms(store: StoreStandIn, endpoint: Endpoint) -> Any:
-        store.waits = True
+        store.honours_waits = True
         store.put("op", "config", build_operator_document())
-        store.put("servers", "i-1", SERVER)
+        store.put("servers", "i-1", SERVER_DOCUMENT)
         vms = [build_vm(number, endpoint, boot, **timing) for number in range(VMS)]
         for vm in vms:
             await vm.start()
         try:
-            await until(lambda: roles(vms) == ["reader"] + ["follower"] * (VMS - 1))
+            await wait_until(
+                lambda: roles(vms) == ["reader"] + ["follower"] * (VMS - 1)
+            )
             return await use(store, vms)
         finally:
             for vm in vms:
@@ -68,14 +70,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def use(store: StoreStandIn, vms: list[FleetVm]) -> tuple[int, int]:
-        before = [vm.platform.calls.made_by_kind.copy() for vm in vms]
-        store.put("servers", "i-2", SERVER)
-        await until(lambda: all(vm.upstreams() == {"i-1", "i-2"} for vm in vms))
-        leaving = {**SERVER["status"], "state": "draining"}
-        store.put("servers", "i-1", {**SERVER, "status": leaving})
-        await until(lambda: all(vm.upstreams() == {"i-2"} for vm in vms))
+        before = [vm.platform.calls.calls_by_kind.copy() for vm in vms]
+        store.put("servers", "i-2", SERVER_DOCUMENT)
+        await wait_until(lambda: all(vm.upstreams() == {"i-1", "i-2"} for vm in vms))
+        leaving = {**SERVER_DOCUMENT["status"], "state": "draining"}
+        store.put("servers", "i-1", {**SERVER_DOCUMENT, "status": leaving})
+        await wait_until(lambda: all(vm.upstreams() == {"i-2"} for vm in vms))
         made = [
-            sum(vm.platform.calls.made_by_kind.values()) - sum(was.values())
+            sum(vm.platform.calls.calls_by_kind.values()) - sum(was.values())
             for vm, was in zip(vms, before, strict=True)
         ]
         return made[0], sum(made[1:])
@@ -92,7 +94,7 @@
         more = [{**path, "name": f"n{n}", "path_prefix": f"/{n}/"} for n in range(40)]
         document["hosts"][0]["paths"] += more
         store.put("op", "config", document)
-        await until(lambda: all(vm.routes() == 41 for vm in vms))
+        await wait_until(lambda: all(vm.routes() == 41 for vm in vms))
         return True
 
     assert run_fleet(monkeypatch, use)
@@ -105,9 +107,9 @@
         first, *others = vms
         await first.close()
         first.tasks.clear()
-        store.put("servers", "i-2", SERVER)
-        await until(lambda: all(vm.upstreams() == {"i-1", "i-2"} for vm in others))
-        await until(lambda: roles(others).count("reader") == 1)
+        store.put("servers", "i-2", SERVER_DOCUMENT)
+        await wait_until(lambda: all(vm.upstreams() == {"i-1", "i-2"} for vm in others))
+        await wait_until(lambda: roles(others).count("reader") == 1)
         return roles(others)
 
     assert run_fleet(monkeypatch, use)[0] == "reader"
@@ -124,8 +126,8 @@
 
         await cut_off.peers.close()
         await cut_off.peers.start(lose)
-        store.put("servers", "i-2", SERVER)
-        await until(lambda: all(vm.upstreams() == {"i-1", "i-2"} for vm in vms))
+        store.put("servers", "i-2", SERVER_DOCUMENT)
+        await wait_until(lambda: all(vm.upstreams() == {"i-1", "i-2"} for vm in vms))
         return True
 
     assert run_fleet(monkeypatch, use)
@@ -139,13 +141,13 @@
 
     async def use(store: StoreStandIn, vms: list[FleetVm]) -> float:
         for name in names:
-            store.put("servers", name, SERVER)
-        await until(lambda: all(vm.upstreams() == names for vm in vms))
+            store.put("servers", name, SERVER_DOCUMENT)
+        await wait_until(lambda: all(vm.upstreams() == names for vm in vms))
         store.silence_connections()
         fell_silent_at = monotonic()
         for name in ("i-1", "i-2"):
-            store.drop("servers", name)
-        await until(lambda: all(vm.upstreams() == {"i-3", "i-4"} for vm in vms))
+            store.remove("servers", name)
+        await wait_until(lambda: all(vm.upstreams() == {"i-3", "i-4"} for vm in vms))
         return monotonic() - fell_silent_at
 
     assert run_fleet(monkeypatch, use) < CONTACT_S
@@ -164,8 +166,8 @@
         await until_read(store)
         store.silence_connections()
         fell_silent_at = monotonic()
-        store.put("servers", "i-2", SERVER)
-        await until(lambda: all(vm.upstreams() == {"i-1", "i-2"} for vm in vms))
+        store.put("servers", "i-2", SERVER_DOCUMENT)
+        await wait_until(lambda: all(vm.upstreams() == {"i-1", "i-2"} for vm in vms))
         return monotonic() - fell_silent_at
 
     took_s = run_fleet(monkeypatch, use, watch_ms=1_250, recovery_ms=3_000)
@@ -174,6 +176,6 @@
 
 async def until_read(store: StoreStandIn) -> None:
     """Wait until the reader has just asked for changes."""
-    asked = len(store.waits_ms)
-    while len(store.waits_ms) == asked:
+    asked = len(store.requested_waits_ms)
+    while len(store.requested_waits_ms) == asked:
         await curio.sleep(0.01)
--- a/tests/fleet/test_store.py
+++ b/tests/fleet/test_store.py
@@ -12,7 +12,7 @@
 from builders import build_boot
 from builders import wire_row
 from result import Err
-from store_stand_in import SERVER
+from store_stand_in import SERVER_DOCUMENT
 from store_stand_in import StoreStandIn
 from store_stand_in import run_with_store
 
@@ -21,15 +21,15 @@
 from plankspindle_core.steady_clock import monotonic
 from plankspindle_daemon.platform.bounded_calls import BoundedCalls
 from plankspindle_daemon.platform.bounded_calls import CallKind
-from plankspindle_daemon.platform.circuit_breaker import OPEN_S
+from plankspindle_daemon.platform.circuit_breaker import INITIAL_OPEN_S
 from plankspindle_daemon.platform.errors import ConditionFailed
 from plankspindle_daemon.platform.errors import PlatformUnavailable
 from plankspindle_daemon.platform.live_list import VmKind
 from plankspindle_daemon.platform.table import RowWrite
 from plankspindle_daemon.platform.table import Transaction
 from plankspindle_platform import row_store
-from plankspindle_platform.entry_rows import EntryRows
-from plankspindle_platform.row_store import HistoryGone
+from plankspindle_platform.entry_vm_table import EntryVmTable
+from plankspindle_platform.row_store import HistoryExpired
 from plankspindle_platform.row_store import RowStore
 from plankspindle_platform.row_store import StoredRow
 from plankspindle_platform.store_platform import StorePlatform
@@ -67,7 +67,7 @@
     async def use(store: StoreStandIn, endpoint: Endpoint) -> list[bool]:
         calls = BoundedCalls(timeout_s=1.0)
         rows = RowStore(endpoint=endpoint, calls=calls)
-        fed = await rows.feed("op", after=1, wait_s=0.0)
+        fed = await rows.wait_for_changes("op", after=1, wait_s=0.0)
         return [(await rows.get_rows("op")).is_err(), fed.is_err()]
 
     monkeypatch.setattr(StoreStandIn, "_read", give)
@@ -77,23 +77,23 @@
 def test_a_list_without_its_entry_vms_is_read_again_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def refuse(self: EntryRows) -> Any:
+    async def refuse(self: EntryVmTable) -> Any:
         return Err(PlatformUnavailable("lost"))
 
     async def use(store: StoreStandIn, platform: StorePlatform) -> list[bool]:
-        store.put("servers", "i-1", SERVER)
+        store.put("servers", "i-1", SERVER_DOCUMENT)
         first = await platform.read_live_list(0.0)
-        store.waits_ms.clear()
+        store.requested_waits_ms.clear()
         second = await platform.read_live_list(5.0)
-        return [first.is_err(), second.is_err(), store.waits_ms == []]
+        return [first.is_err(), second.is_err(), store.requested_waits_ms == []]
 
-    monkeypatch.setattr(EntryRows, "read_if_due", refuse)
+    monkeypatch.setattr(EntryVmTable, "read_if_due", refuse)
     assert run_with_platform(monkeypatch, use) == [True, True, True]
 
 
 def test_a_table_of_several_pages_is_read_whole() -> None:
     async def use(store: StoreStandIn, endpoint: Endpoint) -> list[str]:
-        store.page = 2
+        store.page_rows = 2
         for number in range(5):
             store.put("t", f"k{number}", {})
         rows = await RowStore(
@@ -107,18 +107,18 @@
 def test_a_feed_whose_history_is_gone_says_so() -> None:
     async def use(store: StoreStandIn, endpoint: Endpoint) -> Any:
         feed = RowStore(endpoint=endpoint, calls=BoundedCalls(timeout_s=1.0))
-        store.oldest = 5
-        return (await feed.feed("t", after=1, wait_s=0.0)).unwrap_err()
+        store.oldest_version = 5
+        return (await feed.wait_for_changes("t", after=1, wait_s=0.0)).unwrap_err()
 
-    assert isinstance(run_with_store(use), HistoryGone)
+    assert isinstance(run_with_store(use), HistoryExpired)
 
 
 def test_a_silent_store_is_left_after_the_time_out_and_asked_anew() -> None:
     async def use(store: StoreStandIn, endpoint: Endpoint) -> tuple[bool, bool]:
         rows = RowStore(endpoint=endpoint, calls=BoundedCalls(timeout_s=0.1))
-        store.is_silent = True
+        store.delays_answers = True
         failed = (await rows.get_rows("t")).is_err()
-        store.is_silent = False
+        store.delays_answers = False
         return failed, (await rows.get_rows("t")).is_ok()
 
     assert run_with_store(use) == (True, True)
@@ -137,11 +137,11 @@
 
 def test_servers_and_entry_vms_make_one_list(monkeypatch: pytest.MonkeyPatch) -> None:
     async def use(store: StoreStandIn, platform: StorePlatform) -> Any:
-        store.put("servers", "i-1", SERVER)
-        leaving = {**SERVER["status"], "state": "draining"}
-        store.put("servers", "i-2", {**SERVER, "status": leaving})
+        store.put("servers", "i-1", SERVER_DOCUMENT)
+        leaving = {**SERVER_DOCUMENT["status"], "state": "draining"}
+        store.put("servers", "i-2", {**SERVER_DOCUMENT, "status": leaving})
         store.put("servers", "i-3", {"info": "unreadable"})
-        assert (await platform.entries.announce()).is_ok()
+        assert (await platform.entry_vms.announce()).is_ok()
         return (await platform.read_live_list()).unwrap()
 
     listed = {each.name: each for each in run_with_platform(monkeypatch, use)}
@@ -154,9 +154,9 @@
 
 def test_a_vm_that_leaves_is_taken_out(monkeypatch: pytest.MonkeyPatch) -> None:
     async def use(store: StoreStandIn, platform: StorePlatform) -> int:
-        await platform.entries.announce()
-        await platform.entries.withdraw()
-        return len(store.rows_by_place)
+        await platform.entry_vms.announce()
+        await platform.entry_vms.withdraw()
+        return len(store.rows_by_key)
 
     assert run_with_platform(monkeypatch, use) == 0
 
@@ -181,24 +181,24 @@
 
 def test_a_lost_answer_leaves_the_effect_open(monkeypatch: pytest.MonkeyPatch) -> None:
     async def use(store: StoreStandIn, platform: StorePlatform) -> tuple[bool, bool]:
-        store.loses_answers = True
-        announced = await platform.entries.announce()
-        return announced.is_ok(), bool(store.rows_by_place)
+        store.drops_answers = True
+        announced = await platform.entry_vms.announce()
+        return announced.is_ok(), bool(store.rows_by_key)
 
     assert run_with_platform(monkeypatch, use) == (False, True)
 
 
 def test_changes_of_servers_are_fed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def use(store: StoreStandIn, platform: StorePlatform) -> list[set[str]]:
-        store.put("servers", "i-1", SERVER)
-        store.put("servers", "i-2", SERVER)
+        store.put("servers", "i-1", SERVER_DOCUMENT)
+        store.put("servers", "i-2", SERVER_DOCUMENT)
         named = []
         named.append(await names_of(platform))
-        store.drop("servers", "i-1")
-        store.put("servers", "i-3", SERVER)
+        store.remove("servers", "i-1")
+        store.put("servers", "i-3", SERVER_DOCUMENT)
         named.append(await names_of(platform))
-        store.oldest = store.version + 1
-        store.put("servers", "i-4", SERVER)
+        store.oldest_version = store.version + 1
+        store.put("servers", "i-4", SERVER_DOCUMENT)
         named.append(await names_of(platform))
         return named
 
@@ -214,20 +214,20 @@
     settings = build_boot(monkeypatch).daemon
 
     async def use(store: StoreStandIn, platform: StorePlatform) -> Any:
-        store.put("servers", "i-1", SERVER)
-        store.put("servers", "i-2", SERVER)
+        store.put("servers", "i-1", SERVER_DOCUMENT)
+        store.put("servers", "i-2", SERVER_DOCUMENT)
         await names_of(platform)
         held = platform.list_version
         reader = StorePlatform(settings=evolve(settings, platform=platform.endpoint))
-        store.drop("servers", "i-1")
-        store.put("servers", "i-3", SERVER)
+        store.remove("servers", "i-1")
+        store.put("servers", "i-3", SERVER_DOCUMENT)
         read = (await reader.read_live_list()).unwrap()
-        told = platform.take_list_change(
+        told = platform.apply_list_change(
             version=reader.list_version,
             changed=[each for each in read if each.name == "i-3"],
             gone=["i-1"],
         )
-        store.put("servers", "i-4", SERVER)
+        store.put("servers", "i-4", SERVER_DOCUMENT)
         fed = await names_of(platform)
         return held, reader.list_version, {each.name for each in told}, fed
 
@@ -241,11 +241,11 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def use(store: StoreStandIn, platform: StorePlatform) -> list[int]:
-        store.put("servers", "i-1", SERVER)
+        store.put("servers", "i-1", SERVER_DOCUMENT)
         await names_of(platform)
         await platform.read_live_list(0.05)
         await names_of(platform)
-        return store.waits_ms
+        return store.requested_waits_ms
 
     usual_ms = build_boot(monkeypatch).daemon.timing.watch_ms
     assert run_with_platform(monkeypatch, use) == [50, usual_ms]
@@ -262,12 +262,12 @@
     settings = build_boot(monkeypatch).daemon
 
     async def use(store: StoreStandIn, platform: StorePlatform) -> int:
-        await platform.entries.announce()
+        await platform.entry_vms.announce()
         endpoint = platform.endpoint
         successor = StorePlatform(settings=evolve(settings, platform=endpoint))
-        await successor.entries.announce()
-        await platform.entries.withdraw()
-        return len(store.rows_by_place)
+        await successor.entry_vms.announce()
+        await platform.entry_vms.withdraw()
+        return len(store.rows_by_key)
 
     assert run_with_platform(monkeypatch, use) == 1
 
@@ -276,9 +276,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def use(store: StoreStandIn, platform: StorePlatform) -> tuple[Any, bool]:
-        await platform.entries.announce()
-        store.drop("plankspindle-vms", "edge-a-1")
-        return await names_of(platform), platform.entries.is_present
+        await platform.entry_vms.announce()
+        store.remove("plankspindle-vms", "edge-a-1")
+        return await names_of(platform), platform.entry_vms.is_present
 
     assert run_with_platform(monkeypatch, use) == ({"edge-a-1"}, False)
 
@@ -290,7 +290,7 @@
         for number in range(4):
             store.put("plankspindle", f"k{number}", {"number": number})
         read = await platform.read_rows(["k3", "k0", "absent", "k1"])
-        return read.unwrap(), platform.calls.made_by_kind[CallKind.READ]
+        return read.unwrap(), platform.calls.calls_by_kind[CallKind.READ]
 
     rows, calls = run_with_platform(monkeypatch, use)
     assert {key: row.value for key, row in rows.items()} == {
@@ -310,7 +310,7 @@
         for number in range(100):
             store.put("plankspindle", f"k{number:02}", {"number": number})
         read = await platform.read_rows(["k00", "k99"])
-        return read.unwrap(), platform.calls.made_by_kind[CallKind.READ]
+        return read.unwrap(), platform.calls.calls_by_kind[CallKind.READ]
 
     rows, calls = run_with_platform(monkeypatch, use)
     assert [rows[key].value["number"] for key in ("k00", "k99")] == [0, 99]
@@ -321,14 +321,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def use(store: StoreStandIn, platform: StorePlatform) -> Any:
-        store.loses_answers = True
+        store.drops_answers = True
         platform.calls.clock = lambda: 5.0
         for _ in range(20):
             assert (await platform.read_live_list()).is_err()
-        made = platform.calls.made_by_kind[CallKind.READ]
+        made = platform.calls.calls_by_kind[CallKind.READ]
         away = platform.calls.available
-        store.loses_answers = False
-        platform.calls.clock = lambda: 5.0 + OPEN_S
+        store.drops_answers = False
+        platform.calls.clock = lambda: 5.0 + INITIAL_OPEN_S
         back = (await platform.read_live_list()).is_ok()
         return made, away, back, platform.calls.available
 
@@ -362,8 +362,14 @@
 
     async def use(store: StoreStandIn, platform: StorePlatform) -> list[set[str]]:
         names = []
-        store.put("servers", "i-2", SERVER)
-        for document in (SERVER, {"info": 1}, {"info": 2}, SERVER, {"info": 1}):
+        store.put("servers", "i-2", SERVER_DOCUMENT)
+        for document in (
+            SERVER_DOCUMENT,
+            {"info": 1},
+            {"info": 2},
+            SERVER_DOCUMENT,
+            {"info": 1},
+        ):
             store.put("servers", "i-1", document)
             names.append(await names_of(platform))
         return names
@@ -386,8 +392,8 @@
         return {**sent, "value": value} if row.key == "i-1" else sent
 
     async def use(store: StoreStandIn, platform: StorePlatform) -> set[str]:
-        store.put("servers", "i-1", SERVER)
-        store.put("servers", "i-2", SERVER)
+        store.put("servers", "i-1", SERVER_DOCUMENT)
+        store.put("servers", "i-2", SERVER_DOCUMENT)
         return await names_of(platform)
 
     monkeypatch.setattr("store_stand_in.wire_row", spoil)
@@ -399,12 +405,12 @@
 ) -> None:
     async def use(store: StoreStandIn, platform: StorePlatform) -> Any:
         store.put("plankspindle-vms", "edge-b-1", {"nonce": "old"})
-        removed = await platform.entries.remove("edge-b-1")
-        gone = ("plankspindle-vms", "edge-b-1") not in store.rows_by_place
+        removed = await platform.entry_vms.remove("edge-b-1")
+        gone = ("plankspindle-vms", "edge-b-1") not in store.rows_by_key
         store.put("plankspindle-vms", "edge-b-1", {"nonce": "old"})
-        store.changes_before_writes = "edge-b-1"
-        kept = await platform.entries.remove("edge-b-1")
-        stays = ("plankspindle-vms", "edge-b-1") in store.rows_by_place
+        store.vm_replaced_before_write = "edge-b-1"
+        kept = await platform.entry_vms.remove("edge-b-1")
+        stays = ("plankspindle-vms", "edge-b-1") in store.rows_by_key
         return removed.is_ok(), gone, kept.is_err(), stays
 
     assert run_with_platform(monkeypatch, use) == (True, True, True, True)
@@ -422,7 +428,7 @@
         }
         store.put("plankspindle-vms", "edge-b-1", entry)
         named.append(await names_of(platform))
-        await platform.entries.announce()
+        await platform.entry_vms.announce()
         named.append(await names_of(platform))
         return named
 
@@ -438,14 +444,14 @@
     """A connection that rested may have fallen silent while the store was there."""
 
     async def use(store: StoreStandIn, platform: StorePlatform) -> bool:
-        store.put("servers", "i-1", SERVER)
+        store.put("servers", "i-1", SERVER_DOCUMENT)
         if rests:
             await names_of(platform)
-        store.is_away = True
+        store.is_unresponsive = True
         assert (await platform.read_live_list(0.05)).is_err()
-        found_away = platform.list_away_at is not None
+        found_away = platform.list_unavailable_at is not None
         assert (await platform.read_live_list(0.05)).is_err()
-        assert platform.list_away_at is not None
+        assert platform.list_unavailable_at is not None
         return found_away
 
     assert run_with_platform(monkeypatch, use) is not rests
@@ -455,7 +461,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It may have fallen silent, which the next call would learn a limit later."""
-    monkeypatch.setattr(row_store, "REST_S", 0.2)
+    monkeypatch.setattr(row_store, "MAX_IDLE_S", 0.2)
 
     async def use(store: StoreStandIn, platform: StorePlatform) -> list[int]:
         connections = []
--- a/tests/fleet/test_values_from_store.py
+++ b/tests/fleet/test_values_from_store.py
@@ -13,7 +13,7 @@
 from builders import build_rows
 from hypothesis import given
 from result import Ok
-from store_stand_in import SERVER
+from store_stand_in import SERVER_DOCUMENT
 from test_operator_reader import build_reader
 from test_operator_reader import read
 
@@ -23,8 +23,8 @@
 from plankspindle_daemon.sharing.upstream_codec import encode_upstream
 from plankspindle_daemon.wire.codec import decode
 from plankspindle_daemon.wire.codec import encode
-from plankspindle_platform.listed_rows import RowTranslator
-from plankspindle_platform.listed_rows import read_server
+from plankspindle_platform.row_translator import RowTranslator
+from plankspindle_platform.row_translator import parse_server_row
 
 if TYPE_CHECKING:
     from plankspindle_daemon.platform.live_list import ListedVm
@@ -93,9 +93,9 @@
     assert found.is_ok() or found.is_err()
 
 
-@given(document=spoiled(SERVER))
+@given(document=spoiled(SERVER_DOCUMENT))
 def test_any_row_of_a_server_is_told_or_unreadable(document: Any) -> None:
-    found = read_server(build_row("i-1", 5, document))
+    found = parse_server_row(build_row("i-1", 5, document))
     assert found.is_err() or is_told(found.unwrap())
 
 
@@ -108,10 +108,10 @@
 )
 
 
-@given(document=spoiled(SERVER) | JSON, other=st.sampled_from(["i-0", "i-9"]))
+@given(document=spoiled(SERVER_DOCUMENT) | JSON, other=st.sampled_from(["i-0", "i-9"]))
 def test_a_row_of_any_shape_costs_no_other_row(document: Any, other: str) -> None:
-    rows = [build_row("i-1", 5, document), build_row(other, 6, SERVER)]
-    translator = RowTranslator(table="servers", read=read_server)
+    rows = [build_row("i-1", 5, document), build_row(other, 6, SERVER_DOCUMENT)]
+    translator = RowTranslator(table="servers", parse=parse_server_row)
     for _ in range(2):
         found = [translator.translate(row) for row in rows]
         assert found[1] is not None
@@ -141,19 +141,21 @@
 def test_a_field_of_another_writer_names_no_upstream(
     place: tuple[Any, ...], value: Any
 ) -> None:
-    document = with_change({**SERVER, "born": 5}, place, value)
-    assert read_server(build_row("i-1", 5, document)).is_err()
+    document = with_change({**SERVER_DOCUMENT, "born": 5}, place, value)
+    assert parse_server_row(build_row("i-1", 5, document)).is_err()
 
 
 def test_the_start_of_a_server_numbers_its_life() -> None:
-    row = build_row("i-1", 5, {**SERVER, "born": 1_700_000_000_000})
-    assert read_server(row).unwrap().incarnation == 1_700_000_000_000
-    assert read_server(build_row("i-1", 5, SERVER)).unwrap().incarnation == 0
+    row = build_row("i-1", 5, {**SERVER_DOCUMENT, "born": 1_700_000_000_000})
+    assert parse_server_row(row).unwrap().incarnation == 1_700_000_000_000
+    assert (
+        parse_server_row(build_row("i-1", 5, SERVER_DOCUMENT)).unwrap().incarnation == 0
+    )
 
 
 @pytest.mark.parametrize("name", ["\ud800", "i-\udfff"])
 def test_a_name_that_is_no_text_is_unreadable(name: str) -> None:
-    assert read_server(build_row(name, 5, SERVER)).is_err()
+    assert parse_server_row(build_row(name, 5, SERVER_DOCUMENT)).is_err()
 
 
 def is_told(listed: ListedVm) -> bool:
@@ -184,8 +186,11 @@
 def test_a_time_without_end_is_unreadable(
     monkeypatch: pytest.MonkeyPatch, time: str
 ) -> None:
-    cold = {**SERVER, "status": {**SERVER["status"], "cold_remaining": time}}
-    assert read_server(build_row("i-1", 5, cold)).is_err()
+    cold = {
+        **SERVER_DOCUMENT,
+        "status": {**SERVER_DOCUMENT["status"], "cold_remaining": time},
+    }
+    assert parse_server_row(build_row("i-1", 5, cold)).is_err()
     document = build_operator_document(
         hosts=[{"host": "h", "paths": [build_path(timeout=time)]}]
     )
