--- a/packages/daemon/tests/dispatch/test_dispatcher.py
+++ b/packages/daemon/tests/dispatch/test_dispatcher.py
@@ -282,7 +282,7 @@
     dispatcher = build_reported_slots_dispatcher("u")
     for number in range(2):
         assert assigned(arrive(dispatcher, number))
-    assert not arrive(dispatcher, 9, hold_until=0.2)
+    assert not arrive(dispatcher, 9, queue_deadline=0.2)
     assert not rejected(dispatcher.handle(d.TimePassed(), 0.1))
     effects = dispatcher.handle(d.TimePassed(), 0.2)
     assert rejected(effects) == [(9, d.RejectReason.BUSY)]
@@ -292,8 +292,8 @@
 
 def test_request_runs_only_in_its_permitted_regions() -> None:
     dispatcher = build_reported_slots_dispatcher("u")
-    assert assigned(arrive(dispatcher, 1, regions=frozenset({"bratislava"})))
-    effects = arrive(dispatcher, 2, regions=frozenset({"kosice"}))
+    assert assigned(arrive(dispatcher, 1, allowed_regions=frozenset({"bratislava"})))
+    effects = arrive(dispatcher, 2, allowed_regions=frozenset({"kosice"}))
     assert rejected(effects) == [(2, d.RejectReason.NO_UPSTREAM)]
 
 
@@ -360,7 +360,7 @@
     dispatcher = build_reported_slots_dispatcher("u", "v")
     for number in range(4):
         assert assigned(arrive(dispatcher, number))
-    retry = build_ticket(9, hold_until=0.2).excluding(frozenset({"v"}))
+    retry = build_ticket(9, queue_deadline=0.2).excluding(frozenset({"v"}))
     assert not dispatcher.handle(d.RequestArrived(retry), 0.3)
     assert not rejected(dispatcher.handle(d.TimePassed(), 0.4))
     assert assigned(
--- a/packages/daemon/tests/dispatch/test_rate_limited_upstreams.py
+++ b/packages/daemon/tests/dispatch/test_rate_limited_upstreams.py
@@ -35,7 +35,7 @@
 
 
 def arrive(dispatcher: Dispatcher, number: int, now: float = NOW) -> list[object]:
-    ticket = build_ticket(number, deadline=NOW + 5, hold_until=HOLD_UNTIL)
+    ticket = build_ticket(number, deadline=NOW + 5, queue_deadline=HOLD_UNTIL)
     return [*dispatcher.handle(RequestArrived(ticket), now)]
 
 
@@ -89,7 +89,10 @@
     dispatcher = build_reported_slots_dispatcher("u")
     limit(dispatcher, "u")
     ticket = build_ticket(
-        1, deadline=NOW + 5, hold_until=HOLD_UNTIL, regions=frozenset({"elsewhere"})
+        1,
+        deadline=NOW + 5,
+        queue_deadline=HOLD_UNTIL,
+        allowed_regions=frozenset({"elsewhere"}),
     )
     (rejected,) = dispatcher.handle(RequestArrived(ticket), NOW)
     assert isinstance(rejected, Reject)
@@ -100,7 +103,10 @@
     dispatcher = build_reported_slots_dispatcher("u", "v")
     limit(dispatcher, "u")
     ticket = build_ticket(
-        1, deadline=NOW + 5, hold_until=HOLD_UNTIL, excluded=frozenset({"v"})
+        1,
+        deadline=NOW + 5,
+        queue_deadline=HOLD_UNTIL,
+        excluded_upstreams=frozenset({"v"}),
     )
     assert not any(
         isinstance(each, RequestToken)
--- a/packages/daemon/tests/node/test_upstream_statements.py
+++ b/packages/daemon/tests/node/test_upstream_statements.py
@@ -64,7 +64,7 @@
 
 
 def send(node: Node, now: float, service: str = "registry") -> DispatchEffect:
-    ticket = build_ticket(int(now * 1000), deadline=now + 9.0, hold_until=now + 0.1)
+    ticket = build_ticket(int(now * 1000), deadline=now + 9.0, queue_deadline=now + 0.1)
     (effect,) = node.handle_dispatch(service, RequestArrived(ticket), now)
     assert isinstance(effect, ServiceEffect)
     return effect.effect
@@ -156,7 +156,7 @@
     read_list(node, 1.0, FIRST)
     send_statement(node, 1.2, RETRY_LATER)
     assert isinstance(send(node, 4.2), Assign)
-    ticket = build_ticket(7, deadline=13.0, hold_until=4.5)
+    ticket = build_ticket(7, deadline=13.0, queue_deadline=4.5)
     assert node.handle_dispatch("registry", RequestArrived(ticket), 4.25) == []
     send_statement(node, 4.3, RETRY_LATER)
     assert_blocked(send(node, 5.0), 2.2)
