--- a/packages/daemon/tests/node/test_upstream_statements.py
+++ b/packages/daemon/tests/node/test_upstream_statements.py
@@ -17,7 +17,7 @@
 from plankspindle_daemon.platform.live_list import ListedVm
 from plankspindle_daemon.platform.live_list import VmKind
 from plankspindle_daemon.upstreams.upstream_statement import UpstreamStatement
-from plankspindle_testkit.builders import VmPlace
+from plankspindle_testkit.builders import VmAddresses
 from plankspindle_testkit.builders import build_configuration
 from plankspindle_testkit.builders import build_service
 from plankspindle_testkit.builders import build_ticket
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from plankspindle_daemon.node.node import Node
 
-PLACE = VmPlace(name="a", failure_domain="ba-1", host="127.0.1.1", base_port=7000)
+PLACE = VmAddresses(name="a", failure_domain="ba-1", host="127.0.1.1", base_port=7000)
 FIRST, SECOND = 1_700_000_000_000, 1_700_000_009_000
 LEAVING = UpstreamStatement(is_leaving=True)
 RETRY_LATER = UpstreamStatement(retry_after_s=3.0)
@@ -64,7 +64,7 @@
 
 
 def send(node: Node, now: float, service: str = "registry") -> DispatchEffect:
-    ticket = build_ticket(int(now * 1000), deadline=now + 9.0, hold_until=now + 0.1)
+    ticket = build_ticket(int(now * 1000), deadline=now + 9.0, queue_deadline=now + 0.1)
     (effect,) = node.handle_dispatch(service, RequestArrived(ticket), now)
     assert isinstance(effect, ServiceEffect)
     return effect.effect
@@ -156,7 +156,7 @@
     read_list(node, 1.0, FIRST)
     send_statement(node, 1.2, RETRY_LATER)
     assert isinstance(send(node, 4.2), Assign)
-    ticket = build_ticket(7, deadline=13.0, hold_until=4.5)
+    ticket = build_ticket(7, deadline=13.0, queue_deadline=4.5)
     assert node.handle_dispatch("registry", RequestArrived(ticket), 4.25) == []
     send_statement(node, 4.3, RETRY_LATER)
     assert_blocked(send(node, 5.0), 2.2)
