--- a/packages/daemon/src/plankspindle_daemon/control/__init__.py
+++ b/packages/daemon/src/plankspindle_daemon/control/__init__.py
@@ -1,3 +1,3 @@
-"""Plans of operators: what a change moves, and its confirmation."""
+"""Operators' plans: forecast of the effects of a change, and its confirmation."""
 
 from __future__ import annotations
--- a/packages/daemon/src/plankspindle_daemon/control/forecast.py
+++ b/packages/daemon/src/plankspindle_daemon/control/forecast.py
@@ -1,4 +1,4 @@
-"""What an intent moves, what that costs, and whether the targets can carry it."""
+"""Forecast of the load that a change moves, its cost, and the targets' capacity."""
 
 from __future__ import annotations
 
@@ -29,23 +29,24 @@
     from plankspindle_daemon.peer_messages.load_digest import ServiceLoad
 
 RESERVED_CAPACITY_SHARE = 0.1
-"""Share of a target's capacity that a plan must leave free."""
+"""Share of a target's capacity that a plan must leave free, from 0 to 1."""
 
 Effects = Result[tuple[str, ...], InvalidDocument]
 
 
 @frozen(kw_only=True)
 class Forecast:
-    """Work out the effects of intents on one version of the configuration.
+    """Forecasts the effects of intents on one version of the configuration.
 
     Parameters
     ----------
     base : Configuration, optional
         Version that the intent is based on.
     proposed : Configuration
-        Version that it leads to.
+        Configuration that results from the intent.
     digests : DigestTable
-        Load as far as heard; hints, which lag.
+        Load reported by entry VMs. It lags behind the actual load, so a forecast is
+        an estimate.
     now : float
         Monotonic seconds.
     """
@@ -56,12 +57,13 @@
     now: float
 
     def effects_of(self, intent: Intent) -> Effects:
-        """Say what an intent moves and costs.
+        """Return the load that an intent moves and its cost, as sentences.
 
         Returns
         -------
         Result
-            A sentence an effect, or the shortfalls for which the intent is refused.
+            One sentence per effect, or the capacity shortfalls for which the intent is
+            refused.
         """
         match intent:
             case ShiftIntent(shift_id=shift_id, shift=shift):
@@ -105,7 +107,7 @@
 
     def _of_drain(self, drain: Drain) -> Effects:
         drained = self._drained_domains(drain)
-        lines = [f"{drain.kind.value} {drain.name}: {_when(drain)}"]
+        lines = [f"{drain.kind.value} {drain.name}: {_start_line(drain)}"]
         shortfalls = []
         for service in sorted(self.proposed.services_by_name):
             if drain.kind is DrainKind.UPSTREAM:
@@ -113,7 +115,7 @@
             elif drain.kind is DrainKind.VM:
                 line, shortfall = "", ""
             else:
-                line, shortfall = self._place_effect(service, drained)
+                line, shortfall = self._domains_effect(service, drained)
             lines += [line] if line else []
             shortfalls += [shortfall] if shortfall else []
         if shortfalls:
@@ -147,10 +149,10 @@
             return line, f"{line}: short by {needed - left} slots"
         return line, ""
 
-    def _place_effect(self, service: str, drained: set[str]) -> tuple[str, str]:
+    def _domains_effect(self, service: str, drained: set[str]) -> tuple[str, str]:
         source = self._load(service, drained)
-        others = set(self.proposed.failure_domains_by_name) - drained
-        target = self._load(service, others)
+        remaining = set(self.proposed.failure_domains_by_name) - drained
+        target = self._load(service, remaining)
         moving = source.in_flight + source.queued
         lost = self._slots(service, drained)
         if lost == 0:
@@ -159,7 +161,7 @@
             f"{service} loses {lost} slots, about {moving} requests at once move;"
             f" {self._free_line(service, target, 'the other failure domains')}"
         )
-        return line, self._shortfall(service, moving, target, others)
+        return line, self._shortfall(service, moving, target, remaining)
 
     def _free_line(self, service: str, target: ServiceLoad, where: str) -> str:
         free = self._free(target)
@@ -179,15 +181,15 @@
         if moving <= max(0.0, free):
             return ""
         silent = sorted(domains - self.digests.reporting_domains(self.now))
-        unheard = f"; not heard lately: {', '.join(silent)}" if silent else ""
+        note = f"; not heard lately: {', '.join(silent)}" if silent else ""
         return (
             f"{service}: about {moving:.1f} requests at once would move, the targets"
             f" can take {max(0.0, free):.0f}, short by"
-            f" {moving - max(0.0, free):.1f}{unheard}"
+            f" {moving - max(0.0, free):.1f}{note}"
         )
 
     def _target_lines(self, drained: set[str]) -> list[str]:
-        """Say what each target can take, a line a failure domain and service."""
+        """Return the spare capacity of each failure domain and service, as lines."""
         if not drained:
             return []
         return [
@@ -228,10 +230,12 @@
         )
 
     def _of_class(self, caller: str, priority_class: str) -> tuple[str, ...]:
-        was = "none"
+        previous = "none"
         if self.base is not None and caller in self.base.callers_by_name:
-            was = self.base.callers_by_name[caller].priority_class
-        return (f"requests of {caller} are served as {priority_class} (was {was})",)
+            previous = self.base.callers_by_name[caller].priority_class
+        return (
+            f"requests of {caller} are served as {priority_class} (was {previous})",
+        )
 
     def _load(self, service: str, domains: set[str]) -> ServiceLoad:
         return self.digests.load_of(service=service, domains=domains, now=self.now)
@@ -254,7 +258,7 @@
             "drains": "drains_by_id",
             "failure domains": "failure_domains_by_name",
         }
-        found = []
+        lines = []
         for title, field in sections.items():
             old: dict[str, Any] = getattr(self.base, field) if self.base else {}
             new: dict[str, Any] = getattr(self.proposed, field)
@@ -263,13 +267,13 @@
             both = new.keys() & old.keys()
             changed = sum(1 for key in both if new[key] != old[key])
             if added or removed or changed:
-                found.append(
+                lines.append(
                     f"{title}: {added} added, {removed} removed, {changed} changed"
                 )
-        return found
+        return lines
 
 
-def _when(drain: Drain) -> str:
+def _start_line(drain: Drain) -> str:
     if drain.at is None:
         return "gets no new work at once, running work finishes"
     return f"gets no new work from {drain.at:.0f} (Unix time), running work finishes"
--- a/packages/daemon/src/plankspindle_daemon/control/intents.py
+++ b/packages/daemon/src/plankspindle_daemon/control/intents.py
@@ -1,4 +1,4 @@
-"""What an operator wants to change."""
+"""Changes to the configuration that an operator requests."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @frozen(kw_only=True)
 class ApplyIntent:
-    """Put a whole configuration in force."""
+    """Replace the configuration as a whole."""
 
     configuration: Configuration
 
@@ -45,7 +45,7 @@
 
 @frozen(kw_only=True)
 class UndoShiftIntent:
-    """End a shift."""
+    """Remove a shift."""
 
     shift_id: str
 
@@ -68,14 +68,14 @@
 
 @frozen(kw_only=True)
 class UndoDrainIntent:
-    """End a drain."""
+    """Remove a drain."""
 
     drain_id: str
 
 
 @frozen(kw_only=True)
 class PriorityClassIntent:
-    """Give a caller another priority class.
+    """Change the priority class of a caller.
 
     Parameters
     ----------
@@ -91,13 +91,13 @@
 
 @frozen(kw_only=True)
 class UndoIntent:
-    """Put the version before the newest one in force again.
+    """Restore the version before the newest one.
 
     Parameters
     ----------
     version : int
-        The newest version, which is undone; the plan store replaces the intent by one
-        to apply what was in force before.
+        The newest version, which is undone. The plan store replaces this intent by an
+        :class:`ApplyIntent` with the configuration of the version before it.
     """
 
     version: int
@@ -122,11 +122,11 @@
 }
 _APPLY = "apply"
 _CONVERTER = make_converter()
-Kept = TypeVar("Kept")
+Value = TypeVar("Value")
 
 
 def intent_from_mapping(mapping: Any) -> Result[Intent, InvalidDocument]:
-    """Read the JSON form of an intent.
+    """Parse the JSON form of an intent.
 
     Parameters
     ----------
@@ -136,7 +136,7 @@
     Returns
     -------
     Result
-        The intent, or every problem found.
+        The intent, or all problems found.
     """
     if not isinstance(mapping, dict):
         return Err(InvalidDocument(("document: expected an object",)))
@@ -146,25 +146,25 @@
         return configuration_from_mapping(fields.get("configuration")).map(
             lambda found: ApplyIntent(configuration=found)
         )
-    wanted = _CLASS_BY_KIND.get(str(kind))
-    if wanted is None:
+    result = _CLASS_BY_KIND.get(str(kind))
+    if result is None:
         known = ", ".join([_APPLY, *_CLASS_BY_KIND])
         return Err(InvalidDocument((f"kind: {kind!r} is not one of {known}",)))
-    found: Result[Intent, InvalidDocument] = structure(_CONVERTER, fields, wanted)
+    found: Result[Intent, InvalidDocument] = structure(_CONVERTER, fields, result)
     return found
 
 
 def apply_intent(
     intent: Intent, base: Configuration | None
 ) -> Result[Configuration, InvalidDocument]:
-    """Give the configuration that an intent leads to.
+    """Return the configuration that results from an intent.
 
     Parameters
     ----------
     intent : Intent
-        What is wanted.
+        The requested change.
     base : Configuration, optional
-        The version it is based on; None if there is none yet.
+        Configuration to be changed; None if there is none yet.
 
     Returns
     -------
@@ -172,19 +172,19 @@
         The valid configuration, or why the intent is refused.
     """
     if isinstance(intent, ApplyIntent):
-        wanted: Result[Configuration, InvalidDocument] = Ok(intent.configuration)
+        result: Result[Configuration, InvalidDocument] = Ok(intent.configuration)
     elif base is None:
-        wanted = _refused("no configuration is in force yet; apply one first")
+        result = _refuse("no configuration is in force yet; apply one first")
     else:
-        wanted = _change(intent, base)
-    return wanted.and_then(_checked)
+        result = _change(intent, base)
+    return result.and_then(_validated)
 
 
-def _refused(problem: str) -> Result[Configuration, InvalidDocument]:
+def _refuse(problem: str) -> Result[Configuration, InvalidDocument]:
     return Err(InvalidDocument((problem,)))
 
 
-def _checked(configuration: Configuration) -> Result[Configuration, InvalidDocument]:
+def _validated(configuration: Configuration) -> Result[Configuration, InvalidDocument]:
     problems = configuration.problems()
     return Err(InvalidDocument(tuple(problems))) if problems else Ok(configuration)
 
@@ -196,7 +196,7 @@
         case ApplyIntent(configuration=configuration):
             return Ok(configuration)
         case UndoIntent(version=version):
-            return _refused(f"version: {version} is not the newest version")
+            return _refuse(f"version: {version} is not the newest version")
         case ShiftIntent(shift_id=shift_id, shift=shift):
             shifts = {**base.shifts_by_id, shift_id: shift}
             return Ok(evolve(base, shifts_by_id=shifts))
@@ -205,25 +205,25 @@
             return Ok(evolve(base, drains_by_id=drains))
         case UndoShiftIntent(shift_id=shift_id):
             if shift_id not in base.shifts_by_id:
-                return _refused(f"shift_id: no shift {shift_id!r}")
+                return _refuse(f"shift_id: no shift {shift_id!r}")
             return Ok(evolve(base, shifts_by_id=_without(base.shifts_by_id, shift_id)))
         case UndoDrainIntent(drain_id=drain_id):
             if drain_id not in base.drains_by_id:
-                return _refused(f"drain_id: no drain {drain_id!r}")
+                return _refuse(f"drain_id: no drain {drain_id!r}")
             return Ok(evolve(base, drains_by_id=_without(base.drains_by_id, drain_id)))
         case PriorityClassIntent(caller=name, priority_class=priority_class):
-            return _change_class(base, name, priority_class)
+            return _change_priority_class(base, name, priority_class)
 
 
-def _change_class(
+def _change_priority_class(
     base: Configuration, name: str, priority_class: str
 ) -> Result[Configuration, InvalidDocument]:
     if name not in base.callers_by_name:
-        return _refused(f"caller: no caller {name!r}")
+        return _refuse(f"caller: no caller {name!r}")
     caller = evolve(base.callers_by_name[name], priority_class=priority_class)
     callers = {**base.callers_by_name, name: caller}
     return Ok(evolve(base, callers_by_name=callers))
 
 
-def _without(by_id: dict[str, Kept], removed: str) -> dict[str, Kept]:
+def _without(by_id: dict[str, Value], removed: str) -> dict[str, Value]:
     return {key: value for key, value in by_id.items() if key != removed}
--- a/packages/daemon/src/plankspindle_daemon/control/plan.py
+++ b/packages/daemon/src/plankspindle_daemon/control/plan.py
@@ -1,4 +1,4 @@
-"""A plan: one intent worked out on one version of the configuration."""
+"""A plan: an intent applied to one version of the configuration, to be confirmed."""
 
 from __future__ import annotations
 
@@ -14,11 +14,12 @@
 from plankspindle_core.errors import Unreadable
 
 PLAN_VALIDITY_S = 900.0
+"""Time for which a plan can be confirmed, in seconds."""
 PLANS_PREFIX = "plans/"
 
 
 class PlanState(Enum):
-    """Where a plan stands."""
+    """Whether a plan has been confirmed."""
 
     OPEN = "open"
     ACCEPTED = "accepted"
@@ -26,26 +27,27 @@
 
 @frozen(kw_only=True)
 class Plan:
-    """A change that is worked out but not in force until it is confirmed.
+    """A prepared change, which takes effect only when it is confirmed.
 
     Parameters
     ----------
     id : str
-        Random name.
+        Random identifier, 12 hexadecimal digits.
     operator : str
-        Who asked for it.
+        Operator who requested it.
     base_version : int
-        Version that it is based on; zero if there was none.
+        Version of the configuration that it is based on; zero if there was none.
     base_row_version : int
-        Version of the head row at that time; confirmation demands the same.
+        Version of the head row when the plan was made. Confirmation requires that the
+        row still has it.
     digest : str
-        Content that it leads to.
+        Digest of the resulting configuration.
     effects : tuple of str
-        What moves and what it costs, a sentence each.
+        The load that it moves and its cost, one sentence each.
     expires_at : float
-        Seconds since the Unix epoch.
+        End of its validity, seconds since the Unix epoch.
     state : PlanState
-        Where it stands.
+        Whether it has been confirmed.
     """
 
     id: str
@@ -59,15 +61,15 @@
 
     @property
     def version(self) -> int:
-        """Version that it leads to."""
+        """Version number that the resulting configuration gets."""
         return self.base_version + 1
 
     def as_accepted(self) -> Plan:
-        """Give the plan as it stands once it is in force."""
+        """Return a copy of the plan in the state accepted."""
         return evolve(self, state=PlanState.ACCEPTED)
 
     def to_mapping(self) -> dict[str, Any]:
-        """Give the form kept in the table service and shown to operators."""
+        """Return the form stored in the table service and shown to operators."""
         return {
             "id": self.id,
             "operator": self.operator,
@@ -81,7 +83,7 @@
 
 
 def plan_from_mapping(mapping: Any) -> Result[Plan, Unreadable]:
-    """Read the form kept in the table service."""
+    """Parse the form stored in the table service."""
     try:
         return Ok(
             Plan(
@@ -100,5 +102,5 @@
 
 
 def plan_key(plan_id: str) -> str:
-    """Name the row of a plan."""
+    """Return the key of the row of a plan."""
     return PLANS_PREFIX + plan_id
--- a/packages/daemon/src/plankspindle_daemon/control/plan_store.py
+++ b/packages/daemon/src/plankspindle_daemon/control/plan_store.py
@@ -1,4 +1,4 @@
-"""Plans at the platform: making, reading and confirming them."""
+"""Creation, storage and confirmation of plans at the platform."""
 
 from __future__ import annotations
 
@@ -52,12 +52,12 @@
 
 @frozen
 class NotPossible:
-    """The platform did not answer; nothing is known to have changed.
+    """The platform did not answer; no change is known to have been made.
 
     Parameters
     ----------
     detail : str
-        What was seen.
+        Description of the failure.
     """
 
     detail: str
@@ -65,17 +65,17 @@
 
 @frozen
 class NoSuchPlan:
-    """There is no plan of that id."""
+    """There is no plan with that id."""
 
 
 @frozen
 class PlanExpired:
-    """The plan is too old to be confirmed; make it again."""
+    """The plan has expired; a new one must be created."""
 
 
 @frozen
 class PlanOvertaken:
-    """Another plan was confirmed first; nothing of this one is in force.
+    """Another plan was confirmed first; this one has no effect.
 
     Parameters
     ----------
@@ -88,7 +88,7 @@
 
 @frozen
 class ConfirmationUnknown:
-    """No answer came; confirm again to learn whether the plan was accepted."""
+    """No answer was received; confirm again to see whether the plan was accepted."""
 
 
 PlanError = NotPossible | NoSuchPlan | InvalidDocument
@@ -99,18 +99,18 @@
 
 @define(kw_only=True)
 class PlanStore:
-    """Make and confirm plans.
+    """Creates, lists and confirms plans.
 
     Parameters
     ----------
     platform : PlatformClient
         Table service and object store.
     reader : ConfigurationReader
-        Reader of versions.
+        Reader of configuration versions.
     random : Random
         Source of plan ids.
     digests : DigestTable
-        Load of all failure domains, as far as heard.
+        Reported load of all failure domains.
     """
 
     platform: PlatformClient
@@ -119,7 +119,7 @@
     digests: DigestTable
 
     async def list_all(self) -> Result[list[Plan], NotPossible]:
-        """Read the plans that are kept, at most ``MAX_LISTED_PLANS``."""
+        """Return the stored plans, at most ``MAX_LISTED_PLANS``."""
         page = await self.platform.read_range(
             prefix=PLANS_PREFIX, after=PLANS_PREFIX, limit=MAX_LISTED_PLANS
         )
@@ -129,19 +129,19 @@
         return Ok([each.unwrap() for each in decoded if each.is_ok()])
 
     async def create(self, intent: Intent, operator: str) -> Result[Plan, PlanError]:
-        """Work out a plan on the newest version and keep it.
+        """Create a plan based on the newest version and store it.
 
         Parameters
         ----------
         intent : Intent
-            What is wanted.
+            The requested change.
         operator : str
-            Who wants it.
+            Operator who requests it.
 
         Returns
         -------
         Result
-            The open plan, or why there is none.
+            The open plan, or why it could not be created.
         """
         row = await self.platform.read_row(HEAD_KEY)
         if row.is_err():
@@ -204,7 +204,7 @@
         return content.map_err(lambda error: NotPossible(error.detail))
 
     async def history(self) -> Result[list[HeadRow], NotPossible]:
-        """Read the newest accepted versions, ``MAX_HISTORY_VERSIONS`` at most."""
+        """Return the newest accepted versions, ``MAX_HISTORY_VERSIONS`` at most."""
         row = await self.platform.read_row(HEAD_KEY)
         if row.is_err():
             return Err(NotPossible(row.unwrap_err().detail))
@@ -233,7 +233,7 @@
         return Ok(plan)
 
     async def read(self, plan_id: str) -> Result[Plan, NotPossible | NoSuchPlan]:
-        """Read a plan by its id."""
+        """Return the plan with an id."""
         found = await self._read_rows(plan_id)
         if found.is_err():
             return Err(found.unwrap_err())
@@ -255,20 +255,20 @@
         return Ok((plan.unwrap(), rows[key], rows[HEAD_KEY]))
 
     async def confirm(self, plan_id: str, operator: str) -> Result[Plan, ConfirmError]:
-        """Put a plan in force, if its base is still the version in force.
+        """Accept a plan, if the version that it is based on is still in force.
 
         Parameters
         ----------
         plan_id : str
-            The plan.
+            Identifier of the plan.
         operator : str
-            Who confirms it.
+            Operator who confirms it.
 
         Returns
         -------
         Result
-            The accepted plan, also when it was accepted before; or why it is not. Of
-            two plans with the same base exactly one is accepted, because both demand
+            The accepted plan, also if it was accepted before, or why it was refused. Of
+            two plans with the same base exactly one is accepted, because both require
             the same version of the head row.
         """
         for _ in range(MAX_CONFIRM_ATTEMPTS):
@@ -276,7 +276,7 @@
             if found.is_err():
                 return Err(found.unwrap_err())
             plan, plan_row, head_row = found.unwrap()
-            refused = _refusal(plan, head_row)
+            refused = _refusal_reason(plan, head_row)
             if plan.state is PlanState.ACCEPTED or refused is not None:
                 return Ok(plan) if refused is None else Err(refused)
             committed = await self._commit(plan, plan_row, operator)
@@ -310,7 +310,7 @@
         return await self.platform.commit(Transaction(writes=writes))
 
 
-def _refusal(plan: Plan, head_row: Row) -> PlanExpired | PlanOvertaken | None:
+def _refusal_reason(plan: Plan, head_row: Row) -> PlanExpired | PlanOvertaken | None:
     if plan.state is PlanState.ACCEPTED:
         return None
     if head_row.version != plan.base_row_version:
--- a/packages/daemon/tests/control/test_forecast.py
+++ b/packages/daemon/tests/control/test_forecast.py
@@ -1,4 +1,4 @@
-"""Tests of what plans say, and of their refusal when the targets cannot carry them."""
+"""Forecast of effects, and refusal of plans that exceed the targets' capacity."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def build_digests(in_flight: int, *, domains: tuple[str, ...] = DOMAINS) -> DigestTable:
-    book = DigestTable()
+    table = DigestTable()
     for domain in domains:
         load = ServiceLoad(
             service="registry", capacity=10, in_flight=in_flight, queued=0
@@ -54,19 +54,19 @@
             configuration_version=1,
             loads=(load,),
         )
-        book.record(digest, NOW)
-    return book
+        table.record(digest, NOW)
+    return table
 
 
 def forecast(intent: Intent, digests: DigestTable) -> tuple[tuple[str, ...], str]:
     base = build_base()
-    wanted = apply_intent(intent, base).unwrap()
-    found = Forecast(base=base, proposed=wanted, digests=digests, now=NOW).effects_of(
-        intent
-    )
-    if found.is_ok():
-        return found.unwrap(), ""
-    return (), str(found.unwrap_err())
+    proposed = apply_intent(intent, base).unwrap()
+    result = Forecast(
+        base=base, proposed=proposed, digests=digests, now=NOW
+    ).effects_of(intent)
+    if result.is_ok():
+        return result.unwrap(), ""
+    return (), str(result.unwrap_err())
 
 
 def drain(kind: DrainKind, name: str) -> DrainIntent:
@@ -85,7 +85,7 @@
     )
 
 
-def test_a_drain_says_what_moves_and_what_stays_free() -> None:
+def test_drain_forecast_states_moved_load_and_spare_capacity() -> None:
     effects, _ = forecast(drain(DrainKind.FAILURE_DOMAIN, "ba-1"), build_digests(4))
     text = "\n".join(effects)
     assert "registry loses 10 slots, about 4 requests at once move" in text
@@ -96,30 +96,30 @@
     assert "running work ends within about 1 s, in the worst case 120 s" in text
 
 
-def test_a_drain_that_the_rest_cannot_carry_is_refused_with_the_shortfall() -> None:
+def test_drain_beyond_remaining_capacity_is_refused_with_shortfall() -> None:
     _, refusal = forecast(drain(DrainKind.REGION, "bratislava"), build_digests(7))
     assert "14.0 requests at once would move" in refusal
     assert "short by 12.0" in refusal
 
 
-def test_a_target_that_was_not_heard_counts_as_full() -> None:
+def test_target_without_digest_counts_as_full() -> None:
     digests = build_digests(1, domains=("ba-1", "ba-2"))
     _, refusal = forecast(shift(50.0), digests)
     assert "not heard lately: ke-1" in refusal
 
 
-def test_old_digests_do_not_count() -> None:
+def test_expired_digests_are_ignored() -> None:
     base = build_base()
     intent = shift(50.0)
-    wanted = apply_intent(intent, base).unwrap()
-    late = Forecast(
-        base=base, proposed=wanted, digests=build_digests(5), now=NOW + 31.0
+    proposed = apply_intent(intent, base).unwrap()
+    expired = Forecast(
+        base=base, proposed=proposed, digests=build_digests(5), now=NOW + 31.0
     )
-    assert late.effects_of(intent).is_ok()
-    assert late.digests.reporting_domains(NOW + 31.0) == set()
+    assert expired.effects_of(intent).is_ok()
+    assert expired.digests.reporting_domains(NOW + 31.0) == set()
 
 
-def test_a_shift_names_cap_cost_and_headroom() -> None:
+def test_shift_forecast_states_cap_latency_and_moved_load() -> None:
     effects, _ = forecast(shift(20.0), build_digests(5))
     text = "\n".join(effects)
     assert "at most 20 percent" in text
@@ -127,19 +127,19 @@
     assert "about 70 ms longer" in text
 
 
-def test_an_upstream_in_use_cannot_be_drained_below_what_is_needed() -> None:
+def test_upstream_drain_is_refused_if_fewer_slots_remain_than_needed() -> None:
     _, refusal = forecast(drain(DrainKind.UPSTREAM, "ba-1"), build_digests(3))
     assert "short by 3 slots" in refusal
 
 
-def test_a_class_change_is_a_plan_too() -> None:
+def test_forecast_of_a_priority_class_change() -> None:
     effects, _ = forecast(
         PriorityClassIntent(caller="desk", priority_class="gold"), build_digests(0)
     )
     assert effects == ("requests of desk are served as gold (was bronze)",)
 
 
-def test_intents_of_what_is_unknown_are_refused() -> None:
+def test_intents_with_unknown_names_are_refused() -> None:
     base = build_base()
     for intent in (
         UndoDrainIntent(drain_id="none"),
@@ -151,11 +151,11 @@
     assert apply_intent(shift(1.0), None).is_err()
 
 
-def test_an_intent_is_read_from_json_or_refused_with_its_key() -> None:
+def test_intent_is_parsed_from_json_or_refused_with_the_faulty_key() -> None:
     fields = {"kind": "drain", "drain_id": "d"}
-    place = {"kind": "region", "name": "kosice"}
-    read = intent_from_mapping({**fields, "drain": place}).unwrap()
+    drain_fields = {"kind": "region", "name": "kosice"}
+    read = intent_from_mapping({**fields, "drain": drain_fields}).unwrap()
     assert read == drain(DrainKind.REGION, "kosice")
-    bad = intent_from_mapping({**fields, "drain": {**place, "kind": "moon"}})
+    bad = intent_from_mapping({**fields, "drain": {**drain_fields, "kind": "moon"}})
     assert bad.unwrap_err().problems[0].startswith("drain.kind:")
     assert "not one of apply" in str(intent_from_mapping({"kind": "x"}).unwrap_err())
--- a/packages/daemon/tests/control/test_plan_store.py
+++ b/packages/daemon/tests/control/test_plan_store.py
@@ -1,4 +1,4 @@
-"""Racing operators and lost answers at the confirmation of plans."""
+"""Confirmation of plans with concurrent operators and refused platform answers."""
 
 from __future__ import annotations
 
@@ -55,13 +55,13 @@
 def build_platform(*, fault_rate: float = 0.0, seed: int = 1) -> FakePlatform:
     platform = FakePlatform(random=Random(seed), fault_rate=0.0)
     store = build_store(platform, seed=4)
-    first = make(store, ApplyIntent(configuration=build_configuration()))
+    first = create_plan(store, ApplyIntent(configuration=build_configuration()))
     assert run_to_completion(store.confirm(first.id, "operator")).is_ok()
     platform.fault_rate = fault_rate
     return platform
 
 
-def make(store: PlanStore, intent: object, operator: str = "operator") -> Plan:
+def create_plan(store: PlanStore, intent: object, operator: str = "operator") -> Plan:
     return run_to_completion(store.create(intent, operator)).unwrap()  # type: ignore[arg-type]
 
 
@@ -74,31 +74,31 @@
     return head_row_from_mapping(row.value).unwrap().version
 
 
-def test_of_two_racing_operators_one_wins_and_the_other_learns_who() -> None:
+def test_second_of_two_conflicting_plans_is_refused_with_the_accepted_version() -> None:
     platform = build_platform()
     store = build_store(platform)
-    one = make(store, class_intent("gold"), "jana")
-    two = make(store, class_intent("silver"), "peter")
+    one = create_plan(store, class_intent("gold"), "jana")
+    two = create_plan(store, class_intent("silver"), "peter")
     assert run_to_completion(store.confirm(two.id, "peter")).is_ok()
-    lost = run_to_completion(store.confirm(one.id, "jana")).unwrap_err()
-    assert isinstance(lost, PlanOvertaken)
-    assert (lost.head.operator, lost.head.plan) == ("peter", two.id)
+    refused = run_to_completion(store.confirm(one.id, "jana")).unwrap_err()
+    assert isinstance(refused, PlanOvertaken)
+    assert (refused.head.operator, refused.head.plan) == ("peter", two.id)
     assert version(platform) == 2
 
 
-def test_confirming_again_is_harmless_even_after_later_versions() -> None:
+def test_repeated_confirmation_is_idempotent_after_later_versions() -> None:
     platform = build_platform()
     store = build_store(platform)
-    one = make(store, class_intent("gold"))
+    one = create_plan(store, class_intent("gold"))
     assert run_to_completion(store.confirm(one.id, "a")).is_ok()
-    later = make(store, class_intent("silver"))
+    later = create_plan(store, class_intent("silver"))
     assert run_to_completion(store.confirm(later.id, "a")).is_ok()
     again = run_to_completion(store.confirm(one.id, "a")).unwrap()
     assert again.state is PlanState.ACCEPTED
     assert version(platform) == 3
 
 
-def test_a_change_without_a_known_target_is_refused_and_leaves_nothing() -> None:
+def test_shift_without_target_upstreams_is_refused_and_stores_nothing() -> None:
     platform = build_platform()
     rows = len(platform.table.rows_by_key)
     shift = Shift(
@@ -115,12 +115,15 @@
 
 
 @given(seed=st.integers(0, 10_000), fault_rate=st.floats(0.0, 0.8))
-def test_an_answer_to_confirm_is_true_whatever_the_platform_does(
+def test_confirm_result_is_correct_under_platform_faults(
     seed: int, fault_rate: float
 ) -> None:
     platform = build_platform(seed=seed)
     store = build_store(platform)
-    plans = [make(store, class_intent("gold")), make(store, class_intent("silver"))]
+    plans = [
+        create_plan(store, class_intent("gold")),
+        create_plan(store, class_intent("silver")),
+    ]
     platform.fault_rate = fault_rate
     accepted: set[str] = set()
     refused: set[str] = set()
@@ -142,8 +145,8 @@
         assert {head_row_from_mapping(row.value).unwrap().plan} == accepted
 
 
-class ListedPlatform(FakePlatform):
-    """A fake platform that reads ranges."""
+class RangePlatform(FakePlatform):
+    """A fake platform that supports range reads."""
 
     async def read_range(
         self, *, prefix: str, after: str, limit: int
@@ -153,17 +156,17 @@
         return Ok([self._row(key) for key in keys[:limit]])
 
 
-def test_the_newest_version_can_be_undone_and_the_history_keeps_all() -> None:
+def test_newest_version_can_be_undone_and_history_keeps_all_versions() -> None:
     platform = build_platform()
     store = build_store(platform)
-    change = make(store, class_intent("gold"), "jana")
+    change = create_plan(store, class_intent("gold"), "jana")
     assert run_to_completion(store.confirm(change.id, "jana")).is_ok()
     stale = run_to_completion(store.create(UndoIntent(version=1), "jana")).unwrap_err()
     assert "not the newest" in str(stale)
-    undo = make(store, UndoIntent(version=2), "peter")
+    undo = create_plan(store, UndoIntent(version=2), "peter")
     assert undo.effects == ("callers: 0 added, 0 removed, 1 changed",)
     assert run_to_completion(store.confirm(undo.id, "peter")).is_ok()
-    listed = ListedPlatform(
+    listed = RangePlatform(
         random=Random(1),
         fault_rate=0.0,
         table=platform.table,
@@ -174,86 +177,88 @@
     assert history[0].digest == history[2].digest
 
 
-class KilledError(Exception):
-    """The process ends here."""
+class ProcessCrashError(Exception):
+    """Stands for a crash of the process."""
 
 
-class DyingPlatform(FakePlatform):
-    """A fake platform whose caller dies at one of its calls."""
+class CrashingPlatform(FakePlatform):
+    """A fake platform whose client process crashes at one of its calls."""
 
-    dies_at: int = 0
+    crashes_at: int = 0
     after_effect: bool = False
     calls: int = 0
 
     async def commit(self, transaction: Transaction) -> Result[None, Any]:
         self.calls += 1
-        if self.calls == self.dies_at and not self.after_effect:
-            raise KilledError
+        if self.calls == self.crashes_at and not self.after_effect:
+            raise ProcessCrashError
         answer = await super().commit(transaction)
-        if self.calls == self.dies_at:
-            raise KilledError
+        if self.calls == self.crashes_at:
+            raise ProcessCrashError
         return answer
 
     async def read_rows(self, keys: list[str]) -> Result[dict[str, Row], Any]:
         self.calls += 1
-        if self.calls == self.dies_at:
-            raise KilledError
+        if self.calls == self.crashes_at:
+            raise ProcessCrashError
         return await super().read_rows(keys)
 
 
 @pytest.mark.parametrize("after_effect", [False, True])
-@pytest.mark.parametrize("dies_at", [1, 2])
-def test_a_confirmation_whose_process_dies_is_settled_by_another(
-    dies_at: int, after_effect: bool
+@pytest.mark.parametrize("crashes_at", [1, 2])
+def test_confirmation_interrupted_by_a_crash_can_be_repeated_by_another_process(
+    crashes_at: int, after_effect: bool
 ) -> None:
     platform = build_platform()
-    plan = make(build_store(platform), class_intent("gold"))
-    dying = DyingPlatform(random=Random(1), fault_rate=0.0, table=platform.table)
-    dying.dies_at = dies_at
-    dying.after_effect = after_effect
-    with pytest.raises(KilledError):
-        run_to_completion(build_store(dying, seed=5).confirm(plan.id, "a"))
-    took_effect = dies_at == 2 and after_effect
+    plan = create_plan(build_store(platform), class_intent("gold"))
+    crashing = CrashingPlatform(random=Random(1), fault_rate=0.0, table=platform.table)
+    crashing.crashes_at = crashes_at
+    crashing.after_effect = after_effect
+    with pytest.raises(ProcessCrashError):
+        run_to_completion(build_store(crashing, seed=5).confirm(plan.id, "a"))
+    took_effect = crashes_at == 2 and after_effect
     assert version(platform) == (2 if took_effect else 1)
     other = build_store(platform, seed=6)
     assert run_to_completion(other.confirm(plan.id, "b")).is_ok()
     assert version(platform) == 2
 
 
-class Turn:
-    """Give way to the other operator."""
+class YieldOnce:
+    """Yields to the other operator's coroutine."""
 
     def __await__(self) -> Iterator[None]:
         yield
 
 
-class TurnTakingPlatform(FakePlatform):
-    """A fake platform at which each call gives way before it takes effect."""
+class InterleavingPlatform(FakePlatform):
+    """A fake platform that yields before each call takes effect."""
 
     async def commit(self, transaction: Transaction) -> Result[None, Any]:
-        await Turn()
+        await YieldOnce()
         return await super().commit(transaction)
 
     async def read_rows(self, keys: list[str]) -> Result[dict[str, Row], Any]:
-        await Turn()
+        await YieldOnce()
         return await super().read_rows(keys)
 
 
-def race(order: list[bool]) -> tuple[list[Any], FakePlatform]:
-    """Confirm two plans on one base at once, taking turns in an order."""
+def confirm_concurrently(order: list[bool]) -> tuple[list[Any], FakePlatform]:
+    """Confirm two plans with the same base concurrently, interleaved in an order."""
     platform = build_platform()
     plans = [
-        make(build_store(platform, seed=number), class_intent(name))
+        create_plan(build_store(platform, seed=number), class_intent(name))
         for number, name in enumerate(("gold", "silver"))
     ]
-    shared = TurnTakingPlatform(random=Random(1), fault_rate=0.0, table=platform.table)
+    shared = InterleavingPlatform(
+        random=Random(1), fault_rate=0.0, table=platform.table
+    )
     running = {
         number: build_store(shared).confirm(plan.id, str(number))
         for number, plan in enumerate(plans)
     }
     answers = {}
-    for turn in [*order, *([False, True] * 20)]:
-        number = int(turn)
+    for step in [*order, *([False, True] * 20)]:
+        number = int(step)
         if number in answers:
             continue
         try:
@@ -264,18 +269,18 @@
 
 
 @given(order=st.lists(st.booleans(), max_size=30))
-def test_of_two_confirmations_at_once_one_wins_in_every_order(
+def test_one_of_two_concurrent_confirmations_is_accepted_in_any_interleaving(
     order: list[bool],
 ) -> None:
-    answers, platform = race(order)
-    won = [answer for answer in answers if answer.is_ok()]
-    lost = [answer.unwrap_err() for answer in answers if answer.is_err()]
-    assert len(won) == 1
-    assert isinstance(lost[0], PlanOvertaken)
+    answers, platform = confirm_concurrently(order)
+    accepted = [answer for answer in answers if answer.is_ok()]
+    refused = [answer.unwrap_err() for answer in answers if answer.is_err()]
+    assert len(accepted) == 1
+    assert isinstance(refused[0], PlanOvertaken)
     assert version(platform) == 2
 
 
-def test_a_confirmation_without_its_condition_would_let_both_win(
+def test_both_concurrent_confirmations_succeed_without_the_row_condition(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     original = TableStore.commit
@@ -283,12 +288,12 @@
     def commit_without_condition(
         self: TableStore, writes: list[dict[str, Any]]
     ) -> list[str]:
-        loose = [
+        unconditional = [
             {**write, "expected_version": self.read(write["key"]).version}
             for write in writes
         ]
-        return original(self, loose)
+        return original(self, unconditional)
 
     monkeypatch.setattr(TableStore, "commit", commit_without_condition)
-    answers, _ = race([False, True])
+    answers, _ = confirm_concurrently([False, True])
     assert all(answer.is_ok() for answer in answers)
