--- a/packages/daemon/src/plankspindle_daemon/configuration/__init__.py
+++ b/packages/daemon/src/plankspindle_daemon/configuration/__init__.py
@@ -1,3 +1,3 @@
-"""Adoption of configuration versions by a daemon."""
+"""Reading, distribution and freshness of configuration versions."""
 
 from __future__ import annotations
--- a/packages/daemon/src/plankspindle_daemon/configuration/broadcast_targets.py
+++ b/packages/daemon/src/plankspindle_daemon/configuration/broadcast_targets.py
@@ -1,9 +1,9 @@
-"""Choice of the members that are told of a new version at once.
+"""Choice of the members to which a new version is announced immediately.
 
 Two neighbours on a ring and a few random members, as in RINGCAST (S. Voulgaris and
 M. van Steen, Hybrid Dissemination: Adding Determinism to Probabilistic Multicasting in
 Large-Scale P2P Systems). The ring reaches every live member between two dead ones, the
-random members make it fast. docs/design/configuration.md has the figures.
+random members make the broadcast fast. docs/design/configuration.md has the figures.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     random: Random,
     random_target_count: int = RANDOM_TARGET_COUNT,
 ) -> list[str]:
-    """Choose whom to tell of a new version.
+    """Choose the members to which a new version is announced.
 
     Parameters
     ----------
@@ -35,7 +35,7 @@
     random : Random
         Source of the random members.
     random_target_count : int
-        Random members besides the two neighbours.
+        Number of random members besides the two neighbours.
 
     Returns
     -------
@@ -45,8 +45,8 @@
     count = len(members)
     if count < 2:
         return []
-    place = members.index(own_name)
-    targets = {members[(place + 1) % count], members[(place - 1) % count]}
+    index = members.index(own_name)
+    targets = {members[(index + 1) % count], members[(index - 1) % count]}
     for _ in range(random_target_count):
         targets.add(members[random.randrange(count)])
     targets.discard(own_name)
--- a/packages/daemon/src/plankspindle_daemon/configuration/configuration_reader.py
+++ b/packages/daemon/src/plankspindle_daemon/configuration/configuration_reader.py
@@ -1,4 +1,4 @@
-"""Reads accepted configuration versions from the platform."""
+"""Reading of accepted configuration versions from the platform."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 @frozen
 class ConfigurationReadFailed:
-    """The newest version could not be read; the present one stays in force.
+    """The newest version could not be read; the current one stays in force.
 
     Parameters
     ----------
     detail : str
-        Why.
+        Description of the failure.
     """
 
     detail: str
@@ -36,33 +36,33 @@
 
 @frozen(kw_only=True)
 class AcceptedVersion:
-    """A version that was read whole and is valid."""
+    """An accepted version: its head row and its valid content."""
 
     head: HeadRow
     configuration: Configuration
 
 
 class ReaderPort(Protocol):
-    """Reads accepted versions of the configuration."""
+    """Interface for reading accepted versions of the configuration."""
 
     async def read_newer(
         self, version: int, wait_s: float | None = None
     ) -> Result[AcceptedVersion | None, ConfigurationReadFailed]:
-        """Read the newest version if it is higher than a given one.
+        """Return the newest version if it is higher than a given one.
 
         Parameters
         ----------
         version : int
-            The given one.
+            Version in force.
         wait_s : float, optional
-            Longest time to wait for a newer one, where the platform tells of changes;
-            the reader's own if not given.
+            Maximum time to wait for a newer version in seconds, on platforms that
+            announce changes; the reader's default if not given.
         """
 
 
 @define(kw_only=True)
 class ConfigurationReader:
-    """Read the head row, and the content when the version is new.
+    """Reads the head row, and the content if the version is new.
 
     Parameters
     ----------
@@ -75,14 +75,14 @@
     async def read_newer(
         self, version: int, wait_s: float | None = None
     ) -> Result[AcceptedVersion | None, ConfigurationReadFailed]:
-        """Read the newest version if it is higher than a given one.
+        """Return the newest version if it is higher than a given one.
 
         Parameters
         ----------
         version : int
             Version in force.
         wait_s : float, optional
-            Not used: the product's own platform does not tell of changes.
+            Ignored: the product's own platform does not announce changes.
 
         Returns
         -------
@@ -108,7 +108,7 @@
     async def read_content(
         self, digest: str
     ) -> Result[Configuration, ConfigurationReadFailed]:
-        """Read and check the content of a version by its digest."""
+        """Return the content with a digest, after verifying the digest."""
         content = await self.platform.get_object(object_name(digest))
         if content.is_err():
             return Err(ConfigurationReadFailed(content.unwrap_err().detail))
@@ -116,5 +116,5 @@
         if found is None or content_digest(found) != digest:
             return Err(ConfigurationReadFailed(f"no object with digest {digest}"))
         return decode_configuration(found).map_err(
-            lambda e: ConfigurationReadFailed(str(e))
+            lambda error: ConfigurationReadFailed(str(error))
         )
--- a/packages/daemon/src/plankspindle_daemon/configuration/head_row.py
+++ b/packages/daemon/src/plankspindle_daemon/configuration/head_row.py
@@ -1,4 +1,4 @@
-"""The row of the table service that names the version in force."""
+"""Rows of the table service that name the version in force and earlier ones."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     digest : str
         Name of its content in the object store.
     plan : str
-        Plan that made it.
+        Identifier of the plan that created it.
     operator : str
         Operator who confirmed it.
     """
@@ -38,7 +38,7 @@
     operator: str
 
     def to_mapping(self) -> dict[str, Any]:
-        """Give the form kept in the table service."""
+        """Return the form stored in the table service."""
         return {
             "version": self.version,
             "digest": self.digest,
@@ -48,7 +48,7 @@
 
 
 def head_row_from_mapping(mapping: Any) -> Result[HeadRow, Unreadable]:
-    """Read the form kept in the table service."""
+    """Parse the form stored in the table service."""
     try:
         return Ok(
             HeadRow(
@@ -63,10 +63,10 @@
 
 
 def log_key(version: int) -> str:
-    """Name the row that keeps what was accepted as a version."""
+    """Return the key of the log row of an accepted version."""
     return f"{LOG_PREFIX}{version:0{_VERSION_DIGITS}d}"
 
 
 def object_name(digest: str) -> str:
-    """Name the object that holds a configuration."""
+    """Return the name of the object that holds a configuration."""
     return f"configuration-{digest}"
--- a/packages/daemon/src/plankspindle_daemon/configuration/version_exchange.py
+++ b/packages/daemon/src/plankspindle_daemon/configuration/version_exchange.py
@@ -1,4 +1,4 @@
-"""State machine by which entry VMs learn configuration versions from each other."""
+"""State machine by which entry VMs fetch configuration versions from each other."""
 
 from __future__ import annotations
 
@@ -21,22 +21,29 @@
     from collections.abc import Sequence
 
 CHUNK_BYTES = 1_000
+"""Compressed content in one message, in bytes."""
 MAX_CONTENT_BYTES = 64 * 1024 * 1024
 WINDOW_CHUNKS = 16
+"""Chunks that are requested at a time."""
 CHUNK_RETRY_S = 0.25
+"""Time after which missing chunks are requested again, in seconds."""
 FETCH_TIMEOUT_S = 5.0
+"""Duration after which a stalled fetch is abandoned, in seconds."""
 SOURCE_TIMEOUT_S = 2 * CHUNK_RETRY_S
-"""Silence of a source after which another one that has the version is asked instead.
+"""Time without a chunk after which another member may replace the source, in seconds.
 
-A VM that the platform turns away learns versions from members alone.
+A VM that cannot read from the platform gets versions from members only, so it must not
+depend on a failed one.
 """
 READER_COUNT = 2
+"""Members of a failure domain that poll the platform."""
 READER_TIMEOUT_S = 2.0
+"""Age of the last reported read after which all members poll, in seconds."""
 
 
 @frozen(kw_only=True)
 class FetchedContent:
-    """Whole content that was learned from a member and matches its digest."""
+    """Complete content fetched from a member, which matches its digest."""
 
     version: int
     content: bytes
@@ -44,7 +51,7 @@
 
 @frozen
 class DamagedContent:
-    """What was learned does not match its digest; another member is to be asked."""
+    """The content does not match its digest and must be fetched from another member."""
 
     detail: str
 
@@ -64,7 +71,7 @@
     chunks_by_offset: dict[int, bytes] = field(factory=dict)
 
     def is_source_responsive(self, now: float) -> bool:
-        """Tell whether its source still answers, or may yet."""
+        """Return whether the source sent a chunk within ``SOURCE_TIMEOUT_S``."""
         return now - self.received_at < SOURCE_TIMEOUT_S
 
     def missing_offsets(self) -> list[int]:
@@ -76,7 +83,7 @@
 
 @frozen(kw_only=True)
 class _Offer:
-    """Content of the version in force, as members are given it."""
+    """Compressed content of the version in force, as sent to members."""
 
     digest: str
     compressed: bytes
@@ -88,7 +95,7 @@
 
 @define(kw_only=True)
 class VersionExchange:
-    """Offer the version in force to members, and fetch higher ones from them.
+    """Serves the version in force to members, and fetches higher ones from them.
 
     Parameters
     ----------
@@ -97,10 +104,10 @@
 
     Notes
     -----
-    Versions are offered by the heartbeats, which name the version in force. A member
-    that hears of a higher one asks the sender for its content in parts. It believes
-    content only if its digest matches, and the authenticated sender vouches for the
-    digest; the reader that began got it from the table service.
+    Heartbeats announce the version in force. A member that receives a higher one than
+    its own requests its content in chunks from the sender. Content is accepted only if
+    it matches its digest. The digest is trusted because the sender is authenticated;
+    the member that first read the version got it from the table service.
     """
 
     vm: str
@@ -112,15 +119,15 @@
     _fetch: _Fetch | None = None
 
     def serve_version(self, version: int, make_content: Callable[[], bytes]) -> None:
-        """Offer a version that is in force.
+        """Serve a version that is in force.
 
         Parameters
         ----------
         version : int
-            Its number.
+            Number of the version.
         make_content : callable
-            Writes it, once a member asks; most members read it for themselves or ask
-            another one.
+            Encodes the content. It is called at the first request, since most members
+            read the version themselves or request it from another member.
         """
         self.version = version
         self._make_content = make_content
@@ -129,7 +136,7 @@
             self._fetch = None
 
     def is_reader(self, members: Sequence[str], now: float, reported_at: float) -> bool:
-        """Tell whether this VM is to poll the platform for a new version.
+        """Return whether this VM must poll the platform for a new version.
 
         Parameters
         ----------
@@ -138,19 +145,21 @@
         now : float
             Monotonic seconds.
         reported_at : float
-            When a member last said that it had read the head, monotonic seconds.
+            Latest time at which a member reported to have read the head row,
+            monotonic seconds.
 
         Returns
         -------
         bool
-            True for the first members, and for all while no reader was heard.
+            True for the first ``READER_COUNT`` members, and for all members while no
+            read has been reported for ``READER_TIMEOUT_S``.
         """
         return self.vm in members[:READER_COUNT] or now - reported_at > READER_TIMEOUT_S
 
     def handle_announcement(
         self, sender: str, version: int, now: float
     ) -> list[ContentRequest]:
-        """Take the version that a member has in force."""
+        """Handle the version that a member announces; request it if it is higher."""
         if version <= self.version:
             return []
         fetch = self._fetch
@@ -177,9 +186,9 @@
         ]
 
     def chunk_for(self, request: ContentRequest) -> ContentChunk | None:
-        """Give a part of the version in force, if it is the one asked for."""
-        wrong_place = request.offset % CHUNK_BYTES
-        if request.version != self.version or wrong_place or self.version == 0:
+        """Return a chunk of the version in force; None if the request is invalid."""
+        is_misaligned = request.offset % CHUNK_BYTES
+        if request.version != self.version or is_misaligned or self.version == 0:
             return None
         if self._offer is None:
             self._offer = _Offer.of(self._make_content())
@@ -197,12 +206,13 @@
         )
 
     def handle_chunk(self, chunk: ContentChunk, now: float) -> ChunkResult:
-        """Take a part.
+        """Handle a received chunk.
 
         Returns
         -------
         Result
-            The whole content, or what to ask for next, or that it is damaged.
+            The complete content, the next requests, or the reason why the content is
+            damaged.
         """
         fetch = self._fetch
         if fetch is None or chunk.version != fetch.version:
@@ -215,13 +225,17 @@
         if (chunk.total, chunk.digest) != (fetch.total, fetch.digest):
             return Ok([])
         fetch.received_at = now
-        known = chunk.offset in fetch.chunks_by_offset
+        is_duplicate = chunk.offset in fetch.chunks_by_offset
         fetch.chunks_by_offset[chunk.offset] = chunk.data
         if not fetch.missing_offsets():
             self._fetch = None
             return self._finish(fetch)
-        window_done = len(fetch.chunks_by_offset) % WINDOW_CHUNKS in (0, 1)
-        return Ok(self._request_chunks(fetch, now) if window_done and not known else [])
+        is_window_complete = len(fetch.chunks_by_offset) % WINDOW_CHUNKS in (0, 1)
+        return Ok(
+            self._request_chunks(fetch, now)
+            if is_window_complete and not is_duplicate
+            else []
+        )
 
     def _finish(self, fetch: _Fetch) -> ChunkResult:
         ordered = sorted(fetch.chunks_by_offset.items())
@@ -232,17 +246,17 @@
             return Err(DamagedContent(str(error)))
         if content_digest(content) != fetch.digest:
             self.damaged_count += 1
-            return Err(DamagedContent("the digest does not match"))
+            return Err(DamagedContent("content does not match its digest"))
         self.fetched_count += 1
         return Ok(FetchedContent(version=fetch.version, content=content))
 
     def tick(self, now: float) -> tuple[str, list[ContentRequest]]:
-        """Ask again for parts that did not come.
+        """Request missing chunks again.
 
         Returns
         -------
         tuple of str and list of ContentRequest
-            The member to ask, and the requests; empty if there is nothing to do.
+            The source and the requests; both empty if nothing is due.
         """
         fetch = self._fetch
         if fetch is None:
@@ -262,5 +276,5 @@
     decompressor = zlib.decompressobj()
     content = decompressor.decompress(data, MAX_CONTENT_BYTES)
     if not decompressor.eof:
-        raise zlib.error("the content is cut off or too long")
+        raise zlib.error("content is truncated or too long")
     return content
