--- a/packages/daemon/src/plankspindle_daemon/digests/__init__.py
+++ b/packages/daemon/src/plankspindle_daemon/digests/__init__.py
@@ -1,3 +1,3 @@
-"""What entry VMs of other failure domains say of their load; hints for plans only."""
+"""Load digests of entry VMs in all failure domains, used for plans and status only."""
 
 from __future__ import annotations
--- a/packages/daemon/src/plankspindle_daemon/digests/digest_exchange.py
+++ b/packages/daemon/src/plankspindle_daemon/digests/digest_exchange.py
@@ -1,4 +1,4 @@
-"""What an entry VM says to other failure domains by itself."""
+"""Periodic messages of an entry VM to other failure domains."""
 
 from __future__ import annotations
 
@@ -27,35 +27,35 @@
     from plankspindle_daemon.dispatch.dispatcher import Dispatcher
 
 DIGEST_PERIOD_S = 1.0
-"""Period of digests, on whose loads plans of shifts are forecast, in seconds."""
+"""Period of load digests, on which forecasts of shift plans are based, in seconds."""
 STATUS_PERIOD_S = 5.0
-"""The same where heartbeats reach the entry VMs of all failure domains.
+"""Period where heartbeats reach the entry VMs of all failure domains, in seconds.
 
-The platform's operator changes the configuration there, nothing is forecast, and only
-``plankspindle status`` reads digests. In nine domains each VM receives 1.8 of them a
-second so, not 9, and is woken by each.
+The platform's operator changes the configuration there, no plan is forecast, and only
+``plankspindle status`` reads digests. Each digest wakes the receiver; with nine failure
+domains each VM receives 1.8 a second at this period instead of 9.
 """
 
 
 @define(kw_only=True)
 class DigestExchange:
-    """Send load digests, and ask for headroom for shifts.
+    """Sends load digests, and requests headroom for shifts.
 
     Parameters
     ----------
     vm, failure_domain : str
-        This VM and where it stands.
+        Name and failure domain of this VM.
     random : Random
-        Source of choices.
+        Source of the choice of receivers.
     membership : Membership
-        Keeper of the platform's list.
+        Members and the platform's list of entry VMs.
     headroom : HeadroomManager
-        Grants.
+        Headroom grants.
 
     Attributes
     ----------
     digests : DigestTable
-        Loads that were heard, the own one among them.
+        Newest digests received, including the one of this VM.
     """
 
     vm: str
@@ -69,14 +69,14 @@
     def own_digest(
         self, dispatchers_by_service: Mapping[str, Dispatcher], version: int, now: float
     ) -> LoadDigest:
-        """Sum up the own load.
+        """Return the load digest of this VM.
 
         Parameters
         ----------
         dispatchers_by_service : mapping of str to Dispatcher
-            The load.
+            Dispatchers of this VM.
         version : int
-            Configuration in force.
+            Version of the configuration in force.
         now : float
             Monotonic seconds.
         """
@@ -97,7 +97,7 @@
         drained: AbstractSet[str],
         now: float,
     ) -> list[SendToPeer]:
-        """Send digests and ask for headroom, each once a period."""
+        """Return the digests and headroom requests that are due."""
         return [
             *self._send_digests(dispatchers_by_service, version, now),
             *self._request_headroom(shifts, configuration, drained=drained, now=now),
@@ -106,11 +106,13 @@
     def _send_digests(
         self, dispatchers_by_service: Mapping[str, Dispatcher], version: int, now: float
     ) -> list[SendToPeer]:
-        """Send the own load to one VM of each failure domain, once a period."""
+        """Return digests for one VM of each failure domain, once a period."""
         if now < self._next_digest_at:
             return []
-        hears_all = self.membership.options.all_domains
-        self._next_digest_at = now + (STATUS_PERIOD_S if hears_all else DIGEST_PERIOD_S)
+        has_all_domains = self.membership.options.all_domains
+        self._next_digest_at = now + (
+            STATUS_PERIOD_S if has_all_domains else DIGEST_PERIOD_S
+        )
         digest = self.own_digest(dispatchers_by_service, version, now)
         self.digests.record(digest, now)
         listed = self.membership.listed_by_name.values()
@@ -125,7 +127,7 @@
         drained: AbstractSet[str],
         now: float,
     ) -> list[SendToPeer]:
-        """Ask other regions for headroom for shifts, once a period."""
+        """Return requests to other regions for headroom for shifts, once a period."""
         if not self.headroom.is_request_due(now) or configuration is None:
             return []
         targets = choose_targets(
@@ -136,7 +138,7 @@
             random=self.random,
         )
         return [
-            asked
+            request
             for target in targets
-            for asked in self.headroom.request_headroom(target, now)
+            for request in self.headroom.request_headroom(target, now)
         ]
--- a/packages/daemon/src/plankspindle_daemon/digests/digest_table.py
+++ b/packages/daemon/src/plankspindle_daemon/digests/digest_table.py
@@ -1,4 +1,4 @@
-"""The newest load digests of all entry VMs that were heard."""
+"""The newest load digest received from each entry VM."""
 
 from __future__ import annotations
 
@@ -10,12 +10,14 @@
 from plankspindle_daemon.peer_messages.load_digest import ServiceLoad
 
 MAX_DIGEST_AGE_S = 30.0
+"""Age after which a digest is ignored, in seconds."""
 MAX_SENDERS = 10_000
+"""Digests that are stored, so that memory stays bounded."""
 
 
 @frozen(kw_only=True)
 class ReceivedDigest:
-    """A digest and when it came."""
+    """A digest and its time of receipt in monotonic seconds."""
 
     digest: LoadDigest
     received_at: float
@@ -23,7 +25,7 @@
 
 @define(kw_only=True)
 class DigestTable:
-    """Digests by sender.
+    """Stores the newest digest of each sender.
 
     Attributes
     ----------
@@ -34,7 +36,7 @@
     received_by_vm: dict[str, ReceivedDigest] = field(factory=dict)
 
     def record(self, digest: LoadDigest, now: float) -> None:
-        """Keep a digest; the oldest goes when there are too many."""
+        """Record a digest; the oldest is evicted at ``MAX_SENDERS``."""
         self.received_by_vm.pop(digest.sender, None)
         if len(self.received_by_vm) >= MAX_SENDERS:
             del self.received_by_vm[next(iter(self.received_by_vm))]
@@ -43,7 +45,7 @@
         )
 
     def load_of(self, *, service: str, domains: set[str], now: float) -> ServiceLoad:
-        """Add up the load of a service in some failure domains, as far as heard.
+        """Return the reported load of a service, summed over failure domains.
 
         Parameters
         ----------
@@ -52,14 +54,14 @@
         domains : set of str
             Names of failure domains.
         now : float
-            Monotonic seconds; digests older than ``MAX_REPORT_AGE_S`` do not count.
+            Monotonic seconds; digests older than ``MAX_DIGEST_AGE_S`` are ignored.
         """
         loads = [
             load
-            for heard in self.received_by_vm.values()
-            if heard.digest.failure_domain in domains
-            and now - heard.received_at <= MAX_DIGEST_AGE_S
-            for load in heard.digest.loads
+            for received in self.received_by_vm.values()
+            if received.digest.failure_domain in domains
+            and now - received.received_at <= MAX_DIGEST_AGE_S
+            for load in received.digest.loads
             if load.service == service
         ]
         return ServiceLoad(
@@ -70,9 +72,9 @@
         )
 
     def reporting_domains(self, now: float) -> set[str]:
-        """Name the failure domains that were heard lately."""
+        """Return the failure domains with a digest not older than the maximum age."""
         return {
-            heard.digest.failure_domain
-            for heard in self.received_by_vm.values()
-            if now - heard.received_at <= MAX_DIGEST_AGE_S
+            received.digest.failure_domain
+            for received in self.received_by_vm.values()
+            if now - received.received_at <= MAX_DIGEST_AGE_S
         }
--- a/packages/daemon/src/plankspindle_daemon/digests/own_digest.py
+++ b/packages/daemon/src/plankspindle_daemon/digests/own_digest.py
@@ -1,4 +1,4 @@
-"""The load digest of this entry VM, and whom to send it to."""
+"""Contents and receivers of the load digest of this entry VM."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     from plankspindle_daemon.platform.live_list import ListedVm
 
 MAX_SERVICES = 16
-"""Services in a digest, so that it fits a frame."""
+"""Maximum number of services in a digest, so that it fits into one frame."""
 
 
 def sum_loads(
     dispatchers_by_service: Mapping[str, Dispatcher], now: float
 ) -> tuple[ServiceLoad, ...]:
-    """Sum up the load of each service on this VM."""
+    """Return the load of each service on this VM, at most ``MAX_SERVICES``."""
     loads = [
         ServiceLoad(
             service=service,
@@ -43,7 +43,7 @@
     Parameters
     ----------
     listed : iterable of ListedVm
-        The platform's list.
+        Entry VMs in the platform's list.
     own_name : str
         Name of this VM.
     random : Random
@@ -52,7 +52,7 @@
     Returns
     -------
     list of Endpoint
-        Peer listeners, in the order of their failure domains.
+        Peer endpoints, sorted by failure domain.
     """
     endpoints_by_domain: dict[str, list[Endpoint]] = {}
     for vm in listed:
