--- a/packages/daemon/src/plankspindle_daemon/shifts/__init__.py
+++ b/packages/daemon/src/plankspindle_daemon/shifts/__init__.py
@@ -1,3 +1,3 @@
-"""Confirmed shifts of part of a service's requests to another region."""
+"""Confirmed shifts, which move a share of a service's requests to another region."""
 
 from __future__ import annotations
--- a/packages/daemon/src/plankspindle_daemon/shifts/shift_meter.py
+++ b/packages/daemon/src/plankspindle_daemon/shifts/shift_meter.py
@@ -1,4 +1,4 @@
-"""Choice of the requests that a shift moves, with a hard meter."""
+"""Selection of the requests that a shift moves, with a strict cap on their number."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @frozen
 class Stay:
-    """The request is served here."""
+    """The request stays in the region of this VM."""
 
 
 @frozen
@@ -23,9 +23,9 @@
     Parameters
     ----------
     shift_id : str
-        Which one.
+        Name of the shift.
     to_region : str
-        Where to.
+        Target region.
     """
 
     shift_id: str
@@ -34,18 +34,18 @@
 
 @define(kw_only=True)
 class MeteredShift:
-    """A shift and what this VM has moved under it.
+    """A shift and the number of requests that this VM has moved under it.
 
     Parameters
     ----------
     shift : Shift
         The shift.
     started_at : float
-        When it came in force here, monotonic seconds.
+        When it took effect on this VM, monotonic seconds.
     request_count : int
-        Requests of the service since the shift is in force here.
+        Requests of the service since then.
     moved_count : int
-        Those that were moved.
+        Requests among them that were moved.
     """
 
     shift: Shift
@@ -54,22 +54,22 @@
     moved_count: int = 0
 
     def may_move(self) -> bool:
-        """Tell whether one more moved request keeps within the cap."""
+        """Return whether one more moved request stays within the cap."""
         return (
             self.moved_count + 1
         ) * 100 <= self.shift.cap_percent * self.request_count
 
     def ramped_percent(self, now: float) -> float:
-        """Give the share of the callers that may move by now, in percent."""
+        """Return the share of callers that may be moved now, in percent."""
         if self.shift.ramp_s == 0:
             return self.shift.cap_percent
-        done = min(1.0, max(0.0, now - self.started_at) / self.shift.ramp_s)
-        return self.shift.cap_percent * done
+        ramp_share = min(1.0, max(0.0, now - self.started_at) / self.shift.ramp_s)
+        return self.shift.cap_percent * ramp_share
 
 
 @define(kw_only=True)
 class ShiftMeter:
-    """All shifts out of the region of this VM, by service.
+    """Selects the requests that shifts move out of the region of this VM.
 
     Parameters
     ----------
@@ -78,10 +78,10 @@
 
     Notes
     -----
-    Callers are placed on [0, 1) by a stable hash. The shifts of a service take one part
-    of it after another, in the order of their ids, so the callers of a 20 % shift are
-    among those of the 30 % one that replaces it. The meter counts requests, so a caller
-    that sends half of the traffic cannot carry a shift over its cap.
+    A stable hash maps callers to [0, 100). The shifts of a service occupy consecutive
+    ranges of it, ordered by their ids, so the callers of a 20 % shift are a subset of
+    those of the 30 % shift that replaces it. The cap applies to counted requests, so a
+    caller that sends half of the traffic cannot make a shift exceed its cap.
     """
 
     region: str | None
@@ -89,12 +89,12 @@
 
     @classmethod
     def create(cls, *, region: str | None) -> ShiftMeter:
-        """Make a meter without shifts."""
+        """Return a meter without shifts."""
         return cls(region=region, by_id_by_service={})
 
     def apply_shifts(self, shifts_by_id: dict[str, Shift], now: float) -> None:
-        """Take the shifts of another version; counts of unchanged ones are kept."""
-        before = {
+        """Apply the shifts of a new version; unchanged ones keep their counts."""
+        metered_by_id = {
             shift_id: metered
             for by_id in self._by_id_by_service.values()
             for shift_id, metered in by_id.items()
@@ -103,13 +103,13 @@
         for shift_id, shift in sorted(shifts_by_id.items()):
             if shift.from_region != self.region:
                 continue
-            metered = before.get(shift_id)
+            metered = metered_by_id.get(shift_id)
             if metered is None or metered.shift != shift:
                 metered = MeteredShift(shift=shift, started_at=now)
             self._by_id_by_service.setdefault(shift.service, {})[shift_id] = metered
 
     def choose(self, *, service: str, caller_key: str, now: float) -> Stay | Move:
-        """Count a request and decide whether it may move.
+        """Count a request and decide whether it may be moved.
 
         Parameters
         ----------
@@ -123,24 +123,24 @@
         Returns
         -------
         Stay or Move
-            A move has to be counted with :meth:`count_move` if it is made.
+            A move must be recorded with :meth:`record_move` if it is made.
         """
         by_id = self._by_id_by_service.get(service)
         if not by_id:
             return Stay()
-        place = stable_hash(f"{service}/{caller_key}") / _HASH_RANGE * 100
-        begin = 0.0
+        caller_percent = stable_hash(f"{service}/{caller_key}") / _HASH_RANGE * 100
+        range_start = 0.0
         chosen: Stay | Move = Stay()
         for shift_id, metered in by_id.items():
             metered.request_count += 1
-            moving = begin + metered.ramped_percent(now)
-            if begin <= place < moving and metered.may_move():
+            range_end = range_start + metered.ramped_percent(now)
+            if range_start <= caller_percent < range_end and metered.may_move():
                 chosen = Move(shift_id, metered.shift.to_region)
-            begin += metered.shift.cap_percent
+            range_start += metered.shift.cap_percent
         return chosen
 
     def record_move(self, *, service: str, move: Move) -> None:
-        """Count a request that is moved."""
+        """Record that a request was moved."""
         metered = self._by_id_by_service[service][move.shift_id]
         metered.moved_count += 1
         check_invariant(
@@ -151,11 +151,11 @@
         )
 
     def shifts(self) -> list[Shift]:
-        """Give every shift."""
+        """Return all shifts."""
         return [metered.shift for metered in self.counts_by_id().values()]
 
     def counts_by_id(self) -> dict[str, MeteredShift]:
-        """Give every shift with its counts."""
+        """Return all shifts with their counts, by shift id."""
         return {
             shift_id: metered
             for by_id in self._by_id_by_service.values()
--- a/packages/daemon/tests/shifts/test_shift_meter.py
+++ b/packages/daemon/tests/shifts/test_shift_meter.py
@@ -1,4 +1,4 @@
-"""Tests of the shift meter."""
+"""Selection of requests by shifts, and their caps."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     callers=st.lists(st.sampled_from([f"dealer-{n}" for n in range(9)]), max_size=300),
     caps=st.lists(st.floats(0, 50), min_size=1, max_size=2),
 )
-def test_each_shift_stays_within_its_cap_at_every_moment(
+def test_moved_requests_never_exceed_the_cap_of_a_shift(
     callers: list[str], caps: list[float]
 ) -> None:
     meter = build_meter(**{f"s{index}": cap for index, cap in enumerate(caps)})
@@ -55,7 +55,7 @@
             assert count * 100 <= cap * total
 
 
-def test_one_dealer_that_is_all_the_traffic_cannot_pass_the_cap() -> None:
+def test_single_caller_cannot_exceed_the_cap() -> None:
     dealer = next(
         name
         for name in (f"dealer-{number}" for number in range(100))
@@ -64,7 +64,7 @@
     assert len(moved(build_meter(s=20.0), [dealer] * 1000)) == 200
 
 
-def test_the_callers_of_a_smaller_shift_are_among_those_of_a_larger_one() -> None:
+def test_callers_of_smaller_shift_are_subset_of_larger_shift() -> None:
     callers = [f"dealer-{number}" for number in range(400)] * 5
     small = set(moved(build_meter(s=20.0), callers))
     large = set(moved(build_meter(s=30.0), callers))
@@ -72,13 +72,13 @@
     assert small < large
 
 
-def test_a_meter_of_another_region_moves_nothing() -> None:
+def test_shift_from_other_region_moves_no_requests() -> None:
     meter = ShiftMeter.create(region="kosice")
     meter.apply_shifts({"s": build_shift(100.0)}, 0.0)
     assert moved(meter, ["dealer"] * 10) == []
 
 
-def test_counts_survive_another_version_of_the_configuration() -> None:
+def test_counts_of_unchanged_shift_survive_configuration_change() -> None:
     meter = build_meter(s=20.0)
     moved(meter, ["dealer"] * 10)
     meter.apply_shifts({"s": build_shift(20.0), "t": build_shift(10.0)}, 1.0)
@@ -86,7 +86,7 @@
     assert meter.counts_by_id()["t"].request_count == 0
 
 
-def test_a_shift_grows_over_its_ramp() -> None:
+def test_moved_callers_increase_over_the_ramp() -> None:
     callers = [f"dealer-{number}" for number in range(400)] * 5
     reached = []
     for now in (0.0, 15.0, 30.0, 60.0):
