--- a/packages/daemon/src/plankspindle_daemon/drains/__init__.py
+++ b/packages/daemon/src/plankspindle_daemon/drains/__init__.py
@@ -1,3 +1,3 @@
-"""When confirmed drains take effect on VMs and upstreams."""
+"""Times at which confirmed drains take effect on entry VMs and upstreams."""
 
 from __future__ import annotations
--- a/packages/daemon/src/plankspindle_daemon/drains/drain_schedule.py
+++ b/packages/daemon/src/plankspindle_daemon/drains/drain_schedule.py
@@ -1,4 +1,4 @@
-"""Times from which confirmed drains keep new work away."""
+"""Times from which drained VMs and upstreams get no new requests."""
 
 from __future__ import annotations
 
@@ -15,20 +15,23 @@
     from plankspindle_core.configuration.drain import Drain
 
 LINGER_S = float(LOOKUP_TTL_S)
-"""Time for which a drained place still takes work, until kept look-ups run out."""
+"""Time for which a drained location still accepts requests, in seconds.
+
+Callers cache lookup answers for so long.
+"""
 
 _UPSTREAM_KINDS = (DrainKind.UPSTREAM, DrainKind.UPSTREAMS_OF_DOMAIN)
 
 
 @define(kw_only=True)
 class DrainSchedule:
-    """Drains of the version in force, and since when they are.
+    """Drains of the version in force, and when each took effect.
 
     Notes
     -----
-    A drained upstream gets nothing new at once. A drained place is no longer named at
-    once, and its entry VMs and upstreams go on for ``LINGER_S``, so that callers which
-    kept an answer are still served.
+    A drained upstream gets no new requests immediately. A drained VM, failure domain or
+    region is immediately left out of lookup answers, but its entry VMs and upstreams
+    continue to serve for ``LINGER_S``, so that callers with cached answers are served.
     """
 
     configuration: Configuration | None = None
@@ -40,7 +43,7 @@
         return self.configuration is not None and bool(self.configuration.drains_by_id)
 
     def apply_configuration(self, configuration: Configuration, now: float) -> None:
-        """Take the drains of another version; known ones keep their time."""
+        """Apply the drains of a new version; known ones keep their start time."""
         self.configuration = configuration
         self._started_at_by_id = {
             drain_id: self._started_at_by_id.get(drain_id, now)
@@ -50,12 +53,12 @@
     def upstream_drained_at(
         self, name: str, failure_domain: str, *, now: float, wall: float
     ) -> float | None:
-        """Give the time from which an upstream gets nothing new.
+        """Return the time from which an upstream gets no new requests.
 
         Parameters
         ----------
         name, failure_domain : str
-            The upstream and where it stands.
+            The upstream and its failure domain.
         now : float
             Monotonic seconds.
         wall : float
@@ -76,14 +79,17 @@
     def vm_refusal_at(
         self, name: str, failure_domain: str, *, now: float, wall: float
     ) -> float | None:
-        """Give the time from which an entry VM refuses requests, or None."""
+        """Return when an entry VM begins to refuse requests.
+
+        Parameters and result are as in :meth:`upstream_drained_at`.
+        """
         if self.configuration is None:
             return None
         drains = self.configuration.drains_of(failure_domain=failure_domain, vm=name)
         return self._earliest(drains, now=now, wall=wall)
 
     def vm_is_drained(self, name: str, failure_domain: str, *, wall: float) -> bool:
-        """Tell whether look-ups must not name an entry VM."""
+        """Return whether lookup answers must leave out an entry VM."""
         if self.configuration is None:
             return False
         drains = self.configuration.drains_of(failure_domain=failure_domain, vm=name)
--- a/packages/daemon/src/plankspindle_daemon/drains/vm_drains.py
+++ b/packages/daemon/src/plankspindle_daemon/drains/vm_drains.py
@@ -1,4 +1,4 @@
-"""Entry VMs that drains keep look-ups and requests away from."""
+"""Entry VMs that drains exclude from lookup answers and from serving."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 @define(kw_only=True)
 class VmDrains:
-    """Drained entry VMs, this one among them.
+    """Tracks the drained entry VMs, including this one.
 
     Parameters
     ----------
     vm, failure_domain : str
-        This VM and where it stands.
+        Name and failure domain of this VM.
     schedule : DrainSchedule
         Drains of the version in force.
     membership : Membership
-        The entry VMs.
+        Members, and the platform's list of entry VMs.
 
     Attributes
     ----------
     refuses_from : float or None
-        When this VM refuses requests, monotonic seconds.
+        When this VM begins to refuse requests, monotonic seconds; None if never.
     drained_vms : set of str
-        Entry VMs that look-ups must not name.
+        Names of the entry VMs that lookup answers must leave out.
     """
 
     vm: str
@@ -44,7 +44,7 @@
     drained_vms: set[str] = Factory(set)
 
     def refresh(self, *, now: float, wall: float) -> None:
-        """Work out anew who is drained.
+        """Recompute the drained VMs from the drains in force.
 
         Parameters
         ----------
@@ -68,7 +68,7 @@
             }
 
     def refuses(self, now: float) -> bool:
-        """Tell whether this VM refuses requests by now."""
+        """Return whether this VM refuses requests now."""
         return self.refuses_from is not None and now >= self.refuses_from
 
     def _entry_vms(self) -> Iterator[tuple[str, str]]:
