--- a/packages/daemon/src/plankspindle_daemon/leaving/__init__.py
+++ b/packages/daemon/src/plankspindle_daemon/leaving/__init__.py
@@ -1,3 +1,3 @@
-"""Planned stop of an entry VM."""
+"""Graceful shutdown of an entry VM."""
 
 from __future__ import annotations
--- a/packages/daemon/src/plankspindle_daemon/leaving/leave.py
+++ b/packages/daemon/src/plankspindle_daemon/leaving/leave.py
@@ -1,4 +1,4 @@
-"""State machine of a planned stop."""
+"""State machine of a graceful shutdown."""
 
 from __future__ import annotations
 
@@ -7,17 +7,21 @@
 from plankspindle_core.lookup_ttl import LOOKUP_TTL_S
 
 LINGER_S = 2.0 * LOOKUP_TTL_S
-"""Time for which requests are still accepted, until kept look-up answers run out."""
+"""Time for which requests are still accepted, in seconds.
+
+This is twice the time for which callers cache lookup answers, so that callers with
+cached answers are still served.
+"""
 
 
 @frozen
 class Serving:
-    """Requests are accepted and look-ups name this VM."""
+    """Requests are accepted, and lookup answers include this VM."""
 
 
 @frozen
 class Lingering:
-    """Look-ups no longer name this VM, but requests are still accepted."""
+    """Lookup answers leave out this VM, but requests are still accepted."""
 
     until: float
     deadline: float
@@ -25,14 +29,14 @@
 
 @frozen
 class Finishing:
-    """Running requests finish; new ones are refused as not run."""
+    """Running requests finish; new ones are refused without having been run."""
 
     deadline: float
 
 
 @frozen
 class Left:
-    """Nothing runs any more; the process may exit."""
+    """No requests run, or the deadline has passed; the process may exit."""
 
     aborted_requests: int
 
@@ -42,12 +46,12 @@
 
 @define(kw_only=True)
 class Leave:
-    """Leaving of this VM, from the request to stop until nothing runs.
+    """Graceful shutdown of this VM, from the stop request until no request runs.
 
     Parameters
     ----------
     leave_s : float
-        Longest time for all of it, in seconds.
+        Maximum duration of the shutdown, in seconds.
     linger_s : float
         Time for which requests are still accepted, in seconds.
     """
@@ -58,7 +62,7 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Whether look-ups must not name this VM."""
+        """Whether lookup answers must leave out this VM."""
         return not isinstance(self.state, Serving)
 
     @property
@@ -67,26 +71,26 @@
         return isinstance(self.state, Serving | Lingering)
 
     def begin(self, now: float) -> None:
-        """Begin to leave; asking again changes nothing."""
+        """Begin the shutdown; repeated calls have no effect."""
         if isinstance(self.state, Serving):
             until = now + min(self.linger_s, self.leave_s)
             self.state = Lingering(until, now + self.leave_s)
 
     def advance(self, *, running: int, now: float) -> LeaveState:
-        """Go on as far as time and running requests allow.
+        """Advance to the state that the time and the running requests allow.
 
         Parameters
         ----------
         running : int
-            Requests that run or wait here.
+            Requests that run or wait on this VM.
         now : float
             Monotonic seconds.
 
         Returns
         -------
         LeaveState
-            The state reached; ``Left.cut_off`` counts the requests that ran longer than
-            the bound.
+            The new state. ``Left.aborted_requests`` counts the requests that still ran
+            at the deadline.
         """
         match self.state:
             case Lingering(until=until, deadline=give_up_at) if now >= until:
--- a/packages/daemon/tests/leaving/test_leave.py
+++ b/packages/daemon/tests/leaving/test_leave.py
@@ -1,4 +1,4 @@
-"""Tests of the planned stop."""
+"""Graceful shutdown of an entry VM."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from plankspindle_daemon.leaving.leave import Lingering
 
 
-def test_requests_are_accepted_until_kept_answers_run_out() -> None:
+def test_requests_are_accepted_until_linger_ends() -> None:
     leave = Leave(leave_s=60.0, linger_s=10.0)
     assert leave.accepts
     leave.begin(0.0)
@@ -19,14 +19,14 @@
     assert not leave.accepts
 
 
-def test_it_waits_for_what_runs() -> None:
+def test_shutdown_waits_for_running_requests() -> None:
     leave = Leave(leave_s=60.0, linger_s=10.0)
     leave.begin(0.0)
     assert isinstance(leave.advance(running=2, now=59.0), Finishing)
     assert leave.advance(running=0, now=59.5) == Left(aborted_requests=0)
 
 
-def test_it_gives_up_at_the_bound_and_says_so() -> None:
+def test_shutdown_ends_at_deadline_and_counts_aborted_requests() -> None:
     leave = Leave(leave_s=60.0, linger_s=10.0)
     leave.begin(0.0)
     leave.begin(50.0)
