--- a/packages/testkit/src/plankspindle_testkit/lab/__main__.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/__main__.py
@@ -1,4 +1,4 @@
-"""The lab's command line: run a pattern, compare settings, or ablate."""
+"""Command line of the lab: run patterns, compare settings, disable mechanisms."""
 
 from __future__ import annotations
 
@@ -41,8 +41,8 @@
     def convert(
         self, value: object, param: click.Parameter | None, ctx: click.Context | None
     ) -> _Override:
-        place, _, number = str(value).partition("=")
-        module, _, constant = place.rpartition(".")
+        target, _, number = str(value).partition("=")
+        module, _, constant = target.rpartition(".")
         try:
             return _Override(module=module, constant=constant, value=float(number))
         except ValueError:
@@ -74,14 +74,14 @@
     ]
 
 
-def _mean_values(patterns: Sequence[Pattern], seeds: int) -> list[float]:
+def _mean_worths(patterns: Sequence[Pattern], seeds: int) -> list[float]:
     return [mean(each.worth for each in _run_seeds(one, seeds)) for one in patterns]
 
 
-def _row(name: str, played: list[Outcomes]) -> list[str]:
-    worths = [each.worth for each in played]
+def _table_row(name: str, outcomes: list[Outcomes]) -> list[str]:
+    worths = [each.worth for each in outcomes]
     counts = [
-        f"{mean(each.by_outcome[outcome] for each in played):.0f}"
+        f"{mean(each.by_outcome[outcome] for each in outcomes):.0f}"
         for outcome in Outcome
     ]
     spread = f"{min(worths):.3f} to {max(worths):.3f}"
@@ -108,13 +108,13 @@
     rows = []
     for name in _names(patterns):
         pattern = _pattern(name)
-        played = _run_seeds(pattern, seeds)
-        rows.append(_row(pattern.name, played))
+        outcomes = _run_seeds(pattern, seeds)
+        rows.append(_table_row(pattern.name, outcomes))
         if oracle:
-            best = _run_seeds(pattern, seeds, uses_oracle=True)
-            rows.append(_row("  with full knowledge", best))
+            oracle_outcomes = _run_seeds(pattern, seeds, uses_oracle=True)
+            rows.append(_table_row("  with full knowledge", oracle_outcomes))
         if plot is not None:
-            plot.write_text(render_plot(pattern.name, played[0]))
+            plot.write_text(render_plot(pattern.name, outcomes[0]))
     print_table("Lab", _HEAD, rows)
 
 
@@ -125,13 +125,13 @@
 def compare(pattern: str, sets: Sequence[_Override], seeds: int) -> None:
     """Run a pattern as it is, and with constants set otherwise."""
     found = _pattern(pattern)
-    rows = [_row("as it is", _run_seeds(found, seeds))]
+    rows = [_table_row("as it is", _run_seeds(found, seeds))]
     with ExitStack() as stack:
         for each in sets:
             stack.enter_context(
                 override_constant(each.module, each.constant, each.value)
             )
-        rows.append(_row("as set", _run_seeds(found, seeds)))
+        rows.append(_table_row("as set", _run_seeds(found, seeds)))
     print_table("Lab", _HEAD, rows)
 
 
@@ -141,13 +141,13 @@
 def ablate(patterns: Sequence[str], seeds: int) -> None:
     """Switch off each mechanism in turn."""
     found = [_pattern(name) for name in _names(patterns)]
-    bases = _mean_values(found, seeds)
+    bases = _mean_worths(found, seeds)
     rows = [["as it is", *(f"{base:.3f}" for base in bases)]]
     for mechanism in MECHANISMS:
         with override_constant(
             mechanism.module, mechanism.constant, mechanism.disabled_value
         ):
-            worths = _mean_values(found, seeds)
+            worths = _mean_worths(found, seeds)
         changes = [f"{w - base:+.3f}" for w, base in zip(worths, bases, strict=True)]
         rows.append([f"without: {mechanism.name}", *changes])
     print_table("Change of the worth", ["", *(each.name for each in found)], rows)
--- a/packages/testkit/src/plankspindle_testkit/lab/completions.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/completions.py
@@ -1,4 +1,4 @@
-"""How attempts end, as dispatchers are told."""
+"""Dispatcher events for the completion of attempts and for statements."""
 
 from __future__ import annotations
 
@@ -11,80 +11,80 @@
 if TYPE_CHECKING:
     from plankspindle_daemon.upstreams.upstream_statement import UpstreamStatement
     from plankspindle_testkit.lab.requests import ActiveRequest
-    from plankspindle_testkit.lab.requests import ReportedAnswer
+    from plankspindle_testkit.lab.requests import AnswerHead
 
 
 def completion_of(
-    handled: ActiveRequest,
+    active: ActiveRequest,
     upstream: str,
     outcome: AttemptOutcome,
     now: float,
     load: int | None = None,
 ) -> AttemptCompleted:
-    """Give the end of the present attempt of a request.
+    """Return the completion of the current attempt of a request.
 
     Parameters
     ----------
     handled : ActiveRequest
         The request.
     upstream : str
-        Where it was.
+        Upstream of the attempt.
     outcome : AttemptOutcome
-        How it ended.
+        Outcome of the attempt.
     now : float
-        Seconds of the run.
+        Simulated time in seconds.
     load : int, optional
-        Requests that ran and waited there, as the answer told.
+        Requests running and waiting at the upstream, as reported in its answer.
     """
     return AttemptCompleted(
-        ticket=handled.ticket,
+        ticket=active.ticket,
         upstream=upstream,
         outcome=outcome,
         reported_load=load,
-        incarnation=handled.incarnation,
-        waited_s=now - handled.sent_at,
+        incarnation=active.incarnation,
+        waited_s=now - active.sent_at,
     )
 
 
-def answered_completion_of(
-    handled: ActiveRequest,
+def answer_completion_of(
+    active: ActiveRequest,
     upstream: str,
-    answer: ReportedAnswer,
+    answer: AnswerHead,
     connect_s: float,
     now: float,
 ) -> AttemptCompleted:
-    """Give the end of the present attempt of a request that was answered.
+    """Return the completion of an attempt that was answered.
 
     Parameters
     ----------
     handled : ActiveRequest
         The request.
     upstream : str
-        What answered it.
-    answer : ReportedAnswer
-        What its answer told.
+        Upstream that answered.
+    answer : AnswerHead
+        Load and statement reported in the answer.
     connect_s, now : float
-        Time that a connection needs, and now, in seconds.
+        Connection setup time and simulated time, in seconds.
     """
-    took_s = now - handled.sent_at
+    duration_s = now - active.sent_at
     return AttemptCompleted(
-        ticket=handled.ticket,
+        ticket=active.ticket,
         upstream=upstream,
         outcome=AttemptOutcome.ANSWERED,
-        head_s=took_s,
-        total_s=took_s,
+        head_s=duration_s,
+        total_s=duration_s,
         connect_s=connect_s,
         reported_load=answer.load,
-        incarnation=handled.incarnation,
+        incarnation=active.incarnation,
     )
 
 
 def unsent_completion_of(
-    handled: ActiveRequest, upstream: str, incarnation: int
+    active: ActiveRequest, upstream: str, incarnation: int
 ) -> AttemptCompleted:
-    """Give the end of a request that is not sent to the upstream that it got."""
+    """Return the completion of a request that is not sent to its assigned upstream."""
     return AttemptCompleted(
-        ticket=handled.ticket,
+        ticket=active.ticket,
         upstream=upstream,
         outcome=AttemptOutcome.CANCELLED,
         incarnation=incarnation,
@@ -92,12 +92,12 @@
 
 
 def statement_event_of(
-    handled: ActiveRequest, upstream: str, statement: UpstreamStatement
+    active: ActiveRequest, upstream: str, statement: UpstreamStatement
 ) -> StatementReceived:
-    """Give what an upstream said of itself in its answer to a request."""
+    """Return the event for a statement of an upstream in its answer."""
     return StatementReceived(
         upstream=upstream,
-        incarnation=handled.incarnation,
+        incarnation=active.incarnation,
         statement=statement,
-        sent_at=handled.sent_at,
+        sent_at=active.sent_at,
     )
--- a/packages/testkit/src/plankspindle_testkit/lab/crash_record.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/crash_record.py
@@ -1,4 +1,4 @@
-"""What is known of the requests under which upstreams of a run end."""
+"""Record of crashes of upstreams and of the requests that caused them."""
 
 from __future__ import annotations
 
@@ -8,42 +8,44 @@
 from attrs import define
 
 CRASH_THRESHOLD = 3
-"""Upstreams that end under a request before it is to be held back."""
+"""Upstreams that a request crashes before it must be quarantined."""
 
 
 @define(kw_only=True)
 class CrashRecord:
-    """Ends of upstreams under requests, and where such requests were sent.
+    """Records crashes by request, and the times at which such requests were sent.
 
     Attributes
     ----------
     crashed_at_by_identity, sent_at_by_identity : dict of int to list of float
-        When upstreams ended under a request, and when it was sent to one, in seconds.
+        Times at which a request crashed an upstream, and at which it was sent to one,
+        in seconds, by the identity of the request.
     """
 
     crashed_at_by_identity: dict[int, list[float]] = Factory(lambda: defaultdict(list))
     sent_at_by_identity: dict[int, list[float]] = Factory(lambda: defaultdict(list))
 
     def record_sent(self, identity: int, now: float) -> None:
-        """Note that such a request is sent to an upstream."""
+        """Record that a crashing request is sent to an upstream."""
         self.sent_at_by_identity[identity].append(now)
 
     def record_crash(self, identity: int, now: float) -> None:
-        """Note that an upstream ended under it."""
+        """Record that a request crashed an upstream."""
         self.crashed_at_by_identity[identity].append(now)
 
     def count_late_sends(self, identity: int, *, within_s: float) -> int:
-        """Count how often it was sent on, long after the third upstream had ended.
+        """Return how often a request was sent although it should be quarantined.
 
         Parameters
         ----------
         identity : int
-            The request.
+            Identity of the request.
         within_s : float
-            Time after the end of the third upstream that does not count, in seconds.
+            Time after the crash of the third upstream within which sends are not
+            counted, in seconds.
         """
         crashed_at = self.crashed_at_by_identity[identity]
         if len(crashed_at) < CRASH_THRESHOLD:
             return 0
-        due = crashed_at[CRASH_THRESHOLD - 1] + within_s
-        return sum(at > due for at in self.sent_at_by_identity[identity])
+        quarantined_by = crashed_at[CRASH_THRESHOLD - 1] + within_s
+        return sum(at > quarantined_by for at in self.sent_at_by_identity[identity])
--- a/packages/testkit/src/plankspindle_testkit/lab/crashing_requests.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/crashing_requests.py
@@ -1,4 +1,4 @@
-"""Requests of a run under which upstreams end, and that come again and again."""
+"""Repeated requests that crash the upstreams that run them."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 from plankspindle_testkit.lab.simulated_clock import SimulatedClock
 
 CRASH_AFTER_S = (0.03, 0.1)
-"""Time from the begin of a request to the end of its upstream, in seconds."""
+"""Range of the time from the start of a request to the crash, in seconds."""
 
 
 @frozen(kw_only=True)
 class CrashingRequests:
-    """Send such requests, each as often as its event says, from anywhere.
+    """Sends crashing requests at the rate of their events, from any failure domain.
 
     Parameters
     ----------
     clock : SimulatedClock
-        The clock.
+        Clock of the run.
     pattern : Pattern
-        What is modelled.
+        Pattern of the run.
     random : Random
-        Source of their times and places.
+        Source of arrival times and failure domains.
     send : callable
         Sends a request to an entry VM.
     """
@@ -41,18 +41,18 @@
     send: Callable[[Request], None]
 
     def schedule_all(self) -> None:
-        """Plan the first coming of each."""
+        """Schedule the first arrival of each crashing request."""
         for number, event in enumerate(self.pattern.events):
             if event.kind is EventKind.CRASHING_REQUEST:
-                come = partial(self._arrive, event, identity=-1 - number)
-                self.clock.schedule(event.at_s, come)
+                arrive = partial(self._arrive, event, identity=-1 - number)
+                self.clock.schedule(event.at_s, arrive)
 
     def _arrive(self, event: PatternEvent, identity: int) -> None:
         now = self.clock.now
         if not event.is_on(now):
             return
-        again = partial(self._arrive, event, identity)
-        self.clock.schedule(self.random.expovariate(event.per_s), again)
+        repeat = partial(self._arrive, event, identity)
+        self.clock.schedule(self.random.expovariate(event.per_s), repeat)
         operation = self.pattern.operations_by_name[event.operation or ""]
         request = Request(
             operation=event.operation or "",
--- a/packages/testkit/src/plankspindle_testkit/lab/deployment.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/deployment.py
@@ -1,4 +1,4 @@
-"""The entry VMs and upstreams of a run, and the ways between them."""
+"""Entry VMs and upstreams of a run, and the delays between them."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 @define(kw_only=True)
 class Deployment:
-    """What runs.
+    """The simulated deployment.
 
     Parameters
     ----------
     pattern : Pattern
-        What is modelled.
+        Pattern of the run.
     random : Random
         Source of all random choices.
 
@@ -35,7 +35,7 @@
     vms_by_name : dict of str to LabVm
         The entry VMs.
     drained_domains : set of str
-        Failure domains whose upstreams get nothing.
+        Failure domains whose upstreams get no requests.
     """
 
     pattern: Pattern
@@ -69,7 +69,7 @@
         )
 
     def start_vms(self, now: float) -> None:
-        """Start all entry VMs, with empty memory."""
+        """Start all entry VMs without state from before."""
         for name, domain in vm_names(self.pattern).items():
             vm = LabVm.start(
                 name=name,
@@ -83,19 +83,19 @@
             self.vms_by_name[name] = vm
 
     def running_vms(self) -> list[LabVm]:
-        """Give the entry VMs that run."""
+        """Return the running entry VMs."""
         return [each for each in self.vms_by_name.values() if each.is_up]
 
     def choose_vm(self, domain: str) -> LabVm | None:
-        """Choose an entry VM as look-ups name them: of the domain, or of its region."""
+        """Return a random entry VM of the domain or its region, as lookups do."""
         regions = self.pattern.region_by_domain
-        up = self.running_vms()
-        own = [each for each in up if each.domain == domain]
+        running = self.running_vms()
+        own = [each for each in running if each.domain == domain]
         if len(own) >= SUFFICIENT_VMS_IN_DOMAIN:
             return self.random.choice(own)
-        near = [each for each in up if regions[each.domain] == regions[domain]]
-        return self.random.choice(near or up) if up else None
+        local = [each for each in running if regions[each.domain] == regions[domain]]
+        return self.random.choice(local or running) if running else None
 
     def one_way_s(self, domain: str, other: str) -> float:
-        """Give the delay between two failure domains, in seconds."""
+        """Return the one-way delay between two failure domains, in seconds."""
         return self._configuration.distance_ms(domain, other) / 1000
--- a/packages/testkit/src/plankspindle_testkit/lab/event_scheduler.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/event_scheduler.py
@@ -1,4 +1,4 @@
-"""What happens to a deployment during a run, and its end."""
+"""Scheduling of a pattern's events: faults, drains and restarts."""
 
 from __future__ import annotations
 
@@ -30,18 +30,18 @@
 
 @frozen(kw_only=True)
 class EventScheduler:
-    """Begin and end the events of a pattern.
+    """Applies the events of a pattern and reverts them at their end.
 
     Parameters
     ----------
     clock : SimulatedClock
-        The clock.
+        Clock of the run.
     deployment : Deployment
-        What is struck.
+        Deployment that the events affect.
     simulator : RequestSimulator
-        Requests, which end where entry VMs end.
+        Requests, which fail when their entry VM stops.
     seed : int
-        Seed of the choice of upstreams.
+        Seed of the choice of affected upstreams.
     """
 
     clock: SimulatedClock
@@ -50,19 +50,19 @@
     seed: int
 
     def schedule_all(self) -> None:
-        """Plan all events of the pattern."""
+        """Schedule all events of the pattern."""
         for event in self.deployment.pattern.events:
             self.clock.schedule(event.at_s, partial(self._begin, event))
 
     def _begin(self, event: PatternEvent) -> None:
-        struck = self._affected(event)
-        self.clock.schedule(event.for_s, partial(self._end, event, struck))
-        for upstream in struck:
+        affected = self._affected(event)
+        self.clock.schedule(event.for_s, partial(self._end, event, affected))
+        for upstream in affected:
             _apply_fault(upstream, event)
             self._record_limit(upstream)
         match event.kind:
             case EventKind.END:
-                for upstream in struck:
+                for upstream in affected:
                     self.simulator.crash_upstream(upstream)
             case EventKind.DRAIN:
                 self.deployment.drained_domains.add(event.domain or "")
@@ -74,8 +74,8 @@
             case _:
                 pass
 
-    def _end(self, event: PatternEvent, struck: list[ModelledUpstream]) -> None:
-        for upstream in struck:
+    def _end(self, event: PatternEvent, affected: list[ModelledUpstream]) -> None:
+        for upstream in affected:
             if upstream.is_dead:
                 upstream.restart(self.clock.now)
             upstream.duration_factor, upstream.shed_share = 1.0, 0.0
@@ -93,18 +93,18 @@
     def _affected(self, event: PatternEvent) -> list[ModelledUpstream]:
         if event.kind not in _UPSTREAM_KINDS:
             return []
-        fitting = [
+        candidates = [
             each
             for each in self.deployment.upstreams_by_name.values()
             if event.domain in (None, each.domain)
         ]
         random = Random(f"{self.seed} {event.at_s} {event.kind.value}")
-        return random.sample(fitting, round(event.share * len(fitting)))
+        return random.sample(candidates, round(event.share * len(candidates)))
 
     def _record_limit(self, upstream: ModelledUpstream) -> None:
-        record, named = self.simulator.statements, upstream.limit_per_s
-        if named is not None or upstream.name in record.limit_by_upstream:
-            record.record_limit(upstream.name, named, self.clock.now)
+        record, limit = self.simulator.statements, upstream.limit_per_s
+        if limit is not None or upstream.name in record.limit_by_upstream:
+            record.record_limit(upstream.name, limit, self.clock.now)
 
     def _apply_pattern(self) -> None:
         pattern, drained = self.deployment.pattern, self.deployment.drained_domains
--- a/packages/testkit/src/plankspindle_testkit/lab/lab_run.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/lab_run.py
@@ -1,4 +1,4 @@
-"""One run of a pattern: callers, entry VMs and upstreams on one fake clock."""
+"""One run of a pattern: callers, entry VMs and upstreams on a simulated clock."""
 
 from __future__ import annotations
 
@@ -38,41 +38,44 @@
 
 TICK_PERIOD_S = 0.05
 REFRESH_PERIOD_S = 0.25
-"""Periods of an entry VM: waiting requests, and the room of its region, in seconds."""
+"""Periods of an entry VM, in seconds.
+
+They are those of checking waiting requests and of updating the region's capacity.
+"""
 LIST_PERIOD_S = 0.5
 """Period of reading the list of upstreams, in seconds."""
 SAMPLE_PERIOD_S = 0.25
-"""Period of the samples over time, in seconds."""
+"""Period of load samples, in seconds."""
 SHARED_IDENTITY = 1
-"""Identity of the requests of an operation that are the same one."""
-MAX_RETURNS = 1
-"""How often a refused caller comes back."""
+"""Identity that identical requests share."""
+MAX_RETRIES = 1
+"""Retries of a refused caller."""
 MAX_WAIT_SHARE = 1 / 3
-"""Part of what is left of its time for which a caller heeds a time to come back."""
+"""Share of the remaining time that a caller waits at most for a Retry-After delay."""
 
 
 @define(kw_only=True)
 class LabRun:
-    """One run.
+    """One simulation run of a pattern.
 
     Parameters
     ----------
     pattern : Pattern
-        What is modelled.
+        Deployment, load and events.
     seed : int
         Seed of all random choices.
     uses_oracle : bool
-        Whether requests are placed with full knowledge of slots and keys, in place of
-        the entry VMs' decisions.
+        Whether requests are placed with full knowledge of slots and keys instead of by
+        the entry VMs.
 
     Attributes
     ----------
     outcomes : Outcomes
-        What became of the requests, but of those under which upstreams end.
+        Outcomes of the requests, except those that crash upstreams.
     crashes : CrashRecord
-        What became of those.
+        Sends and crashes of those.
     statements : StatementRecord
-        What upstreams said of themselves, and what they got.
+        Statements of upstreams, and the requests that reached them.
     network : PeerNetwork
         Messages between entry VMs.
     """
@@ -114,16 +117,16 @@
         )
 
     def run(self) -> Outcomes:
-        """Run to the end, and give what became of every request."""
+        """Run to the end and return the outcomes of all requests."""
         for name, operation in self.pattern.operations_by_name.items():
             self._schedule_arrival(name, operation)
-        strikes = EventScheduler(
+        scheduler = EventScheduler(
             clock=self._clock,
             deployment=self._deployment,
             simulator=self._simulator,
             seed=self.seed,
         )
-        strikes.schedule_all()
+        scheduler.schedule_all()
         crashing = CrashingRequests(
             clock=self._clock,
             pattern=self.pattern,
@@ -131,19 +134,19 @@
             send=self._send,
         )
         crashing.schedule_all()
-        for act in (self._read_lists, self._tick, self._refresh, self._sample):
-            self._clock.schedule(0.0, act)
+        for callback in (self._read_lists, self._tick, self._refresh, self._sample):
+            self._clock.schedule(0.0, callback)
         operations = self.pattern.operations_by_name.values()
         longest_ms = max(each.timeout_ms for each in operations)
         self._clock.run_until(self.pattern.seconds + longest_ms / 1000)
         return self.outcomes
 
     def vms(self) -> list[LabVm]:
-        """Give the entry VMs."""
+        """Return the entry VMs."""
         return list(self._deployment.vms_by_name.values())
 
     def upstreams(self) -> list[ModelledUpstream]:
-        """Give the upstreams."""
+        """Return the upstreams."""
         return list(self._deployment.upstreams_by_name.values())
 
     def _schedule_arrival(self, name: str, operation: ModelOperation) -> None:
@@ -187,12 +190,12 @@
 
     def _schedule_retry(self, request: Request, retry_after_s: float) -> None:
         left_s = request.deadline - self._clock.now
-        if request.retry_count >= MAX_RETURNS or left_s <= 0:
+        if request.retry_count >= MAX_RETRIES or left_s <= 0:
             self._finish(request, Outcome.REFUSED)
             return
-        again = evolve(request, retry_count=request.retry_count + 1)
+        retry = evolve(request, retry_count=request.retry_count + 1)
         wait_s = min(retry_after_s, MAX_WAIT_SHARE * left_s)
-        self._clock.schedule(wait_s, partial(self._send, again))
+        self._clock.schedule(wait_s, partial(self._send, retry))
 
     def _finish(self, request: Request, outcome: Outcome) -> None:
         if request.crash is not None:
@@ -206,10 +209,10 @@
             for service in vm.registry.dispatchers_by_service:
                 self._simulator.handle(vm, service, TimePassed())
             self.network.send(vm, vm.quarantine.tick(self._clock.now))
-            ticked = vm.limited.tick(
+            effects = vm.limited.tick(
                 readiness=Readiness.READY, has_list=True, now=self._clock.now
             )
-            self._simulator.perform(vm, ticked)
+            self._simulator.perform(vm, effects)
 
     def _handle_quota_message(
         self, vm: LabVm, message: QuotaMessage, reply_to: Endpoint
--- a/packages/testkit/src/plankspindle_testkit/lab/lab_vm.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/lab_vm.py
@@ -1,4 +1,4 @@
-"""Entry VMs of the lab: the daemon's own keeper of services, without its shells."""
+"""Entry VMs of the lab: the daemon's decision logic without its I/O."""
 
 from __future__ import annotations
 
@@ -36,26 +36,26 @@
 
 RETRY_PERCENT = 20
 RETRY_BURST = 60
-"""Bounds of a service's retries, all entry VMs together."""
-UNLIMITED_S = 1e9
-"""No entry VM of the lab is taken for silent: they exchange no heartbeats."""
-_ANY = Endpoint("127.0.0.1", 1)
+"""Retry budget of a service, summed over all entry VMs."""
+NEVER_S = 1e9
+"""Suspicion timeout of entry VMs in seconds: never, as they send no heartbeats."""
+_UNUSED_ENDPOINT = Endpoint("127.0.0.1", 1)
 
 
 @define(kw_only=True)
 class LabVm:
-    """One entry VM.
+    """A simulated entry VM.
 
     Parameters
     ----------
     name, domain : str
-        Its name and where it stands.
+        Name and failure domain.
     registry : ServiceRegistry
-        Its decisions.
+        Dispatchers of its services.
     quarantine : Quarantine
-        Requests that it holds back.
+        Quarantine of requests that crash upstreams.
     limited : LimitedDispatch
-        Its decisions beside limits that upstreams name.
+        Dispatch subject to the rate limits that upstreams report.
     is_up : bool
         Whether it runs.
     """
@@ -78,23 +78,23 @@
         now: float,
         drained: Iterable[str],
     ) -> LabVm:
-        """Start a process that knows the configuration and its members.
+        """Start an entry VM that has the configuration and its members.
 
         Parameters
         ----------
         name, domain : str
-            Its name and where it stands.
+            Name and failure domain.
         pattern : Pattern
-            The deployment.
+            Pattern of the run.
         seed : int
             Seed of its random choices.
         now : float
-            Seconds of the run.
+            Simulated time in seconds.
         drained : iterable of str
-            Failure domains that are drained at present.
+            Failure domains that are currently drained.
         """
         membership = _membership(name, pattern)
-        book = ServiceRegistry(
+        registry = ServiceRegistry(
             vm=name,
             failure_domain=domain,
             incarnation=1,
@@ -117,9 +117,9 @@
         vm = cls(
             name=name,
             domain=domain,
-            registry=book,
+            registry=registry,
             quarantine=quarantine,
-            limited=LimitedDispatch(services=book, quotas=quotas),
+            limited=LimitedDispatch(services=registry, quotas=quotas),
         )
         vm.apply_pattern(pattern, drained, now)
         return vm
@@ -127,7 +127,7 @@
     def apply_pattern(
         self, pattern: Pattern, drained: Iterable[str], now: float
     ) -> None:
-        """Take the configuration with the drains of the moment."""
+        """Apply the configuration of a pattern with the current drains."""
         configuration = configuration_of(pattern, drained)
         version = int(now * 1000) + 2
         self.limited.quotas.update_configuration(configuration)
@@ -137,18 +137,18 @@
         self.registry.apply_drains(now=now, wall=now)
 
     def read_list(self, upstreams: Iterable[ModelledUpstream], now: float) -> None:
-        """Read the list of upstreams; the silent ones stay listed for a while."""
+        """Read the list of upstreams, which includes unresponsive ones."""
         listed = [_listed(each) for each in upstreams]
         self.registry.apply_list(listed, now=now, wall=now)
 
 
 def peer_endpoint_of(vm: str) -> Endpoint:
-    """Give the address by which messages reach an entry VM of the lab."""
+    """Return the address of an entry VM for peer messages."""
     return Endpoint(vm, 1)
 
 
 def vm_names(pattern: Pattern) -> dict[str, str]:
-    """Give the entry VMs of a pattern and their failure domains."""
+    """Return the failure domain of each entry VM of a pattern, by name."""
     return {
         f"{domain}-vm-{number}": domain
         for domain, count in pattern.vms_by_domain.items()
@@ -164,7 +164,7 @@
             failure_domain=domain_by_name[name],
             incarnation=1,
             heartbeat_s=0.5,
-            suspect_after_s=UNLIMITED_S,
+            suspect_after_s=NEVER_S,
             all_domains=True,
         )
     )
@@ -178,7 +178,7 @@
 
 
 def configuration_of(pattern: Pattern, drained: Iterable[str] = ()) -> Configuration:
-    """Give the configuration of a pattern, with some failure domains drained."""
+    """Return the configuration of a pattern, with some failure domains drained."""
     return Configuration(
         failure_domains_by_name={
             domain: FailureDomain(region=region)
@@ -214,7 +214,7 @@
         upstream=Upstream(
             service=upstream.service_name,
             failure_domain=upstream.domain,
-            endpoint=_ANY,
+            endpoint=_UNUSED_ENDPOINT,
             slots=upstream.service.slots,
         ),
         cold_until=upstream.cold_until,
--- a/packages/testkit/src/plankspindle_testkit/lab/mechanisms.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/mechanisms.py
@@ -1,4 +1,4 @@
-"""Mechanisms of the decisions, and what switches each of them off."""
+"""Mechanisms of placement and retries, and the constants that disable them."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 @frozen(kw_only=True)
 class Mechanism:
-    """Something that the decisions do, and a constant by which they do not.
+    """A mechanism of the daemon, and the constant that disables it.
 
     Parameters
     ----------
     name : str
-        What it does.
+        Description of the mechanism.
     module : str
-        Module of the constant, below the daemon's package.
+        Module of the constant, relative to the daemon's package.
     constant : str
-        The constant.
+        Name of the constant.
     disabled_value : float
-        Its value without the mechanism.
+        Value that disables the mechanism.
     """
 
     name: str
@@ -108,28 +108,28 @@
 
 @contextmanager
 def override_constant(module: str, constant: str, value: float) -> Iterator[None]:
-    """Give a constant another value for a while.
+    """Override a module constant within a context.
 
     Parameters
     ----------
     module : str
-        Its module, below the daemon's package.
+        Module of the constant, relative to the daemon's package.
     constant : str
-        Its name.
+        Name of the constant.
     value : float
-        The value.
+        Temporary value.
 
     Raises
     ------
     AttributeError
-        If there is no such constant.
+        If the module has no such constant.
     ModuleNotFoundError
-        If there is no such module.
+        If the module does not exist.
     """
-    holder = import_module(f"{_DAEMON}.{module}")
-    before = getattr(holder, constant)
-    setattr(holder, constant, value)
+    target = import_module(f"{_DAEMON}.{module}")
+    original = getattr(target, constant)
+    setattr(target, constant, value)
     try:
         yield
     finally:
-        setattr(holder, constant, before)
+        setattr(target, constant, original)
--- a/packages/testkit/src/plankspindle_testkit/lab/modelled_upstream.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/modelled_upstream.py
@@ -1,4 +1,4 @@
-"""Upstreams of the lab: slots, a queue, remembered keys, and what goes wrong."""
+"""Simulated upstreams with slots, a queue, cached keys and faults."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from plankspindle_testkit.lab.requests import Crash
 
 DURATION_SPREAD_SHARE = 0.15
-"""Standard deviation of the time of work, as a part of it."""
+"""Standard deviation of the processing time, as a share of it."""
 
 
 @frozen(kw_only=True)
@@ -30,11 +30,11 @@
     number : int
         Number of the attempt in this run.
     operation : str
-        Its kind.
+        Name of the operation.
     key : str
-        The thing that it concerns.
+        Key of the resource that it concerns.
     crash : Crash, optional
-        What it does to the upstream.
+        Crash that it causes.
     """
 
     number: int
@@ -45,14 +45,14 @@
 
 @frozen(kw_only=True)
 class StartedWork:
-    """A request runs now.
+    """A request that has started to run.
 
     Parameters
     ----------
-    work : MatrixOperation
+    work : Work
         The request.
     duration_s : float
-        How long it will run.
+        Processing time in seconds.
     """
 
     work: Work
@@ -61,43 +61,43 @@
 
 @define(kw_only=True)
 class ModelledUpstream:
-    """One upstream.
+    """A simulated upstream.
 
     Parameters
     ----------
     name, domain : str
-        Its name and where it stands.
+        Name and failure domain.
     service_name : str
-        What it serves.
+        Name of its service.
     service : ModelService
-        The figures of that.
+        Model of the service.
     operations_by_name : dict of str to ModelOperation
-        Kinds of requests.
+        Models of the operations.
     random : Random
-        Source of times of work and of shedding.
+        Source of processing times and of shedding.
 
     Attributes
     ----------
     duration_factor : float
-        Factor on the time of work.
+        Factor on the processing time.
     shed_share : float
-        Part of the requests that it sheds whatever room it has.
+        Share of the requests that it sheds regardless of its load, from 0 to 1.
     is_dead : bool
-        Whether it answers nothing, without a sign.
+        Whether it is unresponsive.
     refuses_connections : bool
-        Whether connections to it are refused, since its process has ended.
+        Whether connections to it are refused, since its process has stopped.
     cold_until : float
-        End of its cold time, in seconds of the run.
+        End of its cold phase, simulated time in seconds.
     incarnation : int
-        Number of its present life.
+        Number of the current incarnation.
     limit_per_s : float or None
-        Requests a second that it names as its limit in answers.
+        Rate limit that its answers state, in requests a second.
     is_leaving : bool
-        Whether it says in answers that it leaves, and serves on.
+        Whether its answers state that it is leaving; it continues to serve.
     retry_after_s : float or None
-        Rest that it asks for as it sheds each request, in seconds.
+        Retry-After delay in seconds; if given, it sheds all requests with it.
     omitted_statement_share : float
-        Part of its answers that say nothing of it, whatever the others say.
+        Share of its answers that omit the statement, from 0 to 1.
     """
 
     name: str
@@ -123,57 +123,58 @@
 
     @property
     def load(self) -> int:
-        """Requests that run and wait."""
+        """Number of requests that run and wait."""
         return len(self._running) + len(self._waiting)
 
     @property
     def running(self) -> int:
-        """Requests that run."""
+        """Number of requests that run."""
         return len(self._running)
 
     def is_cached(self, operation: str, key: str) -> bool:
-        """Tell whether a key was seen recently."""
+        """Return whether a key is cached."""
         return (operation, key) in self._cached_keys
 
     def expected_duration_s(self, operation: str, key: str, now: float) -> float:
-        """Give the mean time of work of a request that would start now."""
-        kind = self.operations_by_name[operation]
-        part = kind.hit_part if self.is_cached(operation, key) else 1.0
+        """Return the mean processing time of a request started now, in seconds."""
+        model = self.operations_by_name[operation]
+        work_share = model.hit_part if self.is_cached(operation, key) else 1.0
         cold = self.service.cold_factor if now < self.cold_until else 1.0
-        return kind.work_ms / 1000 * part * cold * self.duration_factor
+        return model.work_ms / 1000 * work_share * cold * self.duration_factor
 
     def sheds(self) -> bool:
-        """Tell whether a request that comes now is refused without being run."""
+        """Return whether a request arriving now is refused without being run."""
         is_full = self.load >= self.service.slots + self.service.queue
         if self.retry_after_s is not None:
             return True
         return is_full or self.random.random() < self.shed_share
 
     def offer(self, work: Work, now: float) -> StartedWork | None:
-        """Take a request; None if it waits."""
+        """Run or queue a request; return None if it is queued."""
         if self.running >= self.service.slots:
             self._waiting.append(work)
             return None
         return self._start(work, now)
 
     def complete(self, number: int, now: float) -> StartedWork | None:
-        """End a request, whether it runs or waits, and begin the next, if any."""
+        """Remove a running or waiting request, and start the next one if any."""
         if self._running.pop(number, None) is None:
-            left = [each for each in self._waiting if each.number != number]
-            self._waiting = deque(left)
+            remaining = [each for each in self._waiting if each.number != number]
+            self._waiting = deque(remaining)
         if not self._waiting or self.running >= self.service.slots:
             return None
         return self._start(self._waiting.popleft(), now)
 
     def statement_in(self, number: int) -> UpstreamStatement:
-        """Give what the answer to a request that ends says of it.
+        """Return the statement in the answer to a request that completes.
 
-        That is what held as it began: answers to requests under way say nothing new.
+        It is the one of the time when the request started: later changes do not show
+        in answers to requests that already run.
         """
         return self._statement_by_number.pop(number, NO_STATEMENT)
 
     def statement(self) -> UpstreamStatement:
-        """Give what it says of itself now."""
+        """Return the current statement of the upstream."""
         if (
             self.omitted_statement_share
             and self.random.random() < self.omitted_statement_share
@@ -186,21 +187,21 @@
         )
 
     def has_attempt(self, number: int) -> bool:
-        """Tell whether a request runs or waits here."""
+        """Return whether an attempt runs or waits here."""
         return number in self._running or any(
             each.number == number for each in self._waiting
         )
 
     def crash(self) -> list[int]:
-        """End without a word; give the attempts that ran or waited here."""
-        ended = [*self._running, *(each.number for each in self._waiting)]
+        """Crash, and return the attempts that ran or waited here."""
+        aborted = [*self._running, *(each.number for each in self._waiting)]
         self._running.clear()
         self._waiting.clear()
         self.is_dead = self.refuses_connections = True
-        return ended
+        return aborted
 
     def restart(self, now: float) -> None:
-        """Start anew: nothing is remembered, and it is cold."""
+        """Restart with an empty cache, in the cold phase."""
         self._running.clear()
         self._waiting.clear()
         self._cached_keys.clear()
@@ -215,8 +216,8 @@
         self._cache((work.operation, work.key))
         self._running[work.number] = work
         self._statement_by_number[work.number] = self.statement()
-        varied = max(0.2, self.random.gauss(1.0, DURATION_SPREAD_SHARE))
-        return StartedWork(work=work, duration_s=mean_s * varied)
+        factor = max(0.2, self.random.gauss(1.0, DURATION_SPREAD_SHARE))
+        return StartedWork(work=work, duration_s=mean_s * factor)
 
     def _cache(self, cache_key: tuple[str, str]) -> None:
         self._cached_keys[cache_key] = None
--- a/packages/testkit/src/plankspindle_testkit/lab/oracle.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/oracle.py
@@ -1,4 +1,4 @@
-"""Placement with perfect knowledge: what a better decision could buy at all."""
+"""Placement with full knowledge, as a reference for what better decisions can gain."""
 
 from __future__ import annotations
 
@@ -12,25 +12,26 @@
     from plankspindle_testkit.lab.modelled_upstream import ModelledUpstream
 
 MISS_COST_FACTOR = 1.0
-"""Part of its extra work by which a miss counts beyond the answer that it delays.
+"""Share of its extra work that a cache miss costs in addition to its own delay.
 
-It keeps a slot from others, and makes an upstream forget a key.
+A miss occupies a slot for longer, and evicts another key of the upstream.
 """
 
 
 @frozen(kw_only=True)
 class Oracle:
-    """Choose the upstream whose answer comes first, knowing all of them.
+    """Chooses the upstream with the earliest answer, with full knowledge of all.
 
     Parameters
     ----------
     deployment : Deployment
-        The upstreams as they are, and the ways to them.
+        Upstreams with their actual state, and the delays to them.
 
     Notes
     -----
-    It is greedy: it knows loads, keys, slowness and silence as they are, and nothing of
-    what will come. It is no bound, but what it gains shows where knowledge is missing.
+    It is greedy: it knows the actual loads, cached keys, slowness and unresponsiveness,
+    but no future events. It is not an upper bound, but its gain shows where entry VMs
+    lack information.
     """
 
     deployment: Deployment
@@ -38,19 +39,19 @@
     def choose(
         self, operation: str, key: str, *, domain: str, now: float
     ) -> ModelledUpstream | None:
-        """Give the best upstream for a request; None if there is none.
+        """Return the best upstream for a request; None if there is none.
 
         Parameters
         ----------
         operation, key : str
-            The request.
+            Operation and key of the request.
         domain : str
-            Where its entry VM stands.
+            Failure domain of the entry VM.
         now : float
-            Seconds of the run.
+            Simulated time in seconds.
         """
         service = self.deployment.pattern.operations_by_name[operation].service
-        fitting = [
+        candidates = [
             each
             for each in self.deployment.upstreams_by_name.values()
             if each.service_name == service
@@ -58,10 +59,10 @@
             and not each.is_dead
             and each.load < each.service.slots + each.service.queue
         ]
-        if not fitting:
+        if not candidates:
             return None
         return min(
-            fitting, key=lambda each: self._cost_s(each, operation, key, domain, now)
+            candidates, key=lambda each: self._cost_s(each, operation, key, domain, now)
         )
 
     def _cost_s(
@@ -72,16 +73,16 @@
         domain: str,
         now: float,
     ) -> float:
-        kind = self.deployment.pattern.operations_by_name[operation]
+        model = self.deployment.pattern.operations_by_name[operation]
         work_s = upstream.expected_duration_s(operation, key, now)
         slots = upstream.service.slots
-        waiting = max(0, upstream.load + 1 - slots) / slots
+        queue_share = max(0, upstream.load + 1 - slots) / slots
         extra_s = 0.0
         if not upstream.is_cached(operation, key):
-            extra_s = MISS_COST_FACTOR * work_s * (1 - kind.hit_part)
+            extra_s = MISS_COST_FACTOR * work_s * (1 - model.hit_part)
         return (
             work_s
-            + waiting * work_s * kind.hit_part
+            + queue_share * work_s * model.hit_part
             + extra_s
             + 2 * self.deployment.one_way_s(domain, upstream.domain)
         )
--- a/packages/testkit/src/plankspindle_testkit/lab/outcomes.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/outcomes.py
@@ -1,4 +1,4 @@
-"""What became of the requests of a run."""
+"""Outcomes of the requests of a run."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
     from plankspindle_testkit.lab.pattern import ModelOperation
 
 WINDOW_S = 1.0
-"""Length of the windows over time, in seconds."""
+"""Length of the time windows, in seconds."""
 
 
 class Outcome(Enum):
-    """How a request ended for its caller."""
+    """Outcome of a request for its caller."""
 
     ON_TIME = "in aim"
     LATE = "late"
@@ -28,14 +28,14 @@
 
 @frozen(kw_only=True)
 class Sample:
-    """The state of a run at a moment.
+    """Load of a run at one time.
 
     Parameters
     ----------
     at_s : float
-        When, in seconds.
+        Simulated time in seconds.
     slots, load : int
-        Slots of all upstreams, and requests that run or wait there.
+        Slots of all upstreams, and requests that run or wait at them.
     queued : int
         Requests that wait at entry VMs.
     """
@@ -48,18 +48,18 @@
 
 @define(kw_only=True)
 class Outcomes:
-    """Requests by how they ended, in all and over time.
+    """Counts of requests by outcome, in total and over time.
 
     Attributes
     ----------
-    by_outcome : Counter of RequestResult
-        All requests.
-    by_window : dict of int to Counter of RequestResult
-        Requests by the window in which they were first sent.
+    by_outcome : Counter of Outcome
+        Counts of all requests.
+    by_window : dict of int to Counter of Outcome
+        Counts by the window in which requests were first sent.
     earned_worth, total_worth : float
-        Worth of what was answered, and of all that was asked.
+        Worth of the answered requests, and of all requests.
     samples : list of Sample
-        The state over time.
+        Load over time.
     """
 
     by_outcome: Counter[Outcome] = Factory(Counter)
@@ -70,22 +70,22 @@
 
     @property
     def worth(self) -> float:
-        """Part of the worth of all requests that was earned."""
+        """Share of the worth of all requests that was earned, from 0 to 1."""
         return self.earned_worth / self.total_worth if self.total_worth else 1.0
 
     def record(
         self, operation: ModelOperation, first_at: float, outcome: Outcome
     ) -> None:
-        """Take the end of a request.
+        """Record the completion of a request.
 
         Parameters
         ----------
         operation : ModelOperation
-            Its kind.
+            Model of its operation.
         first_at : float
-            When it was first sent, in seconds.
-        outcome : RequestResult
-            How it ended.
+            Simulated time at which it was first sent, in seconds.
+        outcome : Outcome
+            Outcome for the caller.
         """
         self.by_outcome[outcome] += 1
         window = self.by_window.setdefault(int(first_at / WINDOW_S), Counter())
--- a/packages/testkit/src/plankspindle_testkit/lab/pattern.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/pattern.py
@@ -1,4 +1,4 @@
-"""Load patterns of the lab, read from checked YAML files."""
+"""Load patterns of the lab, read from YAML files and validated."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from result import Result
 
 PATTERNS_FOLDER = Path(__file__).with_name("patterns")
-"""Folder of the patterns that ship with the lab."""
+"""Folder of the patterns that are part of the lab."""
 _NUMBER = validators.instance_of((int, float))
 _INTEGER = validators.instance_of(int)
 _POSITIVE = [_NUMBER, validators.gt(0.0)]
@@ -28,7 +28,7 @@
 
 
 class EventKind(Enum):
-    """What may happen to the modelled deployment."""
+    """Kind of an event in a pattern."""
 
     LOAD = "load"
     SLOW = "slow"
@@ -45,30 +45,32 @@
 
 @frozen(kw_only=True)
 class PatternEvent:
-    """Something that happens during a run.
+    """An event during a run.
 
     Parameters
     ----------
     kind : EventKind
-        What happens.
+        Kind of the event.
     at_s, for_s : float
-        When, and for how long, in seconds.
+        Start and duration, in seconds.
     share : float
-        Part of the upstreams that are struck, chosen by the seed. Those of ``crash``
-        fall silent; those of ``end`` break off what runs there, and refuse connections.
+        Share of the upstreams that are affected, chosen by the seed. With ``crash``
+        they become unresponsive; with ``end`` they abort running requests and refuse
+        connections.
     factor : float
-        Factor on the load or on the time of work; for ``shed`` the part of the
-        requests that is shed, for ``limit`` the requests a second that each names, for
-        ``rest`` the seconds of rest that each asks for as it sheds all.
+        Factor on the load or on the processing time; for ``shed`` the share of requests
+        that is shed, for ``limit`` the rate limit that each upstream states in requests
+        a second, for ``rest`` the Retry-After delay in seconds with which each sheds
+        all requests.
     domain : str, optional
-        Failure domain that is struck whole.
+        Failure domain to which the event is restricted.
     operation : str, optional
-        For ``crashing-request`` the kind of the request that comes again and again,
-        under which each upstream that begins it ends.
+        For ``crashing-request`` the operation of the repeated request, which crashes
+        each upstream that starts it.
     per_s : float
-        How often it comes, times a second.
+        Rate of the crashing request, per second.
     down_s : float
-        Time after which an upstream that has ended is back, in seconds.
+        Time from a crash to the restart of the upstream, in seconds.
     """
 
     kind: EventKind = field(converter=EventKind)
@@ -82,30 +84,30 @@
     down_s: float = field(default=3.0, validator=_POSITIVE)
 
     def is_on(self, now: float) -> bool:
-        """Tell whether it lasts at a time, in seconds from the start."""
+        """Return whether the event is active at a time, in seconds from the start."""
         return self.at_s <= now < self.at_s + self.for_s
 
 
 @frozen(kw_only=True)
 class ModelService:
-    """A service and its upstreams.
+    """Model of a service and its upstreams.
 
     Parameters
     ----------
     upstreams_by_domain : dict of str to int
-        Upstreams in each failure domain.
+        Number of upstreams in each failure domain.
     slots : int
-        Requests that each runs at once.
+        Requests that each upstream runs concurrently.
     queue : int
-        Requests that may wait at each; further ones are shed.
+        Requests that may wait at each upstream; further ones are shed.
     remembered_keys : int
-        Keys that each has seen most recently and serves faster.
+        Size of each upstream's cache of recently used keys, which are served faster.
     cold_s : float
-        Time for which one is cold after a start, in seconds.
+        Duration of the cold phase after a start, in seconds.
     cold_factor : float
-        Factor on the time of work while it is cold.
+        Factor on the processing time in the cold phase.
     cold_requests_per_s : float
-        Requests a second that a cold one bears.
+        Requests a second that a cold upstream can serve.
     """
 
     upstreams_by_domain: dict[str, int]
@@ -119,32 +121,32 @@
 
 @frozen(kw_only=True)
 class ModelOperation:
-    """One kind of request.
+    """Model of an operation and its load.
 
     Parameters
     ----------
     service : str
-        Where it goes.
+        Name of the service.
     per_s : float
-        Requests a second of all callers.
+        Requests a second, summed over all callers.
     work_ms : float
-        Time of work at an upstream that has not seen the key.
+        Processing time at an upstream that has not cached the key.
     hit_part : float
-        Part of that time at one that has.
+        Share of that time at an upstream that has, from 0 to 1.
     target_ms, timeout_ms : float
-        Time within which an answer is wanted, and after which it is given up.
+        Latency target, and time after which the caller gives up.
     keys_by_region : int
-        Keys that the callers of each region use.
+        Number of keys that the callers of each region use.
     rank : int
         Priority class; zero is the most important.
     worth : float
-        Worth of an answer in time.
+        Worth of an answer within the latency target.
     late_worth : float
-        Worth of a later one.
+        Worth of a later answer.
     idempotent : bool
         Whether it may run more than once.
     same_part : float
-        Part of its requests that are the same one, which many callers send.
+        Share of its requests that are identical and sent by many callers, from 0 to 1.
     """
 
     service: str
@@ -163,26 +165,26 @@
 
 @frozen(kw_only=True)
 class Pattern:
-    """A deployment, its load, and what happens to it.
+    """A deployment, its load and its events.
 
     Parameters
     ----------
     name, answers, grounds : str
-        Its name, the moment that it models, and where its figures come from.
+        Name, the situation that it models, and the source of its figures.
     seconds : float
-        Length of a run.
+        Duration of a run in seconds.
     region_by_domain : dict of str to str
-        Failure domains and their regions.
+        Region of each failure domain.
     vms_by_domain : dict of str to int
-        Entry VMs in each failure domain.
+        Number of entry VMs in each failure domain.
     between_domains_ms, between_regions_ms, to_callers_ms : float
-        One-way delays.
+        One-way delays in milliseconds.
     services_by_name : dict of str to ModelService
         Services.
     operations_by_name : dict of str to ModelOperation
-        Kinds of requests.
+        Operations.
     events : tuple of PatternEvent
-        What happens.
+        Events.
     callers_by_domain : dict of str to float
         Weight of each failure domain among the callers; equal ones if empty.
     """
@@ -202,7 +204,7 @@
     callers_by_domain: dict[str, float] = Factory(dict)
 
     def problems(self) -> list[str]:
-        """Say what does not fit together."""
+        """Return the inconsistencies of the pattern."""
         domains = self.region_by_domain.keys()
         used = {*self.vms_by_domain, *self.callers_by_domain}
         for service in self.services_by_name.values():
@@ -227,7 +229,7 @@
         return found
 
     def load_factor(self, now: float) -> float:
-        """Give the factor on all rates at a time."""
+        """Return the factor on all request rates at a time, in seconds."""
         factor = 1.0
         for event in self.events:
             if event.kind is EventKind.LOAD and event.is_on(now):
@@ -236,7 +238,7 @@
 
 
 def read_pattern(path: Path) -> Result[Pattern, str]:
-    """Read a pattern, or say what is wrong with the file.
+    """Read a pattern, or return the problems of the file.
 
     Parameters
     ----------
@@ -256,7 +258,7 @@
 
 def _pattern_of(name: str, document: Any) -> Pattern:
     if not isinstance(document, dict):
-        raise TypeError("write a mapping of the pattern's fields")
+        raise TypeError("expected a mapping of the pattern's fields")
     found = {"name": name, **document}
     for key, cls in (
         ("services_by_name", ModelService),
@@ -273,7 +275,7 @@
 
 
 def _structured(cls: type[Any], found: Any) -> Any:
-    """Make an instance of its fields; TypeError names one that is not known."""
+    """Return an instance with the given fields; raise TypeError for an unknown one."""
     known = {each.name for each in fields(cls)}
     unknown = sorted(set(found) - known)
     if unknown:
--- a/packages/testkit/src/plankspindle_testkit/lab/peer_network.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/peer_network.py
@@ -27,27 +27,28 @@
 
 @define(kw_only=True)
 class PeerNetwork:
-    """Carry news of requests under which upstreams end, and tokens of limits.
+    """Delivers updates on crashing requests and messages on rate limits.
 
     Parameters
     ----------
     clock : SimulatedClock
-        The clock.
+        Clock of the run.
     deployment : Deployment
-        The entry VMs and the ways between them.
+        Entry VMs, and the delays between them.
     random : Random
-        Source of loss.
+        Source of message loss.
     handle_quota_message : callable
-        Gives an entry VM a message on limits, and the address to reply to.
+        Passes a message on limits, with the address for replies, to an entry VM.
     loss : float
-        Part of the messages that are lost.
+        Share of the messages that are lost, from 0 to 1.
     is_cut : callable
-        Tells whether messages from one VM to another are lost, by their names.
+        Returns whether all messages from one VM to another are lost, given their
+        names.
 
     Attributes
     ----------
     sent : int
-        Messages that were sent.
+        Number of messages sent.
     """
 
     clock: SimulatedClock
@@ -59,16 +60,16 @@
     sent: int = 0
 
     def send(self, sender: LabVm, effects: Iterable[SendToPeer]) -> None:
-        """Send messages of an entry VM; some are lost."""
+        """Send messages of an entry VM, some of which are lost."""
         for effect in effects:
             receiver = self.deployment.vms_by_name[effect.to.host]
             self.sent += 1
             is_lost = self.random.random() < self.loss
             if is_lost or self.is_cut(sender.name, receiver.name):
                 continue
-            way_s = self.deployment.one_way_s(sender.domain, receiver.domain)
-            come = partial(self._deliver, sender, receiver.name, effect.message)
-            self.clock.schedule(way_s, come)
+            delay_s = self.deployment.one_way_s(sender.domain, receiver.domain)
+            deliver = partial(self._deliver, sender, receiver.name, effect.message)
+            self.clock.schedule(delay_s, deliver)
 
     def _deliver(self, sender: LabVm, receiver: str, message: PeerMessage) -> None:
         vm = self.deployment.vms_by_name[receiver]
--- a/packages/testkit/src/plankspindle_testkit/lab/plot.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/plot.py
@@ -1,4 +1,4 @@
-"""A plot of a run over time, as SVG."""
+"""SVG plot of a run over time."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     from plankspindle_testkit.lab.outcomes import Outcomes
 
 WIDTH, HEIGHT, MARGIN = 800, 240, 40
-"""Size of one of the two diagrams, and the space around it, in pixels."""
+"""Size of each of the two diagrams, and the margin around it, in pixels."""
 _COLOR_BY_OUTCOME = {
     Outcome.ON_TIME: "#2a7f3f",
     Outcome.LATE: "#d9a400",
@@ -24,14 +24,14 @@
 
 
 def render_plot(title: str, outcomes: Outcomes) -> str:
-    """Draw requests by outcome, and load against slots, over time.
+    """Return a plot of requests by outcome, and of load and slots, over time.
 
     Parameters
     ----------
     title : str
         Name of the pattern.
     outcomes : Outcomes
-        One run.
+        Outcomes of a run.
 
     Returns
     -------
--- a/packages/testkit/src/plankspindle_testkit/lab/request_simulator.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/request_simulator.py
@@ -1,4 +1,4 @@
-"""What entry VMs do with requests: place, send, leave, answer."""
+"""Simulation of requests at entry VMs: placement, attempts and answers."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from plankspindle_daemon.node.effects import ServiceEffect
 from plankspindle_daemon.peer_messages.peer_message import SendToPeer
 from plankspindle_daemon.quarantine.quarantine_list import QuarantineEntry
-from plankspindle_testkit.lab.completions import answered_completion_of
+from plankspindle_testkit.lab.completions import answer_completion_of
 from plankspindle_testkit.lab.completions import completion_of
 from plankspindle_testkit.lab.completions import statement_event_of
 from plankspindle_testkit.lab.completions import unsent_completion_of
@@ -34,8 +34,8 @@
 from plankspindle_testkit.lab.requests import MAX_ATTEMPTS
 from plankspindle_testkit.lab.requests import NO_ATTEMPT
 from plankspindle_testkit.lab.requests import ActiveRequest
+from plankspindle_testkit.lab.requests import AnswerHead
 from plankspindle_testkit.lab.requests import Crash
-from plankspindle_testkit.lab.requests import ReportedAnswer
 from plankspindle_testkit.lab.requests import Request
 from plankspindle_testkit.lab.requests import may_abandon
 from plankspindle_testkit.lab.requests import ticket_of
@@ -51,31 +51,25 @@
     from plankspindle_testkit.lab.modelled_upstream import StartedWork
     from plankspindle_testkit.lab.pattern import ModelOperation
 
-BlockingEntryLookup = Callable[[int, float], QuarantineEntry | None]
+EntryLookup = Callable[[int, float], QuarantineEntry | None]
 
 
 @define(kw_only=True)
 class RequestSimulator:
-    """Requests at the entry VMs of a run.
+    """Simulates the requests at the entry VMs of a run.
 
     Parameters
     ----------
-    clock : SimulatedClock
-        The clock.
-    deployment : Deployment
-        Entry VMs and upstreams.
     finish : callable
-        Takes a request and how it ended.
+        Called with each completed request and its outcome.
     schedule_retry : callable
-        Takes a request that was refused, and the time to come back in seconds.
+        Called with each refused request and its Retry-After delay in seconds.
     oracle : Oracle, optional
-        What places requests in place of the entry VMs.
+        Places requests instead of the entry VMs.
     crashes : CrashRecord
-        Where the ends of upstreams under requests are noted.
+        Record of crashes that requests cause.
     statements : StatementRecord
-        Where it is noted what upstreams say of themselves, and what they get.
-    network : PeerNetwork
-        Messages between entry VMs.
+        Record of statements of upstreams, and of requests that reach them.
     """
 
     clock: SimulatedClock
@@ -91,12 +85,12 @@
     _by_attempt: dict[int, ActiveRequest] = Factory(dict)
 
     def accept(self, request: Request, vm: LabVm) -> None:
-        """Take a request that reaches an entry VM."""
+        """Handle a request that arrives at an entry VM."""
         if not vm.is_up:
             self.finish(request, Outcome.FAILED)
             return
         operation = self._operation_of(request)
-        handled = ActiveRequest(
+        active = ActiveRequest(
             request=request,
             vm=vm,
             ticket=ticket_of(
@@ -108,42 +102,42 @@
             ),
             service=operation.service,
         )
-        self._by_ticket[handled.ticket.id] = handled
-        left_s = max(0.0, handled.ticket.deadline - self.clock.now)
-        self.clock.schedule(left_s, partial(self._expire, handled))
+        self._by_ticket[active.ticket.id] = active
+        left_s = max(0.0, active.ticket.deadline - self.clock.now)
+        self.clock.schedule(left_s, partial(self._expire, active))
         vm.registry.budgets_by_service[operation.service].record_fresh()
-        self._place(handled)
+        self._place(active)
 
     def handle(self, vm: LabVm, service: str, event: DispatchEvent) -> None:
-        """Give an event to a dispatcher of an entry VM, and carry out what follows."""
+        """Pass an event to a dispatcher of an entry VM, and carry out its effects."""
         self.perform(vm, vm.limited.handle(service, event, self.clock.now))
 
     def perform(self, vm: LabVm, effects: list[NodeEffect]) -> None:
-        """Carry out what an entry VM decided."""
+        """Carry out the effects of an entry VM's decisions."""
         for effect in effects:
             match effect:
                 case SendToPeer():
                     self.network.send(vm, [effect])
-                case ServiceEffect(effect=Assign() | Reject() as decided):
-                    self._apply_decision(decided)
+                case ServiceEffect(effect=Assign() | Reject() as decision):
+                    self._apply_decision(decision)
                 case _:
                     pass
 
-    def _apply_decision(self, decided: Assign | Reject) -> None:
-        handled = self._by_ticket.get(decided.ticket.id)
-        if handled is None:
+    def _apply_decision(self, decision: Assign | Reject) -> None:
+        active = self._by_ticket.get(decision.ticket.id)
+        if active is None:
             return
-        if isinstance(decided, Assign):
-            self._send(handled, decided.upstream, decided.incarnation)
+        if isinstance(decision, Assign):
+            self._send(active, decision.upstream, decision.incarnation)
         else:
-            self._refuse(handled, decided.retry_after_s)
+            self._refuse(active, decision.retry_after_s)
 
     def abort_all(self) -> None:
-        """End all requests, as when all entry VMs end."""
-        for handled in list(self._by_ticket.values()):
-            self._complete(handled, Outcome.FAILED)
-            if handled.upstream is not None:
-                self._cancel_attempt(handled.upstream, handled.attempt)
+        """Fail all requests, as when all entry VMs stop."""
+        for active in list(self._by_ticket.values()):
+            self._complete(active, Outcome.FAILED)
+            if active.upstream is not None:
+                self._cancel(active.upstream, active.attempt)
 
     def _operation_of(self, request: Request) -> ModelOperation:
         return self.deployment.pattern.operations_by_name[request.operation]
@@ -151,290 +145,255 @@
     def _to_caller_s(self) -> float:
         return self.deployment.pattern.to_callers_ms / 1000
 
-    def _is_quarantined(
-        self, handled: ActiveRequest, holding: BlockingEntryLookup
-    ) -> bool:
-        entry = holding(handled.request.identity, self.clock.now)
+    def _is_quarantined(self, active: ActiveRequest, lookup: EntryLookup) -> bool:
+        entry = lookup(active.request.identity, self.clock.now)
         if entry is not None:
-            self._refuse(handled, entry.next_probe_at - self.clock.now)
+            self._refuse(active, entry.next_probe_at - self.clock.now)
         return entry is not None
 
-    def _place(self, handled: ActiveRequest) -> None:
-        quarantine, identity = handled.vm.quarantine, handled.request.identity
-        if handled.may_have_run and quarantine.is_suspected(identity):
-            self._complete(handled, Outcome.FAILED)
+    def _place(self, active: ActiveRequest) -> None:
+        quarantine, identity = active.vm.quarantine, active.request.identity
+        if active.may_have_run and quarantine.is_suspected(identity):
+            self._complete(active, Outcome.FAILED)
             return
-        if self._is_quarantined(handled, quarantine.blocking_entry):
+        if self._is_quarantined(active, quarantine.blocking_entry):
             return
         if self.oracle is None:
-            self._dispatch(handled, RequestArrived(handled.ticket))
+            self._dispatch(active, RequestArrived(active.ticket))
             return
         upstream = self.oracle.choose(
-            handled.request.operation,
-            handled.request.key,
-            domain=handled.vm.domain,
+            active.request.operation,
+            active.request.key,
+            domain=active.vm.domain,
             now=self.clock.now,
         )
         if upstream is None:
-            self._complete(handled, Outcome.REFUSED)
+            self._complete(active, Outcome.REFUSED)
         else:
-            self._send(handled, upstream.name, upstream.incarnation)
+            self._send(active, upstream.name, upstream.incarnation)
 
     def _dispatch(
         self,
-        handled: ActiveRequest,
+        active: ActiveRequest,
         event: RequestArrived | AttemptCompleted | RequestWithdrawn,
     ) -> None:
-        self.handle(handled.vm, handled.service, event)
-
-    def _refuse(self, handled: ActiveRequest, retry_after_s: float) -> None:
-        handled.is_completed = True
-        self._by_ticket.pop(handled.ticket.id, None)
-        back = partial(self.schedule_retry, handled.request, retry_after_s)
-        self.clock.schedule(self._to_caller_s(), back)
-
-    def _complete(self, handled: ActiveRequest, outcome: Outcome) -> None:
-        handled.is_completed = True
-        self._by_ticket.pop(handled.ticket.id, None)
-        self.finish(handled.request, outcome)
-
-    def _send(self, handled: ActiveRequest, upstream: str, incarnation: int) -> None:
-        if self._is_quarantined(handled, handled.vm.quarantine.blocking_entry_on_send):
-            self._dispatch(
-                handled, unsent_completion_of(handled, upstream, incarnation)
-            )
+        self.handle(active.vm, active.service, event)
+
+    def _refuse(self, active: ActiveRequest, retry_after_s: float) -> None:
+        active.is_completed = True
+        self._by_ticket.pop(active.ticket.id, None)
+        retry = partial(self.schedule_retry, active.request, retry_after_s)
+        self.clock.schedule(self._to_caller_s(), retry)
+
+    def _complete(self, active: ActiveRequest, outcome: Outcome) -> None:
+        active.is_completed = True
+        self._by_ticket.pop(active.ticket.id, None)
+        self.finish(active.request, outcome)
+
+    def _send(self, active: ActiveRequest, upstream: str, incarnation: int) -> None:
+        if self._is_quarantined(active, active.vm.quarantine.blocking_entry_on_send):
+            self._dispatch(active, unsent_completion_of(active, upstream, incarnation))
             return
-        handled.upstream, handled.incarnation = upstream, incarnation
-        handled.attempts += 1
-        handled.attempt = next(self._numbers)
-        handled.sent_at = self.clock.now
-        self._by_attempt[handled.attempt] = handled
-        is_idempotent = self._operation_of(handled.request).idempotent
+        active.upstream, active.incarnation = upstream, incarnation
+        active.attempts += 1
+        active.attempt = next(self._numbers)
+        active.sent_at = self.clock.now
+        self._by_attempt[active.attempt] = active
+        is_idempotent = self._operation_of(active.request).idempotent
         if is_idempotent and self.oracle is None:
-            self._schedule_attempt_check(handled, handled.attempt)
-        # A new connection costs the way there and back once more.
-        ways = 1 if is_idempotent else 3
+            self._schedule_check(active, active.attempt)
+        # Requests that are not idempotent open a new connection: one more round trip.
+        trips = 1 if is_idempotent else 3
         work = Work(
-            number=handled.attempt,
-            operation=handled.request.operation,
-            key=handled.request.key,
-            crash=handled.request.crash,
+            number=active.attempt,
+            operation=active.request.operation,
+            key=active.request.key,
+            crash=active.request.crash,
         )
         if work.crash is not None:
-            self.crashes.record_sent(handled.request.identity, self.clock.now)
-        reach = partial(self._reach_upstream, handled, upstream, work)
-        self.clock.schedule(ways * self._one_way_s(handled, upstream), reach)
+            self.crashes.record_sent(active.request.identity, self.clock.now)
+        reach = partial(self._arrive, active, upstream, work)
+        self.clock.schedule(trips * self._one_way_s(active, upstream), reach)
 
-    def _one_way_s(self, handled: ActiveRequest, upstream: str) -> float:
+    def _one_way_s(self, active: ActiveRequest, upstream: str) -> float:
         other = self.deployment.upstreams_by_name[upstream].domain
-        return self.deployment.one_way_s(handled.vm.domain, other)
+        return self.deployment.one_way_s(active.vm.domain, other)
 
-    def _schedule_attempt_check(self, handled: ActiveRequest, attempt: int) -> None:
-        dispatcher = handled.vm.registry.dispatchers_by_service[handled.service]
-        usual_s = dispatcher.expected_duration_s(handled.ticket)
+    def _schedule_check(self, active: ActiveRequest, attempt: int) -> None:
+        dispatcher = active.vm.registry.dispatchers_by_service[active.service]
+        expected_s = dispatcher.expected_duration_s(active.ticket)
         wait_s = max(
             attempt_timeout.MIN_ATTEMPT_TIMEOUT_S,
-            attempt_timeout.ATTEMPT_TIMEOUT_FACTOR * usual_s,
+            attempt_timeout.ATTEMPT_TIMEOUT_FACTOR * expected_s,
         )
-        self.clock.schedule(wait_s, partial(self._check_attempt, handled, attempt))
+        self.clock.schedule(wait_s, partial(self._check, active, attempt))
 
-    def _check_attempt(self, handled: ActiveRequest, attempt: int) -> None:
-        """Leave an upstream that answers nobody, as an exchange does."""
-        if handled.is_completed or handled.attempt != attempt:
+    def _check(self, active: ActiveRequest, attempt: int) -> None:
+        """Abandon an unresponsive upstream, as the daemon's exchange does."""
+        if active.is_completed or active.attempt != attempt:
             return
-        if may_abandon(handled, self.clock.now):
-            self._abandon_attempt(handled, AttemptOutcome.TIMED_OUT)
+        if may_abandon(active, self.clock.now):
+            self._abandon(active, AttemptOutcome.TIMED_OUT)
         else:
-            self._schedule_attempt_check(handled, attempt)
+            self._schedule_check(active, attempt)
 
-    def _abandon_attempt(
-        self, handled: ActiveRequest, verdict: AttemptOutcome, load: int | None = None
+    def _abandon(
+        self, active: ActiveRequest, outcome: AttemptOutcome, load: int | None = None
     ) -> None:
-        """End an attempt without an answer, and make another one if that may be."""
-        upstream = handled.upstream
+        """End an attempt without an answer, and retry if the budget allows it."""
+        upstream = active.upstream
         assert upstream is not None
-        self._cancel_attempt(upstream, handled.attempt)
-        ended = completion_of(handled, upstream, verdict, self.clock.now, load)
-        handled.upstream, handled.attempt = None, NO_ATTEMPT
-        excluded = handled.ticket.excluded_upstreams | frozenset({upstream})
-        handled.ticket = handled.ticket.excluding(excluded)
-        self._dispatch(handled, ended)
-        budget = handled.vm.registry.budgets_by_service[handled.service]
-        if handled.attempts < MAX_ATTEMPTS and budget.acquire():
-            self._place(handled)
+        self._cancel(upstream, active.attempt)
+        completion = completion_of(active, upstream, outcome, self.clock.now, load)
+        active.upstream, active.attempt = None, NO_ATTEMPT
+        excluded = active.ticket.excluded_upstreams | frozenset({upstream})
+        active.ticket = active.ticket.excluding(excluded)
+        self._dispatch(active, completion)
+        budget = active.vm.registry.budgets_by_service[active.service]
+        if active.attempts < MAX_ATTEMPTS and budget.acquire():
+            self._place(active)
         else:
-            self._refuse(handled, 0.0)
+            self._refuse(active, 0.0)
 
-    def _cancel_attempt(self, upstream: str, attempt: int) -> None:
-        """Break off an attempt: its connection is closed."""
+    def _cancel(self, upstream: str, attempt: int) -> None:
+        """Cancel an attempt by closing its connection."""
         self._by_attempt.pop(attempt, None)
-        known = self.deployment.upstreams_by_name[upstream]
-        if known.has_attempt(attempt):
-            self._schedule_completion(known, known.complete(attempt, self.clock.now))
+        target = self.deployment.upstreams_by_name[upstream]
+        if target.has_attempt(attempt):
+            self._run(target, target.complete(attempt, self.clock.now))
 
-    def _expire(self, handled: ActiveRequest) -> None:
-        """End a request whose deadline has passed."""
-        if handled.is_completed:
+    def _expire(self, active: ActiveRequest) -> None:
+        """Fail a request whose deadline has passed."""
+        if active.is_completed:
             return
-        upstream = handled.upstream
-        self._complete(handled, Outcome.FAILED)
+        upstream = active.upstream
+        self._complete(active, Outcome.FAILED)
         if upstream is None:
-            self._dispatch(handled, RequestWithdrawn(handled.ticket.id))
+            self._dispatch(active, RequestWithdrawn(active.ticket.id))
             return
-        self._cancel_attempt(upstream, handled.attempt)
+        self._cancel(upstream, active.attempt)
         self._dispatch(
-            handled,
-            completion_of(handled, upstream, AttemptOutcome.TIMED_OUT, self.clock.now),
+            active,
+            completion_of(active, upstream, AttemptOutcome.TIMED_OUT, self.clock.now),
         )
 
-    def _reach_upstream(
-        self, handled: ActiveRequest, upstream: str, work: Work
-    ) -> None:
-        if handled.is_completed or handled.attempt != work.number:
+    def _arrive(self, active: ActiveRequest, upstream: str, work: Work) -> None:
+        if active.is_completed or active.attempt != work.number:
             return
-        known = self.deployment.upstreams_by_name[upstream]
-        self.statements.record_arrival(upstream, handled.vm.name, self.clock.now)
-        if known.refuses_connections:
-            lost = partial(
-                self._handle_connection_loss,
-                handled,
-                work.number,
-                AttemptOutcome.UNREACHABLE,
-            )
-            self.clock.schedule(self._one_way_s(handled, upstream), lost)
+        target = self.deployment.upstreams_by_name[upstream]
+        self.statements.record_arrival(upstream, active.vm.name, self.clock.now)
+        if target.refuses_connections:
+            loss = partial(self._lose, active, work.number, AttemptOutcome.UNREACHABLE)
+            self.clock.schedule(self._one_way_s(active, upstream), loss)
             return
-        if known.is_dead:
+        if target.is_dead:
             return
-        if known.sheds():
-            told = ReportedAnswer(load=known.load, statement=known.statement())
-            shed = partial(self._handle_shed, handled, work.number, told)
-            self.clock.schedule(self._one_way_s(handled, upstream), shed)
+        if target.sheds():
+            head = AnswerHead(load=target.load, statement=target.statement())
+            shed = partial(self._shed, active, work.number, head)
+            self.clock.schedule(self._one_way_s(active, upstream), shed)
             return
-        self._schedule_completion(known, known.offer(work, self.clock.now))
+        self._run(target, target.offer(work, self.clock.now))
 
-    def _handle_shed(
-        self, handled: ActiveRequest, attempt: int, told: ReportedAnswer
-    ) -> None:
-        if handled.is_completed or handled.attempt != attempt:
+    def _shed(self, active: ActiveRequest, attempt: int, head: AnswerHead) -> None:
+        if active.is_completed or active.attempt != attempt:
             return
-        self._record_statement(handled, told.statement)
+        self._relay(active, head.statement)
         if self.oracle is None:
-            self._abandon_attempt(handled, AttemptOutcome.SHED, told.load)
+            self._abandon(active, AttemptOutcome.SHED, head.load)
         else:
-            self._place(handled)
+            self._place(active)
 
-    def _schedule_completion(
-        self, upstream: ModelledUpstream, begun: StartedWork | None
-    ) -> None:
-        if begun is None:
+    def _run(self, upstream: ModelledUpstream, started: StartedWork | None) -> None:
+        if started is None:
             return
-        work, incarnation = begun.work, upstream.incarnation
+        work, incarnation = started.work, upstream.incarnation
         if work.crash is not None:
             crash = partial(self._crash, upstream, work, work.crash, incarnation)
             self.clock.schedule(work.crash.after_s, crash)
             return
-        ends = partial(self._complete_work, upstream, work, incarnation)
-        self.clock.schedule(begun.duration_s, ends)
+        completion = partial(self._finish, upstream, work, incarnation)
+        self.clock.schedule(started.duration_s, completion)
 
     def _crash(
         self, upstream: ModelledUpstream, work: Work, crash: Crash, incarnation: int
     ) -> None:
-        """End an upstream under a request; all that was there is lost."""
+        """Crash an upstream that runs a crashing request."""
         if upstream.incarnation != incarnation or not upstream.has_attempt(work.number):
             return
-        guilty = self._by_attempt.get(work.number)
-        if guilty is not None:
-            self.crashes.record_crash(guilty.request.identity, self.clock.now)
+        crashing = self._by_attempt.get(work.number)
+        if crashing is not None:
+            self.crashes.record_crash(crashing.request.identity, self.clock.now)
         self.crash_upstream(upstream)
         self.clock.schedule(crash.down_s, lambda: upstream.restart(self.clock.now))
 
     def crash_upstream(self, upstream: ModelledUpstream) -> None:
-        """End the process of an upstream, and break off all that was there."""
+        """Crash an upstream; the connections of all its requests are lost."""
         for number in upstream.crash():
-            handled = self._by_attempt.get(number)
-            if handled is not None:
-                lost = partial(
-                    self._handle_connection_loss, handled, number, AttemptOutcome.FAILED
-                )
-                self.clock.schedule(self._one_way_s(handled, upstream.name), lost)
-
-    def _handle_connection_loss(
-        self, handled: ActiveRequest, attempt: int, verdict: AttemptOutcome
-    ) -> None:
-        """Take the loss of the connection of an attempt."""
-        if handled.is_completed or handled.attempt != attempt:
+            active = self._by_attempt.get(number)
+            if active is not None:
+                loss = partial(self._lose, active, number, AttemptOutcome.FAILED)
+                self.clock.schedule(self._one_way_s(active, upstream.name), loss)
+
+    def _lose(self, active: ActiveRequest, attempt: int, cause: AttemptOutcome) -> None:
+        """Handle the loss of the connection of an attempt."""
+        if active.is_completed or active.attempt != attempt:
             return
-        if verdict is AttemptOutcome.FAILED:
-            handled.may_have_run = True
-            self._report_crash(handled)
-        is_idempotent = self._operation_of(handled.request).idempotent
-        if is_idempotent or verdict is AttemptOutcome.UNREACHABLE:
-            self._abandon_attempt(handled, verdict)
+        if cause is AttemptOutcome.FAILED:
+            active.may_have_run = True
+            self._report_crash(active)
+        is_idempotent = self._operation_of(active.request).idempotent
+        if is_idempotent or cause is AttemptOutcome.UNREACHABLE:
+            self._abandon(active, cause)
             return
-        upstream = handled.upstream
+        upstream = active.upstream
         assert upstream is not None
         self._by_attempt.pop(attempt, None)
-        self._complete(handled, Outcome.FAILED)
-        self._dispatch(
-            handled, completion_of(handled, upstream, verdict, self.clock.now)
-        )
+        self._complete(active, Outcome.FAILED)
+        self._dispatch(active, completion_of(active, upstream, cause, self.clock.now))
 
-    def _complete_work(
-        self, upstream: ModelledUpstream, work: Work, incarnation: int
-    ) -> None:
+    def _finish(self, upstream: ModelledUpstream, work: Work, incarnation: int) -> None:
         if upstream.incarnation != incarnation or not upstream.has_attempt(work.number):
             return
-        self._schedule_completion(
-            upstream, upstream.complete(work.number, self.clock.now)
-        )
-        handled = self._by_attempt.pop(work.number, None)
-        if upstream.is_dead or handled is None:
+        self._run(upstream, upstream.complete(work.number, self.clock.now))
+        active = self._by_attempt.pop(work.number, None)
+        if upstream.is_dead or active is None:
             return
-        said = upstream.statement_in(work.number)
-        told = ReportedAnswer(load=upstream.load, statement=said)
-        answer = partial(self._handle_answer, handled, work.number, told)
-        self.clock.schedule(self._one_way_s(handled, upstream.name), answer)
-
-    def _record_statement(
-        self, handled: ActiveRequest, statement: UpstreamStatement
-    ) -> None:
-        """Tell an entry VM what an upstream said of itself in its answer."""
-        upstream, vm = handled.upstream, handled.vm
+        statement = upstream.statement_in(work.number)
+        head = AnswerHead(load=upstream.load, statement=statement)
+        answer = partial(self._answer, active, work.number, head)
+        self.clock.schedule(self._one_way_s(active, upstream.name), answer)
+
+    def _relay(self, active: ActiveRequest, statement: UpstreamStatement) -> None:
+        """Pass the statement in an answer to the entry VM."""
+        upstream, vm = active.upstream, active.vm
         if upstream is None or self.oracle is not None:
             return
-        self.handle(
-            vm, handled.service, statement_event_of(handled, upstream, statement)
-        )
+        self.handle(vm, active.service, statement_event_of(active, upstream, statement))
         self.statements.record_statement(upstream, vm.name, statement, self.clock.now)
 
-    def _report_crash(self, handled: ActiveRequest) -> None:
-        """Tell the quarantine of the entry VM, as its probe of the upstream does."""
-        news = handled.vm.quarantine.record_crash(
-            handled.request.identity,
-            f"{handled.upstream}#{handled.incarnation}",
+    def _report_crash(self, active: ActiveRequest) -> None:
+        """Report a crash to the quarantine, as the entry VM's upstream probe does."""
+        updates = active.vm.quarantine.record_crash(
+            active.request.identity,
+            f"{active.upstream}#{active.incarnation}",
             at=self.clock.now,
             now=self.clock.now,
         )
-        self.network.send(handled.vm, news)
+        self.network.send(active.vm, updates)
 
-    def _handle_answer(
-        self, handled: ActiveRequest, attempt: int, told: ReportedAnswer
-    ) -> None:
-        upstream = handled.upstream
-        if handled.is_completed or handled.attempt != attempt or upstream is None:
+    def _answer(self, active: ActiveRequest, attempt: int, head: AnswerHead) -> None:
+        upstream = active.upstream
+        if active.is_completed or active.attempt != attempt or upstream is None:
             return
-        self._record_statement(handled, told.statement)
-        target_s = self._operation_of(handled.request).target_ms / 1000
-        latency_s = self.clock.now - handled.request.first_at + self._to_caller_s()
-        self._complete(
-            handled, Outcome.ON_TIME if latency_s <= target_s else Outcome.LATE
-        )
-        connect_s = 2 * self._one_way_s(handled, upstream)
-        ended = answered_completion_of(
-            handled, upstream, told, connect_s, self.clock.now
-        )
-        self._dispatch(handled, ended)
-        if handled.vm.quarantine.is_active:
-            identity, now = handled.request.identity, self.clock.now
-            news = handled.vm.quarantine.record_completion(identity, now)
-            self.network.send(handled.vm, news)
+        self._relay(active, head.statement)
+        target_s = self._operation_of(active.request).target_ms / 1000
+        total_s = self.clock.now - active.request.first_at + self._to_caller_s()
+        self._complete(active, Outcome.ON_TIME if total_s <= target_s else Outcome.LATE)
+        connect_s = 2 * self._one_way_s(active, upstream)
+        event = answer_completion_of(active, upstream, head, connect_s, self.clock.now)
+        self._dispatch(active, event)
+        if active.vm.quarantine.is_active:
+            identity, now = active.request.identity, self.clock.now
+            updates = active.vm.quarantine.record_completion(identity, now)
+            self.network.send(active.vm, updates)
--- a/packages/testkit/src/plankspindle_testkit/lab/requests.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/requests.py
@@ -1,4 +1,4 @@
-"""Requests of a run, as their callers and the entry VMs see them."""
+"""Requests of a run, from the view of callers and of entry VMs."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
     from plankspindle_testkit.lab.pattern import ModelOperation
 
 MAX_ATTEMPTS = 2
-"""Upstreams that one request may be sent to."""
+"""Maximum number of upstreams to which one request is sent."""
 NO_ATTEMPT = -1
-"""Number of the attempt of a request that waits."""
+"""Attempt number of a request that is at no upstream."""
 
 
 @frozen(kw_only=True)
 class Crash:
-    """The end of an upstream under a request.
+    """Crash of an upstream that a request causes.
 
     Parameters
     ----------
     after_s : float
-        Time from the begin of the request, in seconds.
+        Time from the start of the request to the crash, in seconds.
     down_s : float
-        Time after which the upstream is back, in seconds.
+        Time from the crash to the restart of the upstream, in seconds.
     """
 
     after_s: float
@@ -44,19 +44,19 @@
     Parameters
     ----------
     operation : str
-        Its kind.
+        Name of the operation.
     key : str
-        The thing that it concerns.
+        Key of the resource that it concerns.
     domain : str
         Failure domain of the caller.
     first_at, deadline : float
-        Time of the first try, and when the caller gives up, in seconds.
+        Time of the first attempt and time at which the caller gives up, in seconds.
     retry_count : int
-        How often the caller came back.
+        Retries by the caller.
     identity : int
-        The same for requests with the same caller, path and body.
+        Identity, which requests with the same caller, path and body share.
     crash : Crash, optional
-        What it does to an upstream that begins it.
+        Crash that it causes at an upstream that starts it.
     """
 
     operation: str
@@ -71,32 +71,32 @@
 
 @define(kw_only=True)
 class ActiveRequest:
-    """A request at an entry VM.
+    """A request in progress at an entry VM.
 
     Parameters
     ----------
     request : Request
-        What the caller wants.
+        Request of the caller.
     vm : LabVm
-        Where it is.
+        Entry VM that handles it.
     ticket : Ticket
-        The request as admission sees it.
+        Request as the dispatcher sees it.
     service : str
-        The service asked for.
+        Name of the service.
     attempts : int
-        Upstreams that it was sent to.
+        Number of upstreams to which it was sent.
     upstream : str, optional
-        Where it is now.
+        Upstream of the current attempt.
     incarnation : int
-        Which life of that.
+        Incarnation of that upstream.
     attempt : int
-        Number of the present attempt.
+        Number of the current attempt.
     sent_at : float
-        When that began, in seconds.
+        Start of the current attempt, in seconds.
     may_have_run : bool
-        Whether an upstream was lost while it was in flight there.
+        Whether a connection was lost while it was in flight.
     is_completed : bool
-        Whether the request has ended here.
+        Whether the entry VM has completed the request.
     """
 
     request: Request
@@ -113,15 +113,15 @@
 
 
 @frozen(kw_only=True)
-class ReportedAnswer:
-    """What the head of an answer tells.
+class AnswerHead:
+    """Load and statement in the head of an answer.
 
     Parameters
     ----------
     load : int
-        Requests that run and wait at the upstream.
+        Requests running and waiting at the upstream.
     statement : UpstreamStatement
-        What it says of itself.
+        Statement of the upstream.
     """
 
     load: int
@@ -136,7 +136,7 @@
     to_caller_s: float,
     now: float,
 ) -> Ticket:
-    """Give a request as an entry VM's admission sees it."""
+    """Return the ticket of a request for the dispatcher of an entry VM."""
     target_s = operation.target_ms / 1000
     return Ticket(
         id=number,
@@ -149,16 +149,16 @@
     )
 
 
-def may_abandon(handled: ActiveRequest, now: float) -> bool:
-    """Tell whether a request may leave an upstream that answers nobody."""
-    book, upstream = handled.vm.registry, handled.upstream
-    dispatcher = book.dispatchers_by_service[handled.service]
-    known = dispatcher.upstreams_by_name.get(upstream or "")
-    if known is not None and known.answered_at >= handled.sent_at:
+def may_abandon(active: ActiveRequest, now: float) -> bool:
+    """Return whether a request may abandon an unresponsive upstream."""
+    book, upstream = active.vm.registry, active.upstream
+    dispatcher = book.dispatchers_by_service[active.service]
+    state = dispatcher.upstreams_by_name.get(upstream or "")
+    if state is not None and state.answered_at >= active.sent_at:
         return False
     return (
         upstream is not None
-        and handled.attempts < MAX_ATTEMPTS
-        and book.budgets_by_service[handled.service].can_retry()
-        and dispatcher.could_place_elsewhere(handled.ticket, upstream, now)
+        and active.attempts < MAX_ATTEMPTS
+        and book.budgets_by_service[active.service].can_retry()
+        and dispatcher.could_place_elsewhere(active.ticket, upstream, now)
     )
--- a/packages/testkit/src/plankspindle_testkit/lab/simulated_clock.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/simulated_clock.py
@@ -1,4 +1,4 @@
-"""The fake clock of a run: acts in the order of their times."""
+"""Simulated clock of a run, which calls callbacks in the order of their times."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 @define(kw_only=True)
 class SimulatedClock:
-    """Acts that are due.
+    """Event queue of a simulation.
 
     Attributes
     ----------
     now : float
-        Seconds of the run.
+        Simulated time since the start of the run, in seconds.
     """
 
     now: float = 0.0
@@ -26,12 +26,12 @@
     _numbers: count[int] = field(factory=count)
 
     def schedule(self, seconds: float, callback: Callable[[], None]) -> None:
-        """Do something later; what is due at one time is done in order."""
+        """Call a callback after a delay in seconds; equal times keep their order."""
         entry = (self.now + seconds, next(self._numbers), callback)
         heapq.heappush(self._events, entry)
 
     def run_until(self, end_s: float) -> None:
-        """Do all that is due by a time, in seconds."""
+        """Run all callbacks due until a time, in seconds."""
         while self._events and self._events[0][0] <= end_s:
-            self.now, _, act = heapq.heappop(self._events)
-            act()
+            self.now, _, callback = heapq.heappop(self._events)
+            callback()
--- a/packages/testkit/tests/lab/test_crashing_requests.py
+++ b/packages/testkit/tests/lab/test_crashing_requests.py
@@ -1,15 +1,15 @@
-"""Requests under which upstreams crash, at 9, 65 and 195 entry VMs.
-
-Seen: upstreams of a service ended one after the other for 18 s, three times in a row,
-while over a tenth of its requests were not served. There are 24, each is back after
-some seconds. 44 ends came about under one request: each time it came again at another
-entry VM under an id of its own, was sent to an upstream that was well, and once more to
-a second one.
-
-Cause: nothing remembered that an upstream had ended under a request. Each try was a new
-request to each entry VM, and the bound on retries is one of the whole service, which
-two tries a second do not reach. The identities that entry VMs log now were the same at
-each upstream that ended, and requests that are in quarantine end none.
+"""Requests that crash upstreams, at 9, 65 and 195 entry VMs.
+
+Failure: the upstreams of a service crashed one after the other for 18 s, three times in
+a row, and more than a tenth of its requests were not served. The service has 24
+upstreams, each of which restarts within some seconds. One request caused 44 crashes: at
+each retry it reached another entry VM under a new request id, was sent to a healthy
+upstream, and was then retried at a second one.
+
+Cause: no entry VM recorded which request an upstream was running when it crashed. Each
+retry was a new request to its entry VM, and the retry budget is one per service, which
+two retries a second do not exhaust. The request identities that entry VMs log now were
+the same at each upstream that crashed, and quarantined requests crash none.
 """
 
 from __future__ import annotations
@@ -27,23 +27,24 @@
 from plankspindle_testkit.lab.pattern import PatternEvent
 from plankspindle_testkit.lab.pattern import read_pattern
 
-SENT_ON = 3
-"""How often such a request may be sent on, long after the third upstream ended."""
-KNOWN_S = 3.0
-"""Time in which all entry VMs must know of such a request, in seconds."""
+MAX_LATE_SENDS = 3
+"""Sends that are tolerated after all entry VMs must know of the request."""
+DETECTION_S = 3.0
+"""Time from the third crash until all entry VMs must know of it, in seconds."""
 SLOTS_PER_VM = 11
 FIRST, SECOND = -1, -3
 
 
-def pattern(vms: int) -> Pattern:
-    """Give the pattern with the same load for each of more entry VMs."""
-    small = read_pattern(
-        PATTERNS_FOLDER / "requests-that-crash-upstreams.yaml"
-    ).unwrap()
-    factor = vms / sum(small.vms_by_domain.values())
-    look = small.services_by_name["look"]
-    look_up = small.operations_by_name["look-up"]
-    domains = small.region_by_domain
+def build_pattern(vms: int) -> Pattern:
+    """Return the pattern for a number of entry VMs.
+
+    Load and upstreams grow with their number, to twice the original at most.
+    """
+    base = read_pattern(PATTERNS_FOLDER / "requests-that-crash-upstreams.yaml").unwrap()
+    factor = vms / sum(base.vms_by_domain.values())
+    look = base.services_by_name["look"]
+    look_up = base.operations_by_name["look-up"]
+    domains = base.region_by_domain
     vms_by_domain = {
         domain: vms // len(domains) + (number < vms % len(domains))
         for number, domain in enumerate(domains)
@@ -53,8 +54,8 @@
         for domain, number in look.upstreams_by_domain.items()
     }
     return evolve(
-        small,
-        vms_by_domain=small.vms_by_domain if factor == 1 else vms_by_domain,
+        base,
+        vms_by_domain=base.vms_by_domain if factor == 1 else vms_by_domain,
         services_by_name={"look": evolve(look, upstreams_by_domain=upstreams)},
         operations_by_name={
             "look-up": evolve(look_up, per_s=look_up.per_s * min(factor, 2.0))
@@ -63,11 +64,16 @@
 
 
 @pytest.mark.parametrize(("vms", "seed"), [(9, 1), (9, 2), (9, 3), (65, 1), (195, 1)])
-def test_a_request_that_crashes_upstreams_is_sent_to_few(vms: int, seed: int) -> None:
-    run = LabRun(pattern=pattern(vms), seed=seed)
+def test_crashing_request_is_quarantined_and_others_are_served(
+    vms: int, seed: int
+) -> None:
+    run = LabRun(pattern=build_pattern(vms), seed=seed)
     outcomes = run.run()
     for request in (FIRST, SECOND):
-        assert run.crashes.count_late_sends(request, within_s=KNOWN_S) <= SENT_ON
+        assert (
+            run.crashes.count_late_sends(request, within_s=DETECTION_S)
+            <= MAX_LATE_SENDS
+        )
     last_s = range(20, 22)
     served = [
         1 - outcomes.by_window[window][Outcome.FAILED] / total
@@ -78,47 +84,52 @@
 
 
 @pytest.mark.parametrize("loss", [0.3])
-def test_it_is_held_back_where_messages_are_lost(loss: float) -> None:
-    run = LabRun(pattern=pattern(9), seed=5)
+def test_crashing_request_is_quarantined_despite_message_loss(loss: float) -> None:
+    run = LabRun(pattern=build_pattern(9), seed=5)
     run.network.loss = loss
     run.run()
     for request in (FIRST, SECOND):
-        assert run.crashes.count_late_sends(request, within_s=KNOWN_S) <= SENT_ON
+        assert (
+            run.crashes.count_late_sends(request, within_s=DETECTION_S)
+            <= MAX_LATE_SENDS
+        )
 
 
-def test_failure_domains_that_are_cut_off_hold_it_back_each() -> None:
-    run = LabRun(pattern=pattern(9), seed=6)
+def test_each_partition_quarantines_a_crashing_request() -> None:
+    run = LabRun(pattern=build_pattern(9), seed=6)
     run.network.is_cut = lambda one, other: one[0] != other[0]
     run.run()
     regions = 3
     crashed = len(run.crashes.crashed_at_by_identity[FIRST])
-    assert crashed <= regions * (QUARANTINE_AFTER_CRASHES + SENT_ON)
+    assert crashed <= regions * (QUARANTINE_AFTER_CRASHES + MAX_LATE_SENDS)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_requests_that_upstreams_end_beside_are_served(seed: int) -> None:
-    """Half of the upstreams end of something else, at once, three times in a row.
+def test_requests_in_flight_during_unrelated_crashes_are_not_quarantined(
+    seed: int,
+) -> None:
+    """Half of the upstreams crash for another reason, at once, three times in a row.
 
-    Pattern: a third of the requests are the same one, in flight at each of them.
+    A third of the requests are identical, so that they are in flight at each of them.
     """
-    small = pattern(9)
-    look_up = small.operations_by_name["look-up"]
+    base = build_pattern(9)
+    look_up = base.operations_by_name["look-up"]
     ends = tuple(
         PatternEvent(kind=EventKind.END, at_s=at_s, for_s=1.0, share=0.5)
         for at_s in (4.0, 6.0, 8.0)
     )
-    struck = evolve(
-        small,
+    affected = evolve(
+        base,
         seconds=14.0,
         operations_by_name={"look-up": evolve(look_up, same_part=1 / 3)},
         events=ends,
     )
-    run = LabRun(pattern=struck, seed=seed)
+    run = LabRun(pattern=affected, seed=seed)
     outcomes = run.run()
-    held = sum(vm.quarantine.requests_refused for vm in run.vms())
-    assert held == 0
+    refused = sum(vm.quarantine.requests_refused for vm in run.vms())
+    assert refused == 0
     failed = outcomes.by_outcome[Outcome.FAILED]
     with override_constant("quarantine.crash_records", "WATCH_AFTER_CRASHES", 1e9):
-        without = LabRun(pattern=struck, seed=seed).run()
+        without = LabRun(pattern=affected, seed=seed).run()
     assert failed <= without.by_outcome[Outcome.FAILED]
     assert failed < 0.01 * outcomes.by_outcome.total()
--- a/packages/testkit/tests/lab/test_decisions.py
+++ b/packages/testkit/tests/lab/test_decisions.py
@@ -1,7 +1,8 @@
-"""What the decisions keep of the worth of modelled loads.
+"""Share of the worth of requests that placement decisions earn under load patterns.
 
-Each floor lies between what a run earned without the mechanism and with it, on the seed
-that is named; the patterns name the moments that they answer and their grounds.
+Each lower bound lies between the result without the mechanism and the one with it, on
+the given seed. The pattern files state the situation that they model and the source of
+their figures.
 """
 
 from __future__ import annotations
@@ -24,20 +25,20 @@
     ("name", "least"),
     [("overload-cold-domain", 0.88), ("steady-beyond-the-room", 0.78)],
 )
-def test_a_busy_upstream_that_knows_a_key_is_waited_for(
+def test_request_queues_for_a_busy_upstream_with_cached_key(
     name: str, least: float
 ) -> None:
-    """0.848 and 0.761 where only a third of the slots may wait."""
+    """0.848 and 0.761 if at most a third of the slots may be queued for."""
     assert worth_of(name) > least
 
 
-def test_keys_stay_with_the_next_upstreams_of_their_order() -> None:
-    """0.698 where idle upstreams take any key while the others shed."""
+def test_keys_stay_in_affinity_order_while_upstreams_shed() -> None:
+    """0.698 if idle upstreams get any key while the others shed."""
     assert worth_of("all-upstreams-shed") > 0.74
 
 
-def test_an_upstream_that_sheds_with_room_keeps_its_keys() -> None:
-    """0.771 where it counts as full for 0.4 s after each request that it shed."""
+def test_upstream_that_sheds_with_free_slots_keeps_its_keys() -> None:
+    """0.771 if it counts as full for 0.4 s after each request that it sheds."""
     assert worth_of("all-upstreams-shed") > 0.82
 
 
@@ -45,6 +46,6 @@
     ("name", "least"),
     [("callers-fill-one-region", 0.90), ("callers-where-few-upstreams-are", 0.92)],
 )
-def test_callers_who_crowd_one_region_are_served(name: str, least: float) -> None:
-    """Also by a plan that knows slots and entry VMs, not where the callers are."""
+def test_callers_concentrated_in_one_region_are_served(name: str, least: float) -> None:
+    """This also holds for a plan of slots and entry VMs without caller locations."""
     assert worth_of(name) > least
--- a/packages/testkit/tests/lab/test_lab_run.py
+++ b/packages/testkit/tests/lab/test_lab_run.py
@@ -1,4 +1,4 @@
-"""Tests of runs of the lab."""
+"""Runs of the lab and its command line."""
 
 from __future__ import annotations
 
@@ -26,30 +26,30 @@
 
 
 @cache
-def short(seed: int, *, uses_oracle: bool = False) -> Outcomes:
-    calm = evolve(pattern("learning-at-the-start"), seconds=SHORT_S)
-    return LabRun(pattern=calm, seed=seed, uses_oracle=uses_oracle).run()
+def short_run(seed: int, *, uses_oracle: bool = False) -> Outcomes:
+    base = evolve(pattern("learning-at-the-start"), seconds=SHORT_S)
+    return LabRun(pattern=base, seed=seed, uses_oracle=uses_oracle).run()
 
 
-def test_a_run_repeats_with_its_seed_only() -> None:
-    calm = evolve(pattern("learning-at-the-start"), seconds=SHORT_S)
-    again = LabRun(pattern=calm, seed=1).run()
-    assert again.by_window == short(1).by_window
-    assert short(2).by_window != short(1).by_window
+def test_run_is_deterministic_per_seed() -> None:
+    base = evolve(pattern("learning-at-the-start"), seconds=SHORT_S)
+    again = LabRun(pattern=base, seed=1).run()
+    assert again.by_window == short_run(1).by_window
+    assert short_run(2).by_window != short_run(1).by_window
 
 
-def test_every_request_ends_once() -> None:
-    calm = pattern("learning-at-the-start")
-    asked = calm.operations_by_name["look-up"].per_s * SHORT_S
-    ended = short(1).by_outcome.total()
-    assert abs(ended - asked) < 5 * asked**0.5
+def test_every_request_completes_once() -> None:
+    base = pattern("learning-at-the-start")
+    expected = base.operations_by_name["look-up"].per_s * SHORT_S
+    completed = short_run(1).by_outcome.total()
+    assert abs(completed - expected) < 5 * expected**0.5
 
 
-def test_full_knowledge_is_no_worse_where_keys_are_learned() -> None:
-    assert short(1, uses_oracle=True).worth > short(1).worth - 0.01
+def test_oracle_is_no_worse_than_entry_vms_with_cold_caches() -> None:
+    assert short_run(1, uses_oracle=True).worth > short_run(1).worth - 0.01
 
 
-def test_entry_vms_that_end_fail_their_requests_and_serve_again() -> None:
+def test_restarted_entry_vms_fail_their_requests_and_serve_again() -> None:
     outcomes = LabRun(pattern=pattern("entry-vms-restart"), seed=1).run()
     assert outcomes.by_window[9][Outcome.FAILED] > 0.9 * sum(
         outcomes.by_window[9].values()
@@ -59,27 +59,27 @@
     )
 
 
-def test_a_constant_is_set_for_a_while_only() -> None:
+def test_overridden_constant_is_restored() -> None:
     for mechanism in MECHANISMS:
         with override_constant(
             mechanism.module, mechanism.constant, mechanism.disabled_value
         ):
             pass
-    calm = evolve(pattern("learning-at-the-start"), seconds=SHORT_S)
-    assert LabRun(pattern=calm, seed=1).run().worth == short(1).worth
+    base = evolve(pattern("learning-at-the-start"), seconds=SHORT_S)
+    assert LabRun(pattern=base, seed=1).run().worth == short_run(1).worth
 
 
-def test_the_plot_shows_each_outcome() -> None:
-    drawn = render_plot("a & b", short(1))
-    assert "a &amp; b" in drawn
-    assert all(f">{outcome.value}<" in drawn for outcome in Outcome)
+def test_plot_shows_each_outcome() -> None:
+    svg = render_plot("a & b", short_run(1))
+    assert "a &amp; b" in svg
+    assert all(f">{outcome.value}<" in svg for outcome in Outcome)
 
 
-def test_the_command_tells_an_unknown_pattern_and_setting() -> None:
+def test_command_rejects_unknown_pattern_and_malformed_setting() -> None:
     runner = CliRunner()
     missing = runner.invoke(lab, ["run", "no-such-pattern"])
     assert missing.exit_code == 1
     assert "No such file" in missing.output
-    odd = runner.invoke(lab, ["compare", "slow-upstreams", "--set", "odd"])
-    assert odd.exit_code == 2
-    assert "MODULE.CONSTANT=NUMBER" in odd.output
+    malformed = runner.invoke(lab, ["compare", "slow-upstreams", "--set", "odd"])
+    assert malformed.exit_code == 2
+    assert "MODULE.CONSTANT=NUMBER" in malformed.output
--- a/packages/testkit/tests/lab/test_pattern.py
+++ b/packages/testkit/tests/lab/test_pattern.py
@@ -1,4 +1,4 @@
-"""Tests of reading patterns."""
+"""Reading and validation of pattern files."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-ONE = "overload-cold-domain"
+PATTERN_NAME = "overload-cold-domain"
 
 
-def spoiled(folder: Path, before: str, after: str) -> Path:
-    text = (PATTERNS_FOLDER / f"{ONE}.yaml").read_text()
+def write_invalid(folder: Path, before: str, after: str) -> Path:
+    text = (PATTERNS_FOLDER / f"{PATTERN_NAME}.yaml").read_text()
     assert before in text
     path = folder / "spoiled.yaml"
     path.write_text(text.replace(before, after))
@@ -26,14 +26,14 @@
 @pytest.mark.parametrize(
     "path", sorted(PATTERNS_FOLDER.glob("*.yaml")), ids=lambda path: path.stem
 )
-def test_each_pattern_says_what_it_answers_and_on_what_grounds(path: Path) -> None:
+def test_each_pattern_states_its_situation_and_sources(path: Path) -> None:
     pattern = read_pattern(path).unwrap()
     assert pattern.answers.strip()
     assert pattern.grounds.strip()
 
 
 @pytest.mark.parametrize(
-    ("before", "after", "told"),
+    ("before", "after", "message"),
     [
         ("slots: 5", "slots: 0", "slots"),
         ("slots: 5", "slot: 5", "'slot'"),
@@ -49,11 +49,11 @@
         ),
     ],
 )
-def test_what_is_wrong_with_a_file_is_told(
-    tmp_path: Path, before: str, after: str, told: str
+def test_invalid_pattern_is_refused_with_the_problem(
+    tmp_path: Path, before: str, after: str, message: str
 ) -> None:
-    assert told in read_pattern(spoiled(tmp_path, before, after)).unwrap_err()
+    assert message in read_pattern(write_invalid(tmp_path, before, after)).unwrap_err()
 
 
-def test_a_file_that_is_not_there_is_told(tmp_path: Path) -> None:
+def test_missing_pattern_file_is_reported(tmp_path: Path) -> None:
     assert "No such file" in read_pattern(tmp_path / "none.yaml").unwrap_err()
--- a/packages/testkit/tests/lab/test_upstream_statements.py
+++ b/packages/testkit/tests/lab/test_upstream_statements.py
@@ -1,8 +1,8 @@
-"""Upstreams that say that they leave, or ask for rest, in their answers.
+"""Upstreams whose answers state that they are leaving, or a Retry-After delay.
 
-Seen: a request reached an upstream 3 s after an answer had told the entry VM that sent
-it that the upstream leaves; upstreams that had asked an entry VM for 3 s of rest got 26
-and 12 requests from it in that time.
+Failures: a request reached an upstream 3 s after its entry VM had received the
+statement that the upstream is leaving; upstreams that had sent an entry VM a
+Retry-After of 3 s got 26 and 12 requests from it within that time.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 from plankspindle_testkit.lab.pattern import read_pattern
 
 DRAIN_S = 2.0
-MOST_IN_REST = 2
+MAX_IN_BACKOFF = 2
 
 
-def pattern(name: str) -> Pattern:
+def build_pattern(name: str) -> Pattern:
     return read_pattern(PATTERNS_FOLDER / f"{name}.yaml").unwrap()
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_an_upstream_that_says_it_leaves_gets_nothing_new(seed: int) -> None:
-    run = LabRun(pattern=pattern("upstreams-that-say-they-leave"), seed=seed)
+def test_leaving_upstream_gets_no_new_requests(seed: int) -> None:
+    run = LabRun(pattern=build_pattern("upstreams-that-say-they-leave"), seed=seed)
     run.run()
     assert run.statements.sent_to_leaving(drain_s=DRAIN_S) == 0
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_an_upstream_that_asks_for_rest_gets_it(seed: int) -> None:
-    run = LabRun(pattern=pattern("upstreams-that-ask-for-rest"), seed=seed)
+def test_upstream_gets_no_requests_within_retry_after(seed: int) -> None:
+    run = LabRun(pattern=build_pattern("upstreams-that-ask-for-rest"), seed=seed)
     outcomes = run.run()
     assert run.statements.backoff_count > 0
-    assert run.statements.max_requests_in_backoff() <= MOST_IN_REST
+    assert run.statements.max_requests_in_backoff() <= MAX_IN_BACKOFF
     assert outcomes.by_outcome[Outcome.FAILED] == 0
