--- a/packages/daemon/src/plankspindle_daemon/listeners/caller_listener.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/caller_listener.py
@@ -1,4 +1,4 @@
-"""The listener that callers use: look-ups, request ids and requests."""
+"""HTTP listener for callers: lookups, request ids and requests."""
 
 from __future__ import annotations
 
@@ -30,26 +30,27 @@
 
 MAX_IDS_PER_CALL = 100
 _COUNT_PATTERN = re.compile(r"[0-9]{1,3}")
-"""Digits enough for the most ids; ``int`` reads other digits, too, or none so long."""
+"""``int`` alone would accept non-ASCII digits and raise on very long numbers; three
+digits are enough for ``MAX_IDS_PER_CALL``."""
 _JSON_HEADERS: HeaderList = [(b"content-type", b"application/json")]
 
 
 @define(kw_only=True)
 class CallerListener:
-    """Serve callers.
+    """HTTP server for callers.
 
     Parameters
     ----------
     settings : DaemonSettings
         Settings of the process.
     supervisor : Supervisor
-        Keeper of unexpected errors.
+        Contains and logs unexpected errors of handlers.
     node : Node
-        The decisions.
+        Decision logic and state of this entry VM.
     requests : RequestService
-        What serves requests for services.
+        Serves requests for services.
     metrics : RequestMetrics
-        Counters.
+        Request counters.
     """
 
     settings: DaemonSettings
@@ -67,11 +68,11 @@
         )
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         await self._server.start()
 
     async def close(self) -> None:
-        """Stop listening; what still runs is cut off."""
+        """Stop listening and abort requests that still run."""
         await self._server.close()
 
     def disable_keep_alive(self) -> None:
@@ -80,21 +81,21 @@
 
     @property
     def connections(self) -> int:
-        """Open connections of callers."""
+        """Number of open connections of callers."""
         return self._server.connections
 
     @property
     def running(self) -> int:
-        """Requests that run or wait here."""
+        """Number of requests that run or wait here."""
         return self.requests.running
 
     @property
     def refused(self) -> int:
-        """Requests refused for breaking the protocol."""
+        """Number of requests refused for violating HTTP."""
         return self._server.refused
 
     async def handle(self, source: ServerExchange) -> None:
-        """Answer one request."""
+        """Answer one HTTP request."""
         if self.requests.resolver.handles(source):
             await self.requests.serve(source)
         else:
@@ -149,7 +150,7 @@
 
 
 def lookup_mapping(service: str, answer: LookupAnswer) -> dict[str, object]:
-    """Give the JSON form of the answer to a look-up."""
+    """Return the JSON form of the answer to a lookup."""
     return {
         "service": service,
         "site": answer.site,
--- a/packages/daemon/src/plankspindle_daemon/listeners/idempotency_checker.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/idempotency_checker.py
@@ -1,4 +1,4 @@
-"""Decides whether a request with an id or key may run here."""
+"""Decision whether a request with a request id or idempotency key may run here."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 CLAIM_TTL_S = 7 * 24 * 3600.0
 CLAIM_TIMEOUT_S = 3.0
-"""Longest wait for a claim, so that an outage is answered while a caller waits."""
+"""Maximum wait for a claim, so that the caller still gets an answer in an outage."""
 
 
 @frozen
@@ -56,14 +56,14 @@
 
 @frozen(kw_only=True)
 class AnsweredWithoutRunning:
-    """The request does not run; the caller is told why.
+    """The request does not run; the caller gets the reason, or a replayed answer.
 
     Parameters
     ----------
     verdict : IdVerdict or ClaimVerdict
-        What memory or table say.
+        Result of the request id table or of the claim store.
     answer : AnswerCaller
-        The answer, unless a recorded one is replayed.
+        The answer; ignored if a recorded answer is replayed.
     """
 
     verdict: IdVerdict | ClaimVerdict
@@ -75,14 +75,14 @@
 
 @define(kw_only=True)
 class IdempotencyChecker:
-    """Bring ids and keys of requests together with what is known of them.
+    """Check ids and keys of requests against issued ids and claims.
 
     Parameters
     ----------
     node : Node
-        The decisions, with the ids issued here.
+        Node that holds the ids issued here.
     claims : ClaimStore
-        Claims of keys.
+        Claims of idempotency keys.
     random : Random
         Source of nonces.
     """
@@ -99,16 +99,16 @@
         deadline: float,
         now: float,
     ) -> Decision:
-        """Decide on one request.
+        """Decide whether one request runs here, is forwarded or is answered.
 
         Parameters
         ----------
         request : CallerRequest
             A request with an id or a key.
         fingerprint : Fingerprint
-            Its identity.
+            Fingerprint of the request.
         deadline, now : float
-            Monotonic seconds.
+            Deadline of the request and current time, monotonic seconds.
         """
         if request.request_id is not None:
             return self._decide_id(request, request.request_id, fingerprint, now)
@@ -147,17 +147,17 @@
 
 
 def answer_for(verdict: IdVerdict | ClaimVerdict) -> AnswerCaller:
-    """Give the answer to a request that does not run.
+    """Return the answer to a request that does not run.
 
     Parameters
     ----------
     verdict : IdVerdict or ClaimVerdict
-        What memory or table say.
+        Result of the request id table or of the claim store.
 
     Returns
     -------
     AnswerCaller
-        ``not-run`` only where no copy of the request can have run.
+        Its outcome is ``not-run`` only if no copy of the request can have run.
     """
     match verdict:
         case Replay() | RunIt():
--- a/packages/daemon/src/plankspindle_daemon/listeners/json_answer.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/json_answer.py
@@ -1,4 +1,4 @@
-"""Answers in JSON."""
+"""JSON answers."""
 
 from __future__ import annotations
 
@@ -12,6 +12,6 @@
 
 async def answer_json(source: ServerExchange, status: int, content: Any) -> None:
     """Answer an exchange with a status and a JSON document."""
-    kind = [(b"content-type", b"application/json")]
+    headers = [(b"content-type", b"application/json")]
     body = json.dumps(content).encode()
-    await source.answer(status=status, headers=kind, body=body)
+    await source.answer(status=status, headers=headers, body=body)
--- a/packages/daemon/src/plankspindle_daemon/listeners/metrics_listener.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/metrics_listener.py
@@ -1,4 +1,4 @@
-"""A listener that gives metrics to whoever collects them."""
+"""HTTP listener that serves metrics to collectors without a token."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 
 @define(kw_only=True)
 class MetricsListener:
-    """Serve metrics, and nothing else.
+    """HTTP server for metrics only.
 
     Parameters
     ----------
     endpoint : Endpoint
-        Where to listen.
+        Address to listen on.
     supervisor : Supervisor
-        Keeper of unexpected errors.
+        Contains and logs unexpected errors of handlers.
     metrics : MetricsReader
-        Metrics.
+        Renders the metrics.
     """
 
     endpoint: Endpoint
@@ -49,7 +49,7 @@
         )
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         await self._server.start()
 
     async def close(self) -> None:
@@ -57,7 +57,7 @@
         await self._server.close()
 
     async def handle(self, source: ServerExchange) -> None:
-        """Answer one request."""
+        """Answer one HTTP request."""
         await source.read_body(max_bytes=0)
         if source.target.partition("?")[0] != METRICS_PATH:
             await source.answer(status=404)
--- a/packages/daemon/src/plankspindle_daemon/listeners/operator_listener.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/operator_listener.py
@@ -1,4 +1,4 @@
-"""The listener that operators use: state, metrics, plans."""
+"""HTTP listener for operators: state, metrics, plans and quarantine."""
 
 from __future__ import annotations
 
@@ -41,10 +41,10 @@
 
 
 class PlanHandler(Protocol):
-    """Answers requests for plans."""
+    """Handler of requests for plans and the history."""
 
     async def show_history(self, source: ServerExchange) -> None:
-        """Answer with the versions that were accepted."""
+        """Answer with the accepted versions."""
 
     async def serve(
         self, source: ServerExchange, method: str, plan_id: str, body: bytes
@@ -54,23 +54,23 @@
 
 @define(kw_only=True)
 class OperatorListener:
-    """Serve operators.
+    """HTTP server for operators.
 
     Parameters
     ----------
     settings : DaemonSettings
         Settings of the process.
     supervisor : Supervisor
-        Keeper of unexpected errors.
+        Contains and logs unexpected errors of handlers.
     node : Node
-        The decisions.
+        Decision logic and state of this entry VM.
     make_plan_handler : callable
-        Makes what serves plans, once an operator asks for one: importing it takes a
-        tenth of the start of a process.
+        Creates the plan handler at the first request for it: importing it takes a
+        tenth of the start time of a process.
     metrics : MetricsReader
-        Metrics.
+        Renders the metrics.
     dump_runtime : callable
-        Gives the counts of the shells.
+        Returns counters of listeners, connections and clients, for the state dump.
     send : callable
         Sends messages to other entry VMs.
     """
@@ -93,7 +93,7 @@
         )
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         await self._server.start()
 
     async def close(self) -> None:
@@ -101,7 +101,7 @@
         await self._server.close()
 
     async def handle(self, source: ServerExchange) -> None:
-        """Answer one request."""
+        """Answer one HTTP request."""
         body = await source.read_body(max_bytes=MAX_INTENT_BYTES)
         if not self._is_authorized(source):
             await answer_json(
@@ -156,12 +156,14 @@
             advice = 'send {"identity": "16 hexadecimal digits"}'
             await answer_json(source, 400, {"error": advice})
             return
-        held = identity in self.node.quarantine.quarantine_list.entries_by_identity
+        found = identity in self.node.quarantine.quarantine_list.entries_by_identity
         await self.send(self.node.quarantine.lift(identity, monotonic()))
-        if held:
+        if found:
             await answer_json(source, 200, {"lifted": identity_text(identity)})
         else:
-            advice = "no such request is held back; plankspindle quarantine lists them"
+            advice = (
+                "no such request is quarantined; plankspindle quarantine lists them"
+            )
             await answer_json(source, 404, {"error": advice})
 
     def _plan_handler(self) -> PlanHandler:
@@ -171,7 +173,7 @@
 
 
 def _parse_identity(body: bytes) -> int | None:
-    """Read the request that a quarantine is to be lifted of."""
+    """Return the request identity in the body; None if it is malformed."""
     try:
         text = read_json(body)["identity"]
         return int(text, 16) if _IDENTITY_PATTERN.fullmatch(text) else None
--- a/packages/daemon/src/plankspindle_daemon/listeners/outgoing_headers.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/outgoing_headers.py
@@ -1,4 +1,4 @@
-"""Headers that go on with a request of a known or anonymous caller."""
+"""Headers of forwarded requests."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 
 @frozen(kw_only=True)
 class OutgoingHeaders:
-    """Tell upstreams and other entry VMs who the caller is, and never its API key.
+    """Headers that name the caller to upstreams and other VMs, without its API key.
 
     Parameters
     ----------
     source : ServerExchange
-        The caller's side.
+        The exchange with the caller.
     identity : Identity
-        Who the caller is.
+        The caller; may be anonymous.
     dialect : Dialect
-        Names of headers.
+        Header names.
     signer : IdentitySigner
-        What vouches for the identity to other entry VMs.
+        Signs the identity for other entry VMs.
     """
 
     source: ServerExchange
@@ -42,7 +42,7 @@
     signer: IdentitySigner
 
     def for_upstream(self) -> HeaderList:
-        """Give the headers for an upstream, without framing and deadline."""
+        """Return the headers for an upstream, without framing and deadline."""
         identity, headers = self.identity, self.source.headers
         if self.dialect.passes_headers_through:
             return passthrough_headers(
@@ -56,14 +56,12 @@
         )
 
     def for_peer(self, route: Route, *, grant: int | None) -> HeaderList:
-        """Give the headers for another entry VM, sealed if the route leads to one."""
-        sealed = None
+        """Return the headers for another entry VM, signed if the route leads to one."""
+        token = None
         if self.identity.caller is not None and isinstance(route, ToPeer):
-            sealed = self.signer.sign(
+            token = self.signer.sign(
                 self.identity.caller,
                 target=self.source.target,
                 wall_ms=int(time.time() * 1000),
             )
-        return headers_for_peer(
-            self.source.headers, grant=grant, signed_identity=sealed
-        )
+        return headers_for_peer(self.source.headers, grant=grant, signed_identity=token)
--- a/packages/daemon/src/plankspindle_daemon/listeners/plan_service.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/plan_service.py
@@ -1,4 +1,4 @@
-"""Plans as operators make, read and confirm them over HTTP."""
+"""HTTP interface for making, reading and confirming plans."""
 
 from __future__ import annotations
 
@@ -29,18 +29,18 @@
 
 @define(kw_only=True)
 class PlanService:
-    """Answer requests for plans.
+    """Handler of requests for plans and the history.
 
     Parameters
     ----------
     plans : PlanStore
-        The plans.
+        Storage of plans.
     """
 
     plans: PlanStore
 
     async def show_history(self, source: ServerExchange) -> None:
-        """Answer with the versions that were accepted."""
+        """Answer with the accepted versions."""
         history = await self.plans.history()
         if history.is_err():
             await _answer_error(source, history.unwrap_err())
@@ -60,7 +60,7 @@
         method : str
             Its method.
         plan_id : str
-            What its path names below the plans; empty for all of them.
+            Path below the plans: an id, perhaps with ``/confirm``; empty for all.
         body : bytes
             Its body.
         """
@@ -145,7 +145,9 @@
             )
             await answer_json(source, 409, {"error": text, "head": head.to_mapping()})
         case ConfirmationUnknown():
-            text = "no answer of the platform; confirm again to learn the outcome"
+            text = "no answer from the platform; confirm again to learn the outcome"
             await answer_json(source, 504, {"error": text})
         case NotPossible(detail=detail):
-            await answer_json(source, 503, {"error": f"the platform is away: {detail}"})
+            await answer_json(
+                source, 503, {"error": f"the platform is unavailable: {detail}"}
+            )
--- a/packages/daemon/src/plankspindle_daemon/listeners/request_deadline.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/request_deadline.py
@@ -1,4 +1,4 @@
-"""Until when a request may take."""
+"""Deadline of a request."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 @frozen(kw_only=True)
 class RequestDeadline:
-    """The deadline of a request, on both clocks.
+    """The deadline of a request on the wall clock and on the monotonic clock.
 
     Parameters
     ----------
     wall_ms : int
-        Milliseconds since the Unix epoch, as other entry VMs and upstreams are told.
+        Milliseconds since the Unix epoch, as sent to other entry VMs and upstreams.
     monotonic_s : float
         Monotonic seconds.
     """
@@ -31,7 +31,7 @@
 
     @classmethod
     def for_request(cls, resolved: ResolvedRequest) -> RequestDeadline:
-        """Work out the deadline of a request that comes now."""
+        """Return the deadline of a request that arrives now."""
         wall_ms = int(time.time() * 1000)
         deadline_ms = _deadline_ms(resolved.request, resolved.operation, wall_ms)
         return cls(
--- a/packages/daemon/src/plankspindle_daemon/listeners/request_resolver.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/request_resolver.py
@@ -1,4 +1,4 @@
-"""What a request asks for, by the path of a service or by a route."""
+"""Resolution of a request to service, operation and caller, by path or route."""
 
 from __future__ import annotations
 
@@ -36,33 +36,33 @@
     from plankspindle_core.http.server_exchange import ServerExchange
     from plankspindle_daemon.routes.route_table import RouteMatch
 
-KEYS_STALE = "API keys cannot be checked: there is no word of the platform"
+KEYS_STALE = "API keys cannot be checked: no recent update from the platform"
 NO_COMMON_HOME_REGION = "route and workspace have no home region in common"
 NO_CONFIGURATION = "no configuration is in force yet"
 EXPECTED_DURATION_SHARE = 0.5
-"""Part of the wanted time that a request is taken to need before any was answered."""
+"""Assumed duration of a request before any was answered, as a share of the target."""
 MAX_QUEUE_WAIT_SHARE = 0.22
-"""Part of the wanted time of an answer for which a request may wait for an upstream."""
+"""Maximum wait of a request for an upstream, as a share of the target time."""
 
 
 @frozen(kw_only=True)
 class ResolvedRequest:
-    """A request that may be served, and the contract it is served by.
+    """A permitted request and the rules that it is served by.
 
     Parameters
     ----------
     request : CallerRequest
-        What the caller asks for.
+        Service, path and header values of the request.
     identity : Identity
-        Who asks.
-    operation : MatrixOperation
-        Contract of the request.
+        The caller.
+    operation : Operation
+        Timeout, expected duration and idempotency of the request.
     operation_name : str
         Name under which its duration is averaged.
     max_attempts : int
-        Most upstreams that it may be sent to.
+        Maximum number of attempts.
     affinity : str, optional
-        Key of the thing that it concerns.
+        Affinity key of the object that it concerns.
     bulky : bool
         Whether its answer is large.
     allowed_regions : frozenset of str
@@ -70,7 +70,7 @@
     queue_deadline : float
         Latest time to wait for an upstream, monotonic seconds.
     target_s : float, optional
-        Time within which an answer is wanted, in seconds.
+        Target time of the answer, in seconds.
     """
 
     request: CallerRequest
@@ -87,19 +87,19 @@
 
 @define(kw_only=True)
 class RequestResolver:
-    """Read requests against the configuration in force.
+    """Resolve requests by the configuration in force.
 
     Parameters
     ----------
     node : Node
-        Keeper of the configuration.
+        Node that holds the configuration.
     dialect : Dialect
-        Names of headers.
+        Header names.
     signer : IdentitySigner
-        What knows the identities that other entry VMs have sealed.
+        Verifies identities that other entry VMs have signed.
     max_key_age_s : float
-        Time without word of the platform after which keys are no longer accepted, in
-        seconds.
+        Time without an answer from the platform after which keys are no longer
+        accepted, in seconds.
     """
 
     node: Node
@@ -108,18 +108,18 @@
     max_key_age_s: float = math.inf
 
     def handles(self, source: ServerExchange) -> bool:
-        """Tell whether a request is for a service, by its path or by a route."""
+        """Return whether a request is for a service, by its path or by a route."""
         if source.target.startswith(SERVICES_PREFIX):
             return True
         return self.node.routes.has_host(_host_of(source))
 
     def resolve(self, source: ServerExchange) -> Result[ResolvedRequest, BadRequest]:
-        """Find out what a request asks for.
+        """Resolve a request.
 
         Returns
         -------
         Result
-            The request with its contract, or what is wrong with it.
+            The resolved request, or the refusal.
         """
         configuration = self.node.configuration
         if configuration is None:
@@ -155,9 +155,9 @@
     def _identify(
         self, source: ServerExchange, request: CallerRequest
     ) -> Result[Identity, BadRequest]:
-        sealed = self._signed_identity(source, request)
-        if sealed is not None:
-            return Ok(sealed)
+        token = self._signed_identity(source, request)
+        if token is not None:
+            return Ok(token)
         digest = read_key_digest(source.headers, scheme=self.dialect.key_scheme)
         if digest.is_ok() and digest.unwrap() is not None and self._keys_are_stale():
             return Err(BadRequest(503, KEYS_STALE))
@@ -176,23 +176,23 @@
     def _signed_identity(
         self, source: ServerExchange, request: CallerRequest
     ) -> Identity | None:
-        """Give the identity that the entry VM which moved a request here has sealed."""
-        sealed = find_header(source.headers, header_names.IDENTITY)
-        if sealed is None or not request.forwarded:
+        """Return the identity signed by the entry VM that moved a request here."""
+        token = find_header(source.headers, header_names.IDENTITY)
+        if token is None or not request.forwarded:
             return None
         name = self.signer.verify(
-            sealed, target=source.target, wall_ms=int(time.time() * 1000)
+            token, target=source.target, wall_ms=int(time.time() * 1000)
         )
         if name is None:
             return None
         return self._directory.identify_by_name(name, service=request.service)
 
     def _keys_are_stale(self) -> bool:
-        """Tell whether keys may have been revoked without word of it coming here."""
+        """Return whether keys may have been revoked without this VM learning of it."""
         if math.isinf(self.max_key_age_s):
             return False
-        ago_s = self.node.versions.head.age_s(monotonic())
-        return ago_s is None or ago_s > self.max_key_age_s
+        age_s = self.node.versions.head.age_s(monotonic())
+        return age_s is None or age_s > self.max_key_age_s
 
     @property
     def _directory(self) -> CallerDirectory:
@@ -224,11 +224,11 @@
     def _identify_routed(
         self, source: ServerExchange, route: Route
     ) -> Result[Identity, BadRequest]:
-        """Find out whose key a request on a route carries.
+        """Return the caller of a request on a route.
 
         Notes
         -----
-        A public route serves a caller without a good key like one without a key.
+        A public route treats a caller with an invalid key like one without a key.
         """
         directory = self._directory
         anonymous = directory.anonymous_identity(route.priority_class)
@@ -289,7 +289,7 @@
 
 
 def _allowed_regions(route: Route, identity: Identity) -> frozenset[str] | None:
-    """Give the regions that may serve a request; None if there is none.
+    """Return the regions that may serve a request; None if there is none.
 
     An empty set allows any region.
     """
--- a/packages/daemon/src/plankspindle_daemon/listeners/request_service.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/request_service.py
@@ -1,4 +1,4 @@
-"""Serving of callers' requests for services."""
+"""Serving of requests of callers for services."""
 
 from __future__ import annotations
 
@@ -84,32 +84,29 @@
     settings : DaemonSettings
         Settings of the process.
     node : Node
-        The decisions.
+        Decision logic and state of this entry VM.
     dispatch : DispatchRunner
-        Finder of upstreams.
+        Assigns upstreams to requests.
     quotas : QuotaRunner
-        Where tokens of workspaces' quotas come from.
+        Provides tokens of the quotas of workspaces.
     pool : ConnectionPool
         Connections to upstreams and other entry VMs.
     idempotency_checker : IdempotencyChecker
-        What decides on ids and keys.
+        Decides on request ids and idempotency keys.
     metrics : RequestMetrics
-        Counters.
+        Request counters.
     resolver : RequestResolver
-        What finds out what requests ask for.
+        Resolves requests to services and callers.
     dialect : Dialect
-        Names of headers.
+        Header names.
     trace_log : RequestTraceLog
-        What logs requests when they end.
+        Logs completed requests.
     crash_detector : CrashDetector
-        What learns of upstreams that end under requests.
+        Records crashes of upstreams during requests.
     pause_monitor : PauseMonitor
-        What notices that the process stood still.
-
-    Attributes
-    ----------
+        Detects that the process was paused.
     running : int
-        Requests that run or wait here.
+        Number of requests that run or wait here.
     """
 
     settings: DaemonSettings
@@ -128,27 +125,27 @@
     _ticket_numbers: count[int] = field(factory=count)
 
     async def serve(self, source: ServerExchange) -> None:
-        """Serve one request, whatever becomes of it."""
+        """Serve one request, and count and log it however it completes."""
         self.running += 1
-        story = self.trace_log.start_trace(
+        trace = self.trace_log.start_trace(
             self._caller_request_id(source), now=monotonic(), wall=time.time()
         )
         try:
             await self.pause_monitor.check()
-            await self._serve_counted(source, story)
+            await self._serve_counted(source, trace)
         except CallerDisconnectedError:
             raise
         except Exception:
-            story.complete(Completion.UNKNOWN, reason="internal-error")
+            trace.complete(Completion.UNKNOWN, reason="internal-error")
             raise
         finally:
             self.running -= 1
             now = monotonic()
-            self.metrics.record_request(story, now)
-            self.trace_log.log_completed(story, now)
+            self.metrics.record_request(trace, now)
+            self.trace_log.log_completed(trace, now)
 
     def _caller_request_id(self, source: ServerExchange) -> bytes | None:
-        """Read the id that the caller gave its request, if it gave one."""
+        """Return the id that the caller gave its request, if any."""
         name = self.dialect.echo or header_names.REQUEST_ID
         return find_header(source.headers, name)
 
@@ -158,24 +155,24 @@
             scheme = self.dialect.key_scheme
             await refuse(source, read.unwrap_err(), trace, key_scheme=scheme)
             return
-        asked = read.unwrap()
-        terms = RequestDeadline.for_request(asked)
-        self._record_routing(trace, asked, terms)
+        resolved = read.unwrap()
+        deadline = RequestDeadline.for_request(resolved)
+        self._record_routing(trace, resolved, deadline)
         if not self.node.accepts(monotonic()):
             await answer_with_outcome(source, _not_run("leaving"), self.dialect, trace)
             return
-        request = asked.request
+        request = resolved.request
         if request.grant is None:
-            await self._serve_body(source, asked, terms, trace)
+            await self._serve_body(source, resolved, deadline, trace)
             return
         if not self.node.headroom.begin_moved(
             request.service, request.grant, monotonic()
         ):
-            no_room = _not_run("no-headroom")
-            await answer_with_outcome(source, no_room, self.dialect, trace)
+            no_headroom = _not_run("no-headroom")
+            await answer_with_outcome(source, no_headroom, self.dialect, trace)
             return
         try:
-            await self._serve_body(source, asked, terms, trace)
+            await self._serve_body(source, resolved, deadline, trace)
         finally:
             self.node.headroom.end_moved(request.service, request.grant)
 
@@ -217,14 +214,14 @@
             return
         held = self._acquire_move_grant(source, resolved.request, resolved.identity)
         try:
-            way = await self._choose_route(
+            routing = await self._choose_route(
                 source, resolved, body, deadline, held, trace
             )
-            if isinstance(way, AnsweredWithoutRunning):
-                await self._answer(source, way, trace)
+            if isinstance(routing, AnsweredWithoutRunning):
+                await self._answer(source, routing, trace)
             else:
                 await self._make_runner(
-                    source, resolved, body, deadline, way, trace
+                    source, resolved, body, deadline, routing, trace
                 ).run()
         finally:
             if held is not None:
@@ -239,7 +236,7 @@
         held_grant: HeldGrant | None,
         trace: RequestTrace,
     ) -> _RoutingDecision | AnsweredWithoutRunning:
-        """Decide where the request goes, and what must learn how it ends."""
+        """Decide where the request is sent and where its outcome is recorded."""
         request = resolved.request
         if held_grant is not None:
             may_stay = request.idempotency_key is None
@@ -358,7 +355,7 @@
     def _acquire_move_grant(
         self, source: ServerExchange, request: CallerRequest, identity: Identity
     ) -> HeldGrant | None:
-        """Count a request for the shifts, and take a grant if it is to be moved."""
+        """Count a request for the shifts, and acquire a grant if it is to move."""
         if request.forwarded or request.request_id is not None:
             return None
         meter, now = self.node.shift_meter, monotonic()
@@ -366,12 +363,12 @@
         chosen = meter.choose(service=request.service, caller_key=caller_key, now=now)
         if not isinstance(chosen, Move) or not self.node.versions.head.is_fresh(now):
             return None
-        held = self.node.headroom.grants.acquire(
+        held_grant = self.node.headroom.grants.acquire(
             service=request.service, region=chosen.to_region, now=now
         )
-        if held is not None:
+        if held_grant is not None:
             meter.record_move(service=request.service, move=chosen)
-        return held
+        return held_grant
 
     async def _answer(
         self,
--- a/packages/daemon/src/plankspindle_daemon/listeners/runtime_dump.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/runtime_dump.py
@@ -1,4 +1,4 @@
-"""Dump of the counts of the shells around the machines, as plain JSON values."""
+"""Counters of listeners, connections and clients, as plain JSON values."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     claims: ClaimStore,
     supervisor: Supervisor,
 ) -> dict[str, Any]:
-    """Dump the counts of the shells around the machines."""
+    """Return the counters of listeners, connections and clients for the state dump."""
     return {
         "errors_contained": supervisor.contained_errors,
         "callers": {
