--- a/packages/daemon/src/plankspindle_daemon/admission/__init__.py
+++ b/packages/daemon/src/plankspindle_daemon/admission/__init__.py
@@ -1,3 +1,3 @@
-"""Who a caller is, and in which order requests are served."""
+"""Authentication of callers and queueing of requests by priority."""
 
 from __future__ import annotations
--- a/packages/daemon/src/plankspindle_daemon/admission/api_key.py
+++ b/packages/daemon/src/plankspindle_daemon/admission/api_key.py
@@ -20,12 +20,12 @@
 
 @frozen
 class NotAuthenticated:
-    """The request carries no key that is known.
+    """The request has no known API key.
 
     Parameters
     ----------
     reason : str
-        What the caller has to do.
+        What is wrong or what the caller has to send.
     """
 
     reason: str
@@ -34,18 +34,18 @@
 def read_key_digest(
     headers: HeaderList, *, scheme: str
 ) -> Result[str | None, NotAuthenticated]:
-    """Give the digest of a request's API key, or None if it carries none.
+    """Return the digest of the API key of a request, or None if it has none.
 
     Parameters
     ----------
     headers : list of (bytes, bytes)
         Headers with lower-case names.
     scheme : str
-        Authentication scheme of ``Authorization``, compared without regard to case.
+        Authentication scheme of ``Authorization``, compared case-insensitively.
 
     Notes
     -----
-    Only the digest is given away, so that the key itself is never stored or logged.
+    Only the digest is returned, so that the key itself is never stored or logged.
     """
     values = [value for name, value in headers if name == header_names.AUTHORIZATION]
     if not values:
--- a/packages/daemon/src/plankspindle_daemon/admission/caller_directory.py
+++ b/packages/daemon/src/plankspindle_daemon/admission/caller_directory.py
@@ -1,4 +1,4 @@
-"""Recognition of callers by their API keys."""
+"""Identification of callers by their API keys."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @frozen(kw_only=True)
 class Identity:
-    """Who sends a request.
+    """The sender of a request.
 
     Parameters
     ----------
@@ -31,7 +31,7 @@
     rank : int
         Rank of its priority class.
     workspace : str, optional
-        Name of the workspace that the key belongs to, if it is one's.
+        Name of the workspace that the key belongs to, if any.
     home_regions : frozenset of str
         The only regions that may serve the workspace; any region if empty.
     key_digest : str, optional
@@ -51,7 +51,7 @@
     Parameters
     ----------
     configuration : Configuration
-        The version.
+        The configuration.
     """
 
     def __init__(self, *, configuration: Configuration) -> None:
@@ -77,19 +77,19 @@
     def identify(
         self, *, service: str, key_digest: str | None
     ) -> Result[Identity, NotAuthenticated]:
-        """Recognise the sender of a request for a service.
+        """Identify the sender of a request for a service.
 
         Parameters
         ----------
         service : str
-            Service it asks for.
+            Requested service.
         key_digest : str, optional
             Digest of its API key.
 
         Returns
         -------
         Result
-            Who it is, or what is missing.
+            The sender, or why it is not authenticated.
         """
         default = self._configuration.services_by_name[service].default_class
         if key_digest is None:
@@ -109,14 +109,14 @@
     def identify_workspace(
         self, key_digest: str, *, route_class: str
     ) -> Result[Identity, NotAuthenticated]:
-        """Recognise the workspace that a key belongs to.
+        """Identify the workspace that a key belongs to.
 
         Parameters
         ----------
         key_digest : str
             Digest of the API key.
         route_class : str
-            Class of its requests if the workspace has none of its own.
+            Priority class if the workspace has none of its own.
         """
         name = self._workspace_by_digest.get(key_digest)
         if name is None:
@@ -135,14 +135,14 @@
         )
 
     def identify_by_name(self, name: str, *, service: str) -> Identity | None:
-        """Give the identity of a caller that another entry VM has authenticated.
+        """Return the identity of a caller that another entry VM has authenticated.
 
         Parameters
         ----------
         name : str
             Name of a caller or workspace.
         service : str
-            Service it asks for.
+            Requested service.
         """
         caller = self._configuration.callers_by_name.get(name)
         if caller is not None:
@@ -156,7 +156,7 @@
         return self.identify(service=service, key_digest=digest).unwrap_or(None)
 
     def is_key_valid(self, identity: Identity) -> bool:
-        """Tell whether the key of a request still belongs to who sent it."""
+        """Return whether the key of a request still belongs to its sender."""
         digest = identity.key_digest
         if digest is None:
             return True
@@ -165,7 +165,7 @@
         return self._caller_by_digest.get(digest) == identity.caller
 
     def anonymous_identity(self, priority_class: str) -> Identity:
-        """Give the identity of a caller without an API key in a declared class."""
+        """Return the identity of a caller without an API key in a declared class."""
         return Identity(caller=None, rank=self._rank_by_class[priority_class])
 
 
--- a/packages/daemon/src/plankspindle_daemon/admission/identity_signer.py
+++ b/packages/daemon/src/plankspindle_daemon/admission/identity_signer.py
@@ -1,4 +1,4 @@
-"""Hand-over of a caller's identity to another entry VM, without its API key."""
+"""Signed transfer of a caller's identity to another entry VM, without its API key."""
 
 from __future__ import annotations
 
@@ -9,50 +9,54 @@
 from plankspindle_core.classes import frozen
 
 MAX_TOKEN_AGE_MS = 10_000
-"""Time for which a sealed identity is accepted; clocks of VMs may differ by seconds."""
+"""Maximum age of a signed identity; clocks of VMs may differ by seconds."""
 
 
 @frozen(kw_only=True)
 class IdentitySigner:
-    """Seal who sends a request, so that an entry VM which it is moved to believes it.
+    """Sign the sender of a request, so that the entry VM it is moved to accepts it.
 
     Parameters
     ----------
     keys : list of bytes
-        Keys of the messages between entry VMs: the first signs, each is accepted.
+        Keys of the messages between entry VMs: the first signs, all are accepted.
     """
 
     keys: list[bytes]
 
     def sign(self, name: str, *, target: str, wall_ms: int) -> bytes:
-        """Seal the name of a caller for one request target.
+        """Return a token with the name of a caller for one request target.
 
         Parameters
         ----------
         name : str
             Name of the caller or workspace.
         target : str
-            Request target, for which alone it holds.
+            Request target; the token is valid for it alone.
         wall_ms : int
             Milliseconds since the Unix epoch.
         """
-        stated = json.dumps([name, target, wall_ms]).encode()
-        mac = hmac.digest(self.keys[0], stated, "sha256")
-        return b".".join(map(base64.urlsafe_b64encode, (stated, mac)))
+        claims = json.dumps([name, target, wall_ms]).encode()
+        mac = hmac.digest(self.keys[0], claims, "sha256")
+        return b".".join(map(base64.urlsafe_b64encode, (claims, mac)))
 
     def verify(self, token: bytes, *, target: str, wall_ms: int) -> str | None:
-        """Give the name that an entry VM sealed; None if it did not, or long ago."""
-        stated, _, mac = token.partition(b".")
+        """Return the name in a token; None if the token is not valid.
+
+        A token is valid if a known key signed it for this target within the last
+        ``MAX_TOKEN_AGE_MS``.
+        """
+        claims, _, mac = token.partition(b".")
         try:
-            stated, mac = map(base64.urlsafe_b64decode, (stated, mac))
+            claims, mac = map(base64.urlsafe_b64decode, (claims, mac))
         except ValueError:
             return None
         if not any(
-            hmac.compare_digest(mac, hmac.digest(key, stated, "sha256"))
+            hmac.compare_digest(mac, hmac.digest(key, claims, "sha256"))
             for key in self.keys
         ):
             return None
-        name, wanted, sealed_ms = json.loads(stated)
-        if wanted != target or abs(wall_ms - sealed_ms) > MAX_TOKEN_AGE_MS:
+        name, signed_target, signed_ms = json.loads(claims)
+        if signed_target != target or abs(wall_ms - signed_ms) > MAX_TOKEN_AGE_MS:
             return None
         return str(name)
--- a/packages/daemon/src/plankspindle_daemon/admission/priority_queue.py
+++ b/packages/daemon/src/plankspindle_daemon/admission/priority_queue.py
@@ -1,4 +1,4 @@
-"""A bounded queue, strict by class and first in, first out within a class."""
+"""Bounded queue with strict priority by class, first in, first out within a class."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 @frozen
 class Queued:
-    """The ticket waits now.
+    """The ticket was queued.
 
     Parameters
     ----------
     evicted : Ticket, optional
-        Ticket of a lower class that had to go.
+        Ticket of a lower class that was removed for it.
     """
 
     evicted: Ticket | None = None
@@ -27,16 +27,16 @@
 
 @frozen
 class QueueFull:
-    """Nothing of a lower class could be evicted."""
+    """The queue is full and has no ticket of a lower class to evict."""
 
 
 class PriorityQueue:
-    """Tickets waiting for an upstream.
+    """Queue of tickets that wait for an upstream.
 
     Parameters
     ----------
     limit : int
-        Most tickets held at once.
+        Maximum number of queued tickets.
     """
 
     def __init__(self, *, limit: int) -> None:
@@ -48,14 +48,14 @@
         return self._size
 
     def __iter__(self) -> Iterator[Ticket]:
-        """Give the tickets in the order in which they are to be served."""
+        """Iterate over the tickets in the order in which they are to be served."""
         for rank in sorted(self._by_id_by_rank):
             yield from list(self._by_id_by_rank[rank].values())
 
     def offer(self, ticket: Ticket) -> Queued | QueueFull:
         """Add a ticket, evicting the newest of the lowest class if need be."""
-        # A limit that was lowered lets what waits wait on; no more may come to it.
-        most = max(self.limit, self._size)
+        # After the limit was lowered, queued tickets stay, but the queue may not grow.
+        max_size = max(self.limit, self._size)
         evicted = None
         if self._size >= self.limit:
             evicted = self._newest_of_lowest_class()
@@ -64,11 +64,11 @@
             self.remove(evicted.id)
         self._by_id_by_rank.setdefault(ticket.rank, {})[ticket.id] = ticket
         self._size += 1
-        check_invariant("queue-bounded", self._size <= most)
+        check_invariant("queue-bounded", self._size <= max_size)
         return Queued(evicted)
 
     def remove(self, ticket_id: int) -> Ticket | None:
-        """Take a ticket out, wherever it stands."""
+        """Remove a ticket from any position; None if it is not queued."""
         for rank, by_id in self._by_id_by_rank.items():
             ticket = by_id.pop(ticket_id, None)
             if ticket is not None:
--- a/packages/daemon/src/plankspindle_daemon/admission/ticket.py
+++ b/packages/daemon/src/plankspindle_daemon/admission/ticket.py
@@ -1,4 +1,4 @@
-"""A request that waits for an upstream."""
+"""Ticket of a request that waits for an upstream."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @frozen(kw_only=True)
 class Ticket:
-    """One request as admission sees it.
+    """A request with what queueing and placement need of it.
 
     Parameters
     ----------
@@ -20,11 +20,11 @@
     operation : str
         Name under which its duration is averaged.
     deadline : float
-        Latest end, monotonic seconds.
+        Deadline of the request, monotonic seconds.
     expected_s : float
-        Declared usual duration, in seconds.
+        Declared expected duration, in seconds.
     affinity : str, optional
-        Key of the thing that it concerns; requests with one key do well together.
+        Affinity key; requests with the same key belong on the same upstream.
     bulky : bool
         Whether its answer is large.
     allowed_regions : frozenset of str
@@ -32,7 +32,7 @@
     queue_deadline : float
         Latest time to wait for an upstream, monotonic seconds.
     excluded_upstreams : frozenset of str
-        Upstreams that already failed it.
+        Upstreams where it already failed.
     """
 
     id: int
@@ -47,11 +47,12 @@
     excluded_upstreams: frozenset[str] = frozenset()
 
     def excluding(self, upstreams: frozenset[str]) -> Ticket:
-        """Give the ticket of a retry, which avoids some upstreams.
+        """Return the ticket of a retry that avoids some upstreams.
 
         Notes
         -----
-        A retry may wait to its deadline: refused, it would end as unknown.
+        A retry may wait until its deadline: if it were refused, the outcome of the
+        request would be unknown.
         """
         if not upstreams:
             return self
--- a/packages/daemon/tests/admission/test_api_key.py
+++ b/packages/daemon/tests/admission/test_api_key.py
@@ -1,4 +1,4 @@
-"""Tests of reading the API key of a request."""
+"""Tests of reading API keys from request headers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     "value",
     [b"Token " + KEY, b"tOKEN " + KEY, b"Token    " + KEY + b"  ", b" token " + KEY],
 )
-def test_case_and_spaces_of_the_scheme_do_not_matter(value: bytes) -> None:
+def test_scheme_ignores_case_and_spaces(value: bytes) -> None:
     found = read_key_digest([(AUTHORIZATION, value)], scheme="Token")
     assert found.unwrap() == hash_api_key(KEY)
 
@@ -34,12 +34,14 @@
         [b"\xff\xfe \x00"],
     ],
 )
-def test_anything_else_is_no_key_and_is_not_repeated(values: list[bytes]) -> None:
+def test_malformed_credentials_are_refused_without_repeating_the_key(
+    values: list[bytes],
+) -> None:
     headers = [(AUTHORIZATION, value) for value in values]
     found = read_key_digest(headers, scheme="Token")
     assert found.is_err()
     assert KEY.decode() not in found.unwrap_err().reason
 
 
-def test_a_request_without_the_header_carries_no_key() -> None:
+def test_request_without_header_has_no_key() -> None:
     assert read_key_digest([(b"host", b"desk")], scheme="Token").unwrap() is None
--- a/packages/daemon/tests/admission/test_caller_directory.py
+++ b/packages/daemon/tests/admission/test_caller_directory.py
@@ -1,4 +1,4 @@
-"""Tests of the recognition of callers."""
+"""Tests of identifying callers and workspaces by API key."""
 
 from __future__ import annotations
 
@@ -42,27 +42,27 @@
     )
 
 
-def test_a_known_key_gets_its_class() -> None:
+def test_known_key_gets_the_class_of_its_caller() -> None:
     found = identify(directory(), b"Bearer " + GOLD_KEY.encode())
     assert found.unwrap() == Identity(caller="dealer", rank=0)
 
 
-def test_an_unknown_key_is_refused_even_with_a_default_class() -> None:
+def test_unknown_key_is_refused_despite_default_class() -> None:
     found = identify(directory(), b"Bearer nobody")
     assert "not known" in found.unwrap_err().reason
 
 
-def test_without_a_key_the_default_class_holds() -> None:
+def test_request_without_key_gets_default_class() -> None:
     found = identify(directory(), None)
     assert found.unwrap() == Identity(caller=None, rank=2)
 
 
-def test_without_a_key_and_default_class_a_caller_is_refused() -> None:
+def test_request_without_key_is_refused_without_default_class() -> None:
     found = identify(directory(default_class=None), None)
     assert "send an API key" in found.unwrap_err().reason
 
 
-def test_a_workspace_has_its_own_class_before_that_of_the_route() -> None:
+def test_class_of_workspace_takes_precedence_over_route() -> None:
     directory = workspaces(
         depot=build_workspace("k1", priority_class="gold"),
         yard=build_workspace("k2"),
@@ -73,7 +73,7 @@
     assert (second.unwrap().workspace, second.unwrap().rank) == ("yard", 2)
 
 
-def test_each_key_of_a_workspace_is_known_and_no_other() -> None:
+def test_only_keys_of_a_workspace_identify_it() -> None:
     directory = workspaces(depot=build_workspace("k1", "k2"))
     for key in ("k1", "k2"):
         found = directory.identify_workspace(digest_of(key), route_class="gold")
@@ -81,7 +81,7 @@
     assert directory.identify_workspace(digest_of("k3"), route_class="gold").is_err()
 
 
-def test_a_revoked_or_moved_key_admits_no_longer() -> None:
+def test_revoked_or_moved_key_is_no_longer_valid() -> None:
     before = workspaces(depot=build_workspace("k1", "k2"), yard=build_workspace())
     identity = before.identify_workspace(digest_of("k1"), route_class="gold").unwrap()
     revoked = workspaces(depot=build_workspace("k2"), yard=build_workspace())
@@ -91,13 +91,13 @@
     assert not moved.is_key_valid(identity)
 
 
-def test_an_identity_does_not_show_the_digest_of_its_key() -> None:
+def test_repr_of_identity_hides_key_digest() -> None:
     directory = workspaces(depot=build_workspace("k1"))
     found = directory.identify_workspace(digest_of("k1"), route_class="gold")
     assert digest_of("k1") not in repr(found.unwrap())
 
 
-def test_a_sealed_name_gives_the_identity_that_the_key_would() -> None:
+def test_identity_by_name_equals_identity_by_key() -> None:
     directory = workspaces(depot=build_workspace("k1", priority_class="silver"))
     found = directory.identify_by_name("depot", service="registry")
     assert found is not None
--- a/packages/daemon/tests/admission/test_class_queue.py
+++ b/packages/daemon/tests/admission/test_priority_queue.py
@@ -1,4 +1,4 @@
-"""State-machine test of the queue by class."""
+"""State-machine test of the priority queue."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class QueueMachine(RuleBasedStateMachine):
-    """Hold the queue against a sorted list."""
+    """Compare the queue with a sorted list."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -44,7 +44,7 @@
 
     @precondition(lambda self: self.model)
     @rule()
-    def take_first(self) -> None:
+    def remove_first(self) -> None:
         first = next(iter(self.queue))
         assert (first.rank, first.id) == min(self.model)
         self.queue.remove(first.id)
@@ -57,7 +57,7 @@
         assert len(self.queue) == len(self.model)
 
 
-def test_a_configuration_with_a_shorter_queue_stops_nothing() -> None:
+def test_lowered_limit_keeps_queued_tickets() -> None:
     queue = PriorityQueue(limit=10)
     for number in range(10):
         queue.offer(build_ticket(number, rank=2))
@@ -70,4 +70,4 @@
     assert next(iter(queue)).id == 11
 
 
-TestClassQueue = QueueMachine.TestCase
+TestPriorityQueue = QueueMachine.TestCase
