--- a/packages/daemon/src/plankspindle_daemon/settings/daemon_settings.py
+++ b/packages/daemon/src/plankspindle_daemon/settings/daemon_settings.py
@@ -28,7 +28,7 @@
     peer : Endpoint
         UDP address for the other entry VMs.
     metrics : Endpoint, optional
-        Further TCP address that gives metrics without a token.
+        Additional TCP address that serves metrics without a token.
     """
 
     caller: Endpoint
@@ -46,34 +46,34 @@
     receive_heartbeat_ms : int
         Period of heartbeats to each peer while they fit the byte budget.
     suspect_after_ms : int
-        Silence after which a peer gets no forwarded requests.
+        Time without a heartbeat after which a peer gets no forwarded requests.
     live_list_ms : int
         Period of reading the platform's list of VMs.
     configuration_ms : int
-        Period of reading the head of the configuration.
+        Period of reading the version head of the configuration.
     probe_ms : int
         Period of reading an upstream's load report.
     platform_timeout_ms : int
-        Longest wait for one answer of the platform.
+        Answer timeout of the platform.
     watch_ms : int
-        Longest wait for a change at a platform that tells of changes; a call that a
-        platform lost is noticed after this and ``platform_timeout_ms``.
+        Long-poll timeout at a platform that reports changes; a call that the platform
+        lost is detected after this plus ``platform_timeout_ms``.
     recovery_ms : int
-        Time after a disturbance of the platform or of its connections by which this VM
-        must have left upstreams that are gone.
+        Time after a fault of the platform or of its connections within which this VM
+        must have stopped using upstreams that are gone.
     shared_read_ms : int
-        Period at which entry VMs that read the platform for others of their failure
-        domain do so; zero if every VM reads for itself. A change is then read within
-        1.8 times this and 0.3 s when the reader dies.
+        Period at which reader VMs read the platform on behalf of their failure domain;
+        zero if every VM reads for itself. If the reader dies, a change is still read
+        within 1.8 times this plus 0.3 s.
     connect_timeout_ms : int
-        Longest wait for a connection to an upstream.
+        Timeout of connecting to an upstream.
     pause_ms : int
-        Gap in the loop's clock after which the process treats itself as paused.
+        Gap in the clock of the event loop from which on the process counts as paused.
     linger_ms : int
-        Time after SIGTERM for which new requests are still accepted, until kept
-        look-ups run out.
+        Time after SIGTERM for which new requests are still accepted, until cached
+        lookups expire.
     leave_ms : int
-        Longest time for running requests to finish after SIGTERM.
+        Maximum time for running requests to finish after SIGTERM.
     """
 
     heartbeat_ms: int = field(default=500, validator=validators.gt(0))
@@ -101,7 +101,7 @@
         Keys of the messages between entry VMs, in hexadecimal. The first signs; all
         are accepted, so that keys can be rotated.
     operator_token : str, optional
-        Bearer token of the operator listener. It may be missing on loopback only.
+        Bearer token of the operator listener. Optional on loopback only.
     """
 
     peer_keys: list[str]
@@ -110,25 +110,25 @@
 
 @frozen(kw_only=True)
 class RequestSettings:
-    """Bounds on requests and on what is remembered of them.
+    """Limits on requests and on their records.
 
     Parameters
     ----------
     max_keyed_body_bytes : int
-        Longest body of a request with a key or a request id.
+        Maximum body size of a request with an idempotency key or a request id.
     max_recorded_answer_bytes : int
-        Longest answer that is kept for replay.
+        Maximum size of an answer that is recorded for replay.
     max_remembered_ids : int
-        Issued ids that may be remembered at once.
+        Maximum number of issued ids in memory.
     request_id_ttl_ms : int
-        Life of an issued id.
+        Time for which an issued id is valid.
     max_connections_per_upstream : int
-        Open connections to one upstream.
+        Maximum number of open connections to one upstream.
     max_idle_unrepeatable_ms : int
-        Longest rest of a connection that may carry a request which must not run twice;
-        such requests get new connections if it is zero.
+        Maximum idle time of a connection that is reused for a request that is not
+        idempotent; such requests always get new connections if it is zero.
     hold_answer_bytes : int
-        Answers of up to this length are held until they are whole.
+        Answers of up to this size are buffered until they are complete.
     """
 
     max_keyed_body_bytes: int = field(default=1_048_576, validator=validators.gt(0))
@@ -142,16 +142,16 @@
 
 @frozen(kw_only=True)
 class QuotaSettings:
-    """Bounds on the quotas of workspaces.
+    """Limits on the quotas of workspaces.
 
     Parameters
     ----------
     slack_requests : float
-        Requests that all entry VMs together may admit of a workspace beyond its burst.
-        They keep small workspaces from being refused below their quota.
+        Requests of a workspace that all entry VMs together may admit beyond its burst,
+        so that small workspaces are not refused below their quota.
     max_key_age_ms : int
-        Time without word of the platform after which a VM no longer accepts API keys,
-        which may have been revoked meanwhile; unlimited if zero.
+        Time without an update from the platform after which a VM no longer accepts API
+        keys, since they may have been revoked; unlimited if zero.
     """
 
     slack_requests: float = field(default=0.0, validator=validators.ge(0))
@@ -167,23 +167,23 @@
     vm : str
         Name of the entry VM.
     failure_domain : str
-        Failure domain it stands in.
+        Failure domain of the VM.
     listen : ListenSettings
-        Its addresses.
+        Addresses of its listeners.
     platform : Endpoint
-        Address of the platform's service.
+        Address of the platform.
     secrets : SecretSettings
         Keys and tokens.
     peers : list of Endpoint
-        Peer addresses to greet whatever the list of VMs says.
+        Peer addresses that get heartbeats independently of the list of VMs.
     timing : TimingSettings
         Periods and time limits.
     requests : RequestSettings
-        Bounds on requests.
+        Limits on requests.
     http : HttpLimits
         Limits of the caller listener.
     quotas : QuotaSettings
-        Bounds on workspaces.
+        Limits on quotas of workspaces.
     """
 
     vm: str
@@ -198,12 +198,12 @@
     quotas: QuotaSettings = Factory(QuotaSettings)
 
     def problems(self) -> list[str]:
-        """List what is wrong beyond the types of single keys.
+        """Return the problems that the types of single keys do not rule out.
 
         Returns
         -------
         list of str
-            One line a problem, beginning with the path of the key.
+            One line for each problem, beginning with the path of the key.
         """
         found = []
         if self.listen.caller == self.listen.operator:
--- a/packages/daemon/src/plankspindle_daemon/settings/reading.py
+++ b/packages/daemon/src/plankspindle_daemon/settings/reading.py
@@ -1,4 +1,4 @@
-"""Reading of settings files."""
+"""Reading and checking of settings files."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     Returns
     -------
     Result
-        The settings, or every problem found.
+        The settings, or all problems found.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -40,7 +40,7 @@
 
 
 def parse_settings(text: str) -> Result[DaemonSettings, InvalidDocument]:
-    """Check settings given as YAML text."""
+    """Parse and check settings given as YAML text."""
     loaded = load_yaml(text)
     if loaded.is_err():
         return Err(loaded.unwrap_err())
--- a/packages/daemon/src/plankspindle_daemon/settings/settings_file.py
+++ b/packages/daemon/src/plankspindle_daemon/settings/settings_file.py
@@ -1,4 +1,4 @@
-"""The settings file of a running daemon, which may change."""
+"""Detection and reading of changes of the settings file of a running daemon."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
     from os import stat_result
 
 RELOADABLE_SECTIONS = frozenset({"peers", "requests", "secrets"})
-"""Sections that a running daemon takes; the others hold from its start on."""
+"""Sections that a running daemon applies; the others need a restart."""
 
 
 @frozen(kw_only=True)
 class SettingsChange:
-    """What differs between two settings.
+    """Sections that differ between two settings.
 
     Parameters
     ----------
     reloadable : tuple of str
-        Sections that a running daemon takes.
+        Changed sections that a running daemon applies.
     restart_required : tuple of str
-        Sections that it takes when it is started again.
+        Changed sections that take effect at the next start.
     """
 
     reloadable: tuple[str, ...]
@@ -51,14 +51,14 @@
 
 @define(kw_only=True)
 class SettingsFile:
-    """A settings file and how it is read.
+    """A settings file that may change.
 
     Parameters
     ----------
     path : Path
-        The file.
+        Path of the file.
     reader : callable
-        Reads it.
+        Reads and checks the file.
     """
 
     path: Path
@@ -71,7 +71,7 @@
         return self.reader(self.path)
 
     def has_changed(self) -> bool:
-        """Tell whether it changed since it was read or looked at last."""
+        """Return whether the file changed since the last call of this or ``read``."""
         before, self._last_version = self._last_version, self._read_version()
         return before is not None and self._last_version not in (before, None)
 
--- a/packages/daemon/tests/settings/test_examples.py
+++ b/packages/daemon/tests/settings/test_examples.py
@@ -1,4 +1,4 @@
-"""The shipped examples are complete and have the sizes of the users."""
+"""Tests that the shipped examples are valid and of the documented size."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("name", SLOTS_BY_SERVICE)
-def test_the_configuration_is_valid_and_of_the_right_size(name: str) -> None:
+def test_example_configuration_is_valid_and_of_documented_size(name: str) -> None:
     text = (EXAMPLES / name / "configuration.yaml").read_text(encoding="utf-8")
     found = configuration_from_yaml(text).unwrap()
     slots: dict[str, int] = {}
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("name", SLOTS_BY_SERVICE)
-def test_the_settings_of_every_entry_vm_are_good(name: str) -> None:
+def test_example_settings_of_every_entry_vm_are_valid(name: str) -> None:
     files = sorted((EXAMPLES / name / "settings").glob("*.yaml"))
     found = [read_settings(file).unwrap() for file in files]
     assert len(found) == ENTRY_VMS
--- a/packages/daemon/tests/settings/test_settings_file.py
+++ b/packages/daemon/tests/settings/test_settings_file.py
@@ -1,4 +1,4 @@
-"""Tests of settings that change while a daemon runs."""
+"""Tests of reloading settings while a daemon runs."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     return parse_settings(build_text()).unwrap()
 
 
-def test_sections_are_told_apart_by_when_they_are_taken() -> None:
+def test_change_separates_reloadable_sections_from_others() -> None:
     old = build_settings()
     new = evolve(
         old,
@@ -46,7 +46,7 @@
     )
 
 
-def test_a_file_has_changed_once_for_each_change(tmp_path: Path) -> None:
+def test_each_change_of_the_file_is_reported_once(tmp_path: Path) -> None:
     path = tmp_path / "settings.yaml"
     path.write_text(build_text())
     file = SettingsFile(path=path, reader=read_settings)
@@ -57,7 +57,7 @@
     assert not file.has_changed()
 
 
-def test_a_file_that_is_away_for_a_moment_has_not_changed(tmp_path: Path) -> None:
+def test_missing_file_is_not_reported_as_changed(tmp_path: Path) -> None:
     path = tmp_path / "settings.yaml"
     path.write_text(build_text())
     file = SettingsFile(path=path, reader=read_settings)
@@ -79,7 +79,7 @@
         "[" * 5_000,
     ],
 )
-def test_a_file_of_any_form_is_refused(tmp_path: Path, text: str) -> None:
+def test_malformed_file_is_refused(tmp_path: Path, text: str) -> None:
     path = tmp_path / "settings.yaml"
     path.write_text(text)
     assert SettingsFile(path=path, reader=read_settings).read().is_err()
