--- a/packages/daemon/src/plankspindle_daemon/routes/__init__.py
+++ b/packages/daemon/src/plankspindle_daemon/routes/__init__.py
@@ -1,3 +1,3 @@
-"""Which service answers the requests for a host and path."""
+"""Mapping of host and path to a service."""
 
 from __future__ import annotations
--- a/packages/daemon/src/plankspindle_daemon/routes/route_table.py
+++ b/packages/daemon/src/plankspindle_daemon/routes/route_table.py
@@ -1,4 +1,4 @@
-"""Look-up of routes by host and path, and the division of a route's requests."""
+"""Lookup of routes by host and path, and distribution of requests among services."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @frozen(kw_only=True)
 class RouteMatch:
-    """A route and the service whose turn it is."""
+    """A route and the service selected for one request."""
 
     name: str
     route: Route
@@ -49,40 +49,40 @@
     Parameters
     ----------
     routes_by_name : mapping of str to Route
-        The routes.
+        Routes by name.
 
     Notes
     -----
-    Each prefix ends with a slash, so the longest one that fits is found by shortening
-    the path slash by slash, whatever the number of routes.
+    Each prefix ends with a slash, so the longest match is found by cutting the path
+    at one slash after the other; the cost does not depend on the number of routes.
     """
 
     def __init__(self, *, routes_by_name: Mapping[str, Route]) -> None:
         self._by_host: dict[str, dict[str, tuple[str, Route]]] = {}
-        self._divisions_by_name: dict[str, _WeightedRoundRobin] = {}
+        self._round_robins_by_name: dict[str, _WeightedRoundRobin] = {}
         for name, route in routes_by_name.items():
             by_prefix = self._by_host.setdefault(route.host, {})
             by_prefix[route.path_prefix] = (name, route)
             if len(route.parts) > 1:
-                self._divisions_by_name[name] = _WeightedRoundRobin.of(route.parts)
+                self._round_robins_by_name[name] = _WeightedRoundRobin.of(route.parts)
 
     def __len__(self) -> int:
         return sum(len(by_prefix) for by_prefix in self._by_host.values())
 
     def with_routes(self, routes_by_name: Mapping[str, Route]) -> RouteTable:
-        """Give the table of another version.
+        """Return the table of another configuration version.
 
-        Routes whose parts have not changed go on with their turns.
+        Routes with unchanged parts keep the state of their round robin.
         """
         table = RouteTable(routes_by_name=routes_by_name)
-        for name, division in table._divisions_by_name.items():
-            known = self._divisions_by_name.get(name)
-            if known is not None and known.parts == division.parts:
-                division.credits = known.credits
+        for name, round_robin in table._round_robins_by_name.items():
+            previous = self._round_robins_by_name.get(name)
+            if previous is not None and previous.parts == round_robin.parts:
+                round_robin.credits = previous.credits
         return table
 
     def has_host(self, host: str) -> bool:
-        """Tell whether any route is for a host."""
+        """Return whether any route is for a host."""
         return _host_name(host) in self._by_host
 
     def find(self, *, host: str, path: str) -> RouteMatch | None:
@@ -98,7 +98,7 @@
         Returns
         -------
         RouteMatch or None
-            The route with the longest prefix; None if there is none.
+            The route with the longest matching prefix; None if no route matches.
         """
         by_prefix = self._by_host.get(_host_name(host))
         if by_prefix is None:
@@ -111,12 +111,12 @@
         return None
 
     def _select_service(self, name: str, route: Route) -> RouteMatch:
-        division = self._divisions_by_name.get(name)
-        if division is None:
+        round_robin = self._round_robins_by_name.get(name)
+        if round_robin is None:
             return RouteMatch(name=name, route=route, service=route.parts[0].service)
-        return RouteMatch(name=name, route=route, service=division.next_service())
+        return RouteMatch(name=name, route=route, service=round_robin.next_service())
 
 
 def _host_name(host: str) -> str:
-    """Strip the port from the value of a ``Host`` header."""
+    """Return the host name, in lower case and without port, of a ``Host`` header."""
     return host.partition(":")[0].lower()
--- a/packages/daemon/tests/routes/test_route_table.py
+++ b/packages/daemon/tests/routes/test_route_table.py
@@ -1,4 +1,4 @@
-"""Tests of routes by host and path, and of the division among services."""
+"""Tests of finding routes and of distributing requests among services."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
         ("", None),
     ],
 )
-def test_the_longest_prefix_is_found(path: str, name: str | None) -> None:
+def test_route_with_longest_prefix_is_found(path: str, name: str | None) -> None:
     found = build_table(short="/a/", long="/a/b/").find(host=HOST, path=path)
     assert (found.name if found else None) == name
 
 
-def test_port_and_case_of_the_host_do_not_matter() -> None:
+def test_host_lookup_ignores_port_and_case() -> None:
     table = build_table(one="/a/")
     assert table.find(host="Registry.Example:8080", path="/a/") is not None
     assert table.find(host="other.example", path="/a/") is None
@@ -49,7 +49,7 @@
     assert not table.has_host("other.example")
 
 
-def test_requests_are_divided_by_weight_in_every_stretch() -> None:
+def test_every_ten_requests_are_distributed_by_weight() -> None:
     parts = [ServicePart(service="a", weight=90), ServicePart(service="b", weight=10)]
     table = RouteTable(routes_by_name={"r": build_route(host=HOST, parts=parts)})
     chosen = [table.find(host=HOST, path="/").service for _ in range(200)]
@@ -57,7 +57,7 @@
         assert Counter(chosen[start : start + 10]) == {"a": 9, "b": 1}
 
 
-def test_a_new_version_does_not_begin_the_turns_anew() -> None:
+def test_round_robin_continues_across_configuration_versions() -> None:
     parts = [ServicePart(service="a", weight=3), ServicePart(service="b", weight=1)]
     route = build_route(host=HOST, parts=parts)
     counts: Counter[str] = Counter()
@@ -79,7 +79,9 @@
         ({"home_regions": ["vienna"]}, "home_regions"),
     ],
 )
-def test_a_wrong_route_is_named(fields: dict[str, object], words: str) -> None:
+def test_invalid_route_is_reported_by_name(
+    fields: dict[str, object], words: str
+) -> None:
     routes = {"r": build_route(**fields)}
     problems = build_configuration(routes_by_name=routes).problems()
     assert len(problems) == 1
@@ -87,7 +89,7 @@
     assert words in problems[0]
 
 
-def test_two_routes_for_one_place_are_refused() -> None:
+def test_two_routes_for_same_host_and_prefix_are_refused() -> None:
     routes = {"r": build_route(), "s": build_route()}
     problems = build_configuration(routes_by_name=routes).problems()
     assert problems == ["routes.s.host and path_prefix are those of route 'r'"]
