--- a/packages/daemon/src/plankspindle_daemon/retries/__init__.py
+++ b/packages/daemon/src/plankspindle_daemon/retries/__init__.py
@@ -1,3 +1,3 @@
-"""Bounds on retries."""
+"""Limits on retries."""
 
 from __future__ import annotations
--- a/packages/daemon/src/plankspindle_daemon/retries/retry_budget.py
+++ b/packages/daemon/src/plankspindle_daemon/retries/retry_budget.py
@@ -1,4 +1,4 @@
-"""A budget that keeps retries a small share of fresh requests."""
+"""Budget that limits retries to a share of fresh requests."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 from plankspindle_core.invariants import check_invariant
 
 DEFAULT_BURST = 10.0
-"""Retries that may be made before any fresh request was counted."""
+"""Retries that are allowed before any fresh request was counted."""
 ROUNDING_TOLERANCE = 0.001
-"""What sums of fractions may be off, in retries."""
+"""Tolerance for rounding errors in sums of fractions, in retries."""
 
 
 @define(kw_only=True)
 class RetryBudget:
-    """Token bucket filled by fresh requests and emptied by retries.
+    """Token bucket that fresh requests fill and retries drain.
 
     Parameters
     ----------
     percent : int
-        Retries allowed for each hundred fresh requests.
+        Retries allowed per hundred fresh requests.
     burst : float
-        Retries that may be made at once.
+        Maximum number of tokens, in retries.
     """
 
     percent: int
@@ -33,33 +33,33 @@
     _allowed: float = field(init=False, default=DEFAULT_BURST)
 
     def record_fresh(self) -> None:
-        """Count a fresh request."""
+        """Count a fresh request and add its tokens."""
         self.fresh += 1
         self._allowed += self.percent / 100
         self._tokens = min(self.burst, self._tokens + self.percent / 100)
 
     @property
     def remaining(self) -> float:
-        """Retries that may be made now."""
+        """Number of retries that are allowed now."""
         return self._tokens
 
     def can_retry(self) -> bool:
-        """Tell whether a retry may be made."""
+        """Return whether a retry is allowed."""
         return self._tokens >= 1.0
 
     def acquire(self) -> bool:
-        """Use the budget for one retry.
+        """Acquire the budget for one retry.
 
         Returns
         -------
         bool
-            False if there is none left; the request must not be retried.
+            False if the budget is exhausted; the request must not be retried.
         """
         if not self.can_retry():
             return False
         self._tokens -= 1.0
         self.retried += 1
-        # Each fresh request counts with the percent that was in force when it came.
-        within = self.retried <= self._allowed + ROUNDING_TOLERANCE
-        check_invariant("retries-within-budget", within)
+        # Each fresh request counts with the percentage in force at its arrival.
+        is_within_budget = self.retried <= self._allowed + ROUNDING_TOLERANCE
+        check_invariant("retries-within-budget", is_within_budget)
         return True
