--- a/packages/daemon/src/plankspindle_daemon/console/__init__.py
+++ b/packages/daemon/src/plankspindle_daemon/console/__init__.py
@@ -1,3 +1,3 @@
-"""The command ``plankspindled``."""
+"""Command line of ``plankspindled``."""
 
 from __future__ import annotations
--- a/packages/daemon/src/plankspindle_daemon/console/commands/__init__.py
+++ b/packages/daemon/src/plankspindle_daemon/console/commands/__init__.py
@@ -1,3 +1,3 @@
-"""Commands of ``plankspindled``, one a module."""
+"""Commands of ``plankspindled``, one per module."""
 
 from __future__ import annotations
--- a/packages/daemon/src/plankspindle_daemon/console/entry_point.py
+++ b/packages/daemon/src/plankspindle_daemon/console/entry_point.py
@@ -1,4 +1,4 @@
-"""What must hold before a process imports what takes long."""
+"""Entry point that ignores SIGHUP before slow imports."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 def import_and_run(module: str) -> int | None:
     """Import a module and call its ``main``.
 
-    A signal to read the settings again needs nothing until they were read, and must
-    not end the process meanwhile.
+    SIGHUP asks to reload the settings. Until they were read there is nothing to reload,
+    and its default action would end the process, so it is ignored.
 
     Parameters
     ----------
     module : str
-        Name of the module.
+        Qualified name of the module.
 
     Returns
     -------
--- a/packages/daemon/src/plankspindle_daemon/console/reporting.py
+++ b/packages/daemon/src/plankspindle_daemon/console/reporting.py
@@ -1,4 +1,4 @@
-"""Reports of the command line."""
+"""Error reports of the command line."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def settings_or_exit(path: Path) -> DaemonSettings:
-    """Read settings, or print one line a problem and exit with status 2."""
+    """Read settings, or print one line for each problem and exit with status 2."""
     found = read_settings(path)
     if found.is_ok():
         return found.unwrap()
