--- a/packages/daemon/src/plankspindle_daemon/traces/__init__.py
+++ b/packages/daemon/src/plankspindle_daemon/traces/__init__.py
@@ -1,3 +1,3 @@
-"""What happened to single requests, kept until they end and then logged."""
+"""Traces of single requests: steps are kept in memory and logged on completion."""
 
 from __future__ import annotations
--- a/packages/daemon/src/plankspindle_daemon/traces/request_trace.py
+++ b/packages/daemon/src/plankspindle_daemon/traces/request_trace.py
@@ -1,4 +1,4 @@
-"""What happened to one request so far."""
+"""Trace of one request: its steps so far, and its outcome once it is completed."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from plankspindle_daemon.traces.steps import Step
 
 MAX_STEPS = 64
-"""Steps that are kept of one request; beyond them it goes round in circles."""
+"""Bound on the steps kept of one request, for a request that loops."""
 
 
 class Completion(Enum):
-    """How a request ended for its caller."""
+    """Outcome of a request, as its caller saw it."""
 
     SERVED = "served"
     REFUSED = "refused"
@@ -26,29 +26,30 @@
 
 @define(kw_only=True)
 class RequestTrace:
-    """Steps of one request, with the time of each.
+    """Timestamped steps of one request, and its outcome.
 
     Parameters
     ----------
     request_id : str
         Id of the request in logs.
     id_is_from_caller : bool
-        Whether the caller chose that id, so that it need not be told.
+        Whether the caller chose that id, so that the answer need not carry it.
     started_at : float
-        Monotonic seconds.
+        Start of the request, monotonic seconds.
     started_at_unix : float
-        The same moment, seconds since the Unix epoch.
+        Start of the request, seconds since the Unix epoch.
 
     Attributes
     ----------
     completion : Completion
-        How it ended; a request whose end nobody noted was given up by its caller.
+        Outcome. The default stands for a caller that disconnected, as then no other
+        outcome is recorded.
     status : int or None
-        Status of the answer.
+        HTTP status of the answer.
     reason : str or None
-        Why it ended badly, in one token.
+        Why the request failed, as one token.
     target_s : float or None
-        Time within which an answer is wanted, in seconds.
+        Target duration of the request, in seconds; a longer one is logged as late.
     """
 
     request_id: str
@@ -67,14 +68,14 @@
     steps: list[tuple[float, Step]] = field(factory=list)
 
     def record(self, step: Step, now: float) -> None:
-        """Keep a step.
+        """Append a step, unless the trace has ``MAX_STEPS`` already.
 
         Parameters
         ----------
         step : Step
-            What happened.
+            The step.
         now : float
-            Monotonic seconds.
+            Time of the step, monotonic seconds.
         """
         if len(self.steps) < MAX_STEPS:
             self.steps.append((now, step))
@@ -87,22 +88,22 @@
         reason: str | None = None,
         retry_after_s: float | None = None,
     ) -> None:
-        """Keep how the request ended for its caller."""
+        """Record the outcome of the request."""
         self.completion = completion
         self.status = status
         self.reason = reason
         self.retry_after_s = retry_after_s
 
     def to_unix_time(self, at: float) -> float:
-        """Give a monotonic time of the request as seconds since the Unix epoch.
+        """Convert a monotonic time of the request to seconds since the Unix epoch.
 
         Notes
         -----
-        The clock of the day is read once a request, so that a jump of it does not put
-        the steps out of order.
+        The system clock is read once a request, so that a jump of that clock does not
+        put the steps out of order.
         """
         return self.started_at_unix + (at - self.started_at)
 
     def is_late(self, now: float) -> bool:
-        """Tell whether more time has passed than is wanted."""
+        """Return whether the request has taken longer than its target duration."""
         return self.target_s is not None and now - self.started_at > self.target_s
--- a/packages/daemon/src/plankspindle_daemon/traces/request_trace_log.py
+++ b/packages/daemon/src/plankspindle_daemon/traces/request_trace_log.py
@@ -1,4 +1,4 @@
-"""Logs requests when they end: all steps of a bad end, a summary of a good one."""
+"""Log completed requests: every step of failed and late ones, a summary of others."""
 
 from __future__ import annotations
 
@@ -19,24 +19,28 @@
 
 MAX_ID_CHARACTERS = 64
 FAILED_PER_S = 50.0
-"""Failed requests a second whose steps are logged; a VM of one core serves about 70."""
+"""Failed requests a second that are logged; a VM of one core serves about 70."""
 FAILED_BURST = 400.0
-"""Failed requests at once whose steps are logged."""
+"""Failed requests that are logged in a burst."""
 REFUSED_PER_S = 5.0
-"""Requests refused for what they ask a second, which strangers can send at will."""
+"""Refused requests a second that are logged.
+
+Refusals have a low limit of their own, as anybody can cause them at any rate.
+"""
 LATE_PER_S = 5.0
-"""Late but served requests a second whose steps are logged."""
+"""Late requests, and those whose caller disconnected, that are logged a second."""
 SERVED_PER_S = 1.0
-"""Served requests a second of which a summary is logged; the rest is counted."""
+"""Served requests a second that are logged with a summary; the rest is counted."""
 _SUCCESSFUL = frozenset({Completion.SERVED})
 _FIELD_NAMES_BY_STEP: dict[type, list[str]] = {
-    kind: [each.name for each in attrs.fields(kind)] for kind in get_args(Step)
+    step_class: [each.name for each in attrs.fields(step_class)]
+    for step_class in get_args(Step)
 }
 
 
 @define(kw_only=True)
 class RequestTraceLog:
-    """Decide what is logged of each request.
+    """Log completed requests within limits on the lines a second.
 
     Parameters
     ----------
@@ -45,14 +49,15 @@
 
     Attributes
     ----------
-    skipped_failed : int
-        Bad ends that were not logged.
+    skipped_failed, skipped_served : int
+        Requests not logged since the last logged one of their kind: failed, refused
+        or late ones, and ones served in time.
 
     Notes
     -----
-    Steps are kept in memory while a request runs, about 1 kB, and rendered only if it
-    ends badly or late. Each kind of end has a bound of its own: a flood of refused
-    requests does not hide a lost answer.
+    Steps take about 1 kB of memory while a request runs, and are rendered only if it
+    fails or is late. Each kind of outcome has its own rate limit, so that a flood of
+    refused requests does not hide a lost answer.
     """
 
     vm: str
@@ -75,35 +80,35 @@
     def start_trace(
         self, request_id: bytes | None, *, now: float, wall: float
     ) -> RequestTrace:
-        """Begin the story of a request.
+        """Start the trace of a request.
 
         Parameters
         ----------
         request_id : bytes, optional
-            Id that the caller chose; it gets one of this VM if there is none.
+            Id chosen by the caller. If there is none, this VM generates one.
         now : float
             Monotonic seconds.
         wall : float
             Seconds since the Unix epoch.
         """
         if request_id:
-            name = request_id.decode("latin-1")[:MAX_ID_CHARACTERS]
+            trace_id = request_id.decode("latin-1")[:MAX_ID_CHARACTERS]
         else:
-            name = f"{self.vm}/{int(wall * 1000):x}-{next(self._sequence)}"
+            trace_id = f"{self.vm}/{int(wall * 1000):x}-{next(self._sequence)}"
         return RequestTrace(
-            request_id=name,
+            request_id=trace_id,
             id_is_from_caller=bool(request_id),
             started_at=now,
             started_at_unix=wall,
         )
 
     def log_completed(self, trace: RequestTrace, now: float) -> None:
-        """Log a request that has ended.
+        """Log a completed request, if the rate limit of its outcome allows it.
 
         Parameters
         ----------
         trace : RequestTrace
-            What happened to it.
+            Its trace.
         now : float
             Monotonic seconds.
         """
@@ -127,8 +132,8 @@
                 **_fields_of(step),
             )
         event = "request_late" if trace.completion in _SUCCESSFUL else "request_failed"
-        untold, self.skipped_failed = self.skipped_failed, 0
-        self._log_summary(event, trace, now, not_logged=untold)
+        not_logged, self.skipped_failed = self.skipped_failed, 0
+        self._log_summary(event, trace, now, not_logged=not_logged)
 
     def _bucket_for(self, trace: RequestTrace) -> TokenBucket:
         match trace.completion:
@@ -162,8 +167,8 @@
 
 
 def _fields_of(step: Step) -> dict[str, Any]:
-    names = _FIELD_NAMES_BY_STEP[type(step)]
-    return {name: _log_value(getattr(step, name)) for name in names}
+    field_names = _FIELD_NAMES_BY_STEP[type(step)]
+    return {name: _log_value(getattr(step, name)) for name in field_names}
 
 
 def _log_value(value: Any) -> Any:
--- a/packages/daemon/src/plankspindle_daemon/traces/steps.py
+++ b/packages/daemon/src/plankspindle_daemon/traces/steps.py
@@ -1,4 +1,7 @@
-"""Steps of a request, as small records that become log lines if it ends badly."""
+"""Steps of a request: small records that are logged if the request fails or is late.
+
+Each class is one log event: ``EVENT`` is its name, the fields are those of the line.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 
 
 class Executed(Enum):
-    """Whether an attempt was run by its upstream."""
+    """Whether the upstream ran an attempt."""
 
     YES = "yes"
     MAYBE = "maybe"
@@ -23,19 +26,19 @@
     Parameters
     ----------
     service, operation : str
-        Service, and the route or operation by which it is served.
+        Service, and its matching route or operation.
     rank : int
-        Rank of its priority class.
+        Rank of the request's priority class.
     idempotent : bool
         Whether it may run more than once.
     max_attempts : int
-        Most upstreams that it may be sent to.
+        Maximum number of attempts.
     timeout_ms, left_ms : int
-        Longest time of the operation, and time until its deadline.
+        Timeout of the operation, and time until the deadline, in ms.
     version : int
-        Configuration by which it was read.
+        Version of the configuration used.
     version_age_ms : int, optional
-        For how long that has been in force here.
+        Time for which that version has been in force on this VM, in ms.
     """
 
     EVENT: ClassVar[str] = "request_routed"
@@ -52,12 +55,12 @@
 
 @frozen(kw_only=True)
 class ClaimDecided:
-    """A request with an id or key was held against what is known of it.
+    """The id or key of a request was checked for earlier runs.
 
     Parameters
     ----------
     verdict : str
-        What memory or table say.
+        Result of the check, from memory or the platform's table.
     platform_available : bool
         Whether the platform answers calls.
     """
@@ -74,7 +77,7 @@
     Parameters
     ----------
     ahead, limit : int
-        Requests that are served before it, and the most that may wait.
+        Requests ahead of it in the queue, and the maximum length of the queue.
     """
 
     EVENT: ClassVar[str] = "request_queued"
@@ -84,32 +87,32 @@
 
 @frozen(kw_only=True)
 class Placed:
-    """The request got an upstream.
+    """The request was assigned to an upstream.
 
     Parameters
     ----------
     upstream : str
-        Which one.
+        Name of the upstream.
     own_load : int
-        Requests that this VM runs there, this one not counted.
+        Requests of this VM in flight there, without this one.
     others_load : float
-        Requests of other VMs there, as reported and faded.
+        Requests of other VMs in flight there, as last reported and decayed with age.
     report_age_ms : int, optional
-        Age of that report.
+        Age of that report, in ms.
     slots : int
         Slots of the upstream.
     rtt_ms : float, optional
-        Way there and back.
+        Round-trip time to the upstream, in ms.
     latency : float
-        Its latency relative to that of all upstreams.
+        Latency of the upstream, relative to that of all upstreams.
     hit : bool, optional
-        Whether the affinity key prefers it.
+        Whether the affinity key prefers this upstream.
     leaves_region : bool, optional
-        Whether it stands in another region.
+        Whether the upstream is located in another region.
     preferred : str, optional
-        The upstream that the key prefers, if it is another one.
+        Upstream preferred by the affinity key, if it is another one.
     not_preferred : str, optional
-        Why that one was not taken.
+        Why the preferred upstream was not chosen.
     """
 
     EVENT: ClassVar[str] = "request_placed"
@@ -128,21 +131,21 @@
 
 @frozen(kw_only=True)
 class Rejected:
-    """The request gets no upstream.
+    """The request was rejected without an upstream.
 
     Parameters
     ----------
     reason : str
-        Why.
+        Why, as one token.
     retry_after_ms : int
-        When the caller should come back.
+        Time after which the caller should retry, in ms.
     queued, capacity, in_flight : int
-        Waiting requests, requests that may run at the service's upstreams from here,
-        and those that do.
+        Requests of the service on this VM: those waiting, those that may run at its
+        upstreams at once, and those in flight.
     usual_ms : int
-        Usual duration of such a request.
+        Expected duration of such a request, in ms.
     left_ms : int
-        Time until its deadline.
+        Time until the deadline of the request, in ms.
     """
 
     EVENT: ClassVar[str] = "request_rejected"
@@ -157,12 +160,12 @@
 
 @frozen(kw_only=True)
 class Forwarded:
-    """The request was moved to another entry VM.
+    """The request was forwarded to another entry VM.
 
     Parameters
     ----------
     to : str
-        Caller listener of that VM.
+        Address of that VM's caller listener.
     """
 
     EVENT: ClassVar[str] = "request_sent_on"
@@ -171,22 +174,22 @@
 
 @frozen(kw_only=True)
 class Sent:
-    """An attempt is being sent.
+    """An attempt was sent.
 
     Parameters
     ----------
     attempt : int
-        Its number, from 1 on.
+        Number of the attempt, from 1 on.
     to : str
-        Address.
+        Address of the upstream.
     connection : str
         ``new`` or ``reused``.
     rested_ms : int, optional
-        How long a reused connection had rested.
+        Time for which a reused connection was idle, in ms.
     connect_ms : int, optional
-        Time that a new one needed.
+        Time taken to open a new connection, in ms.
     deadline_ms : int
-        Time handed on to the other side.
+        Time left until the deadline, as passed on to the upstream, in ms.
     """
 
     EVENT: ClassVar[str] = "attempt_sent"
@@ -200,22 +203,22 @@
 
 @frozen(kw_only=True)
 class AttemptEnded:
-    """An attempt ended.
+    """An attempt was completed.
 
     Parameters
     ----------
     attempt : int
-        Its number.
+        Number of the attempt, from 1 on.
     upstream : str
-        Where it went.
+        Upstream to which it was sent.
     verdict : str
-        How the upstream is judged by it.
+        Outcome of the attempt, as counted for the health of the upstream.
     came : str
-        What was seen.
+        Answer or failure observed.
     ran : Executed
         Whether the upstream ran the request.
     took_ms : int
-        Time since it was sent.
+        Time since the attempt was sent, in ms.
     """
 
     EVENT: ClassVar[str] = "attempt_ended"
@@ -229,16 +232,16 @@
 
 @frozen(kw_only=True)
 class RetryDecided:
-    """Another attempt was allowed or withheld.
+    """A retry was allowed or denied.
 
     Parameters
     ----------
     taken : bool
-        Whether there is another attempt.
+        Whether the request is retried.
     because : str
-        What decided.
+        Reason of the decision, as one token.
     budget_left : float
-        Retries that the service's budget still allows here.
+        Retries left in this VM's retry budget of the service.
     """
 
     EVENT: ClassVar[str] = "retry_decided"
@@ -249,18 +252,19 @@
 
 @frozen(kw_only=True)
 class RequestQuarantined:
-    """The request is sent to no upstream, since several have ended under it.
+    """The request was refused, as several upstreams have crashed while running it.
 
     Parameters
     ----------
     identity : str
-        The request as commands and other log lines name it, whatever its tries' ids.
+        Identity of the request in commands and log lines, the same for all attempts
+        whatever their request ids.
     for_ms : int
-        For how long it has been in quarantine.
+        Time for which the request has been in quarantine, in ms.
     trials : int
-        How often it was let through since then.
+        Probe attempts made since then.
     retry_after_ms : int
-        Time until it is let through next.
+        Time until the next probe attempt, in ms.
     """
 
     EVENT: ClassVar[str] = "request_held_back"
@@ -272,12 +276,12 @@
 
 @frozen(kw_only=True)
 class Suspected:
-    """The request is not sent to another upstream, since several ended under it.
+    """The request is not retried, as it is suspected of crashing upstreams.
 
     Parameters
     ----------
     identity : str
-        The request, whatever its tries' ids.
+        Identity of the request, the same for all attempts whatever their request ids.
     """
 
     EVENT: ClassVar[str] = "request_suspected"
@@ -286,19 +290,19 @@
 
 @frozen(kw_only=True)
 class QuotaTokenDecided:
-    """The request was held against the quota of its workspace.
+    """The request was checked against the quota of its workspace.
 
     Parameters
     ----------
     workspace : str
         Name of the workspace.
     taken : bool
-        Whether it may be sent to an upstream.
+        Whether a quota token was granted, so that the request may be sent.
     waited_ms : int
-        Time that the decision took.
+        Time that the decision took, in ms.
     over_quota : bool, optional
-        Whether the workspace has used its quota, if the request may not be sent;
-        otherwise no VM that hands out tokens was reached.
+        Why no token was granted: the workspace has used its quota if true; no VM that
+        grants tokens was reached if false.
     """
 
     EVENT: ClassVar[str] = "quota_token_decided"
--- a/packages/daemon/tests/traces/test_request_trace_log.py
+++ b/packages/daemon/tests/traces/test_request_trace_log.py
@@ -1,4 +1,4 @@
-"""Tests of what is logged of each request."""
+"""Tests of the log lines of completed requests."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-ENDED = AttemptEnded(
+ATTEMPT_ENDED = AttemptEnded(
     attempt=1,
     upstream="u",
     verdict="failed",
@@ -55,19 +55,19 @@
 def build_trace(
     log: RequestTraceLog, *, request: str = "r-1", at: float = 5.0
 ) -> RequestTrace:
-    story = log.start_trace(request.encode(), now=at, wall=1_000.0)
-    story.service = "registry"
-    story.rank = 1
-    return story
+    trace = log.start_trace(request.encode(), now=at, wall=1_000.0)
+    trace.service = "registry"
+    trace.rank = 1
+    return trace
 
 
-def test_a_failed_request_is_told_step_by_step(captured: CapturedLog) -> None:
+def test_failed_request_is_logged_with_every_step(captured: CapturedLog) -> None:
     log = RequestTraceLog(vm="a")
-    story = build_trace(log)
-    story.record(Queued(ahead=3, limit=9), 5.1)
-    story.record(ENDED, 5.4)
-    story.complete(Completion.UNKNOWN, status=502, reason="upstream-lost")
-    log.log_completed(story, 5.5)
+    trace = build_trace(log)
+    trace.record(Queued(ahead=3, limit=9), 5.1)
+    trace.record(ATTEMPT_ENDED, 5.4)
+    trace.complete(Completion.UNKNOWN, status=502, reason="upstream-lost")
+    log.log_completed(trace, 5.5)
     queued, ended, failed = captured.lines()
     assert queued["event"] == "request_queued"
     assert (queued["ahead"], queued["limit"], queued["step"]) == ("3", "9", "1")
@@ -81,59 +81,61 @@
     assert times == ["40.100", "40.400", "40.500"]
 
 
-def test_a_served_request_gets_one_line_and_most_get_none(
+def test_served_requests_log_a_summary_within_the_rate_limit(
     captured: CapturedLog,
 ) -> None:
     log = RequestTraceLog(vm="a")
     for number in range(100):
-        story = build_trace(log, request=f"r-{number}")
-        story.record(ENDED, 5.1)
-        story.complete(Completion.SERVED, status=200)
-        log.log_completed(story, 5.2)
+        trace = build_trace(log, request=f"r-{number}")
+        trace.record(ATTEMPT_ENDED, 5.1)
+        trace.complete(Completion.SERVED, status=200)
+        log.log_completed(trace, 5.2)
     events = captured.events()
     assert set(events) == {"request_served"}
     assert len(events) + log.skipped_served == 100
     assert len(events) <= 10
 
 
-def test_a_late_answer_is_told_step_by_step(captured: CapturedLog) -> None:
+def test_late_request_is_logged_with_every_step(captured: CapturedLog) -> None:
     log = RequestTraceLog(vm="a")
-    story = build_trace(log)
-    story.target_s = 0.4
-    story.record(ENDED, 5.1)
-    story.complete(Completion.SERVED, status=200)
-    log.log_completed(story, 5.5)
+    trace = build_trace(log)
+    trace.target_s = 0.4
+    trace.record(ATTEMPT_ENDED, 5.1)
+    trace.complete(Completion.SERVED, status=200)
+    log.log_completed(trace, 5.5)
     assert captured.events() == ["attempt_ended", "request_late"]
 
 
-def test_a_flood_of_refused_requests_hides_no_lost_answer(
+def test_flood_of_refused_requests_does_not_hide_a_lost_answer(
     captured: CapturedLog,
 ) -> None:
     log = RequestTraceLog(vm="a")
     for _ in range(1_000):
-        story = build_trace(log, request="stranger")
-        story.complete(Completion.REFUSED, status=404, reason="no route")
-        log.log_completed(story, 5.1)
+        trace = build_trace(log, request="stranger")
+        trace.complete(Completion.REFUSED, status=404, reason="no route")
+        log.log_completed(trace, 5.1)
     lost = build_trace(log, request="lost")
-    lost.record(ENDED, 5.2)
+    lost.record(ATTEMPT_ENDED, 5.2)
     lost.complete(Completion.UNKNOWN, status=502, reason="upstream-lost")
     log.log_completed(lost, 5.2)
-    told = [line for line in captured.lines() if line["request"] == "lost"]
-    assert [line["event"] for line in told] == ["attempt_ended", "request_failed"]
-    assert told[-1]["not_logged"] == str(1_000 - (len(captured.lines()) - 2))
+    logged = [line for line in captured.lines() if line["request"] == "lost"]
+    assert [line["event"] for line in logged] == ["attempt_ended", "request_failed"]
+    assert logged[-1]["not_logged"] == str(1_000 - (len(captured.lines()) - 2))
 
 
-def test_failed_requests_beyond_the_bound_are_counted(captured: CapturedLog) -> None:
+def test_failed_requests_beyond_burst_are_counted_not_logged(
+    captured: CapturedLog,
+) -> None:
     log = RequestTraceLog(vm="a")
     for _ in range(2 * int(FAILED_BURST)):
-        story = build_trace(log)
-        story.complete(Completion.NOT_RUN, status=503, reason="busy")
-        log.log_completed(story, 5.1)
+        trace = build_trace(log)
+        trace.complete(Completion.NOT_RUN, status=503, reason="busy")
+        log.log_completed(trace, 5.1)
     assert log.skipped_failed == FAILED_BURST
     assert len(captured.lines()) == FAILED_BURST
 
 
-def test_a_request_without_id_gets_one_that_no_other_has() -> None:
+def test_request_without_id_gets_unique_id() -> None:
     log = RequestTraceLog(vm="a")
     first, second = (log.start_trace(None, now=1.0, wall=2.0) for _ in range(2))
     assert first.request_id != second.request_id
@@ -141,12 +143,12 @@
     assert first.request_id.startswith("a/")
 
 
-def test_an_id_is_bounded_and_steps_are(captured: CapturedLog) -> None:
+def test_length_of_id_and_number_of_steps_are_bounded(captured: CapturedLog) -> None:
     log = RequestTraceLog(vm="a")
-    story = build_trace(log, request="x" * 1_000)
+    trace = build_trace(log, request="x" * 1_000)
     for _ in range(10 * MAX_STEPS):
-        story.record(ENDED, 5.1)
-    story.complete(Completion.UNKNOWN, status=502, reason="upstream-lost")
-    log.log_completed(story, 5.2)
+        trace.record(ATTEMPT_ENDED, 5.1)
+    trace.complete(Completion.UNKNOWN, status=502, reason="upstream-lost")
+    log.log_completed(trace, 5.2)
     assert len(captured.lines()) == MAX_STEPS + 1
     assert len(captured.lines()[0]["request"]) == 64
