--- a/packages/daemon/src/plankspindle_daemon/status_changes/__init__.py
+++ b/packages/daemon/src/plankspindle_daemon/status_changes/__init__.py
@@ -1,3 +1,3 @@
-"""What this VM believes of others, and how that changes."""
+"""Status of VMs, upstreams and platform as observed by this VM, and its changes."""
 
 from __future__ import annotations
--- a/packages/daemon/src/plankspindle_daemon/status_changes/member_monitor.py
+++ b/packages/daemon/src/plankspindle_daemon/status_changes/member_monitor.py
@@ -1,4 +1,4 @@
-"""Notices when other entry VMs and whole failure domains come, fall silent or go."""
+"""Detects status changes of other entry VMs and of whole failure domains."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class HeartbeatStatus(Enum):
-    """What is heard of a member."""
+    """Whether heartbeats of a member arrive."""
 
     RECEIVED = "heard"
     NEVER_RECEIVED = "never-heard"
@@ -35,95 +35,107 @@
 
 @define(kw_only=True)
 class MemberMonitor:
-    """Compare the members with those before."""
+    """Report changes of the members since the previous check."""
 
     _observed_by_name: dict[str, _ObservedMember] = field(factory=dict)
     _lost_domains: set[str] = field(factory=set)
 
     def observe(self, membership: Membership, now: float) -> list[StatusChange]:
-        """Give what has changed since the last time.
+        """Return the changes since the previous call.
 
         Parameters
         ----------
         membership : Membership
-            The members.
+            Present members.
         now : float
             Monotonic seconds.
         """
         suspect_after_s = membership.suspect_after_s()
-        seen = {
+        observed_by_name = {
             name: self._observe_member(
                 member, _heartbeat_status(member, suspect_after_s, now)
             )
             for name, member in membership.members_by_name.items()
         }
-        beliefs = [
-            *self._member_changes(membership, seen, now),
-            *self._member_removals(seen),
+        changes = [
+            *self._member_changes(membership, observed_by_name, now),
+            *self._member_removals(observed_by_name),
         ]
-        self._observed_by_name = seen
-        return [*beliefs, *self._domain_changes()]
+        self._observed_by_name = observed_by_name
+        return [*changes, *self._domain_changes()]
 
     def _observe_member(
-        self, member: Member, hearing: HeartbeatStatus
+        self, member: Member, heartbeat_status: HeartbeatStatus
     ) -> _ObservedMember:
-        """Give what was seen before where it still holds, to compare little."""
-        was = self._observed_by_name.get(member.name)
+        """Return the previous object if it still holds, for a check by identity."""
+        previous = self._observed_by_name.get(member.name)
         if (
-            was is not None
-            and was.heartbeat_status is hearing
-            and was.incarnation == member.incarnation
-            and was.failure_domain == member.failure_domain
+            previous is not None
+            and previous.heartbeat_status is heartbeat_status
+            and previous.incarnation == member.incarnation
+            and previous.failure_domain == member.failure_domain
         ):
-            return was
-        return _ObservedMember(hearing, member.incarnation, member.failure_domain)
+            return previous
+        return _ObservedMember(
+            heartbeat_status, member.incarnation, member.failure_domain
+        )
 
     def _member_changes(
-        self, membership: Membership, seen: dict[str, _ObservedMember], now: float
+        self,
+        membership: Membership,
+        observed_by_name: dict[str, _ObservedMember],
+        now: float,
     ) -> Iterator[StatusChange]:
-        for name, found in seen.items():
-            was = self._observed_by_name.get(name)
-            if was is found:
+        for name, observed in observed_by_name.items():
+            previous = self._observed_by_name.get(name)
+            if previous is observed:
                 continue
             member = membership.members_by_name[name]
-            heard = member.last_heartbeat_at
+            last_heartbeat_at = member.last_heartbeat_at
             fields = {
                 "member": name,
-                "domain": found.failure_domain,
-                "was": "new" if was is None else was.heartbeat_status.value,
-                "now": found.heartbeat_status.value,
-                "incarnation": f"{found.incarnation:016x}",
-                "restarted": was is not None and was.incarnation != found.incarnation,
+                "domain": observed.failure_domain,
+                "was": "new" if previous is None else previous.heartbeat_status.value,
+                "now": observed.heartbeat_status.value,
+                "incarnation": f"{observed.incarnation:016x}",
+                "restarted": previous is not None
+                and previous.incarnation != observed.incarnation,
                 "listed": name in membership.listed_by_name,
                 "suspected_by": ",".join(sorted(member.suspected_by)) or None,
-                "silent_ms": None if heard is None else round(1000 * (now - heard)),
+                "silent_ms": None
+                if last_heartbeat_at is None
+                else round(1000 * (now - last_heartbeat_at)),
             }
             yield StatusChange(event="member_standing", fields=fields)
 
     def _member_removals(
-        self, seen: dict[str, _ObservedMember]
+        self, observed_by_name: dict[str, _ObservedMember]
     ) -> Iterator[StatusChange]:
-        for name, was in self._observed_by_name.items():
-            if name not in seen:
-                fields = {"member": name, "domain": was.failure_domain}
-                standing = {"was": was.heartbeat_status.value, "now": "removed"}
+        for name, previous in self._observed_by_name.items():
+            if name not in observed_by_name:
+                fields = {"member": name, "domain": previous.failure_domain}
+                statuses = {"was": previous.heartbeat_status.value, "now": "removed"}
                 yield StatusChange(
-                    event="member_standing", fields={**fields, **standing}
+                    event="member_standing", fields={**fields, **statuses}
                 )
 
     def _domain_changes(self) -> Iterator[StatusChange]:
-        """Notice domains none of whose members is heard any more, and their return."""
-        heard_by_domain: dict[str, bool] = {}
-        for found in self._observed_by_name.values():
-            if found.failure_domain is not None:
-                is_heard = found.heartbeat_status is HeartbeatStatus.RECEIVED
-                known = heard_by_domain.get(found.failure_domain, False)
-                heard_by_domain[found.failure_domain] = known or is_heard
-        for domain, is_heard in heard_by_domain.items():
-            if is_heard and domain in self._lost_domains:
+        """Yield domains that lost all heartbeats, and domains that have some again."""
+        has_heartbeat_by_domain: dict[str, bool] = {}
+        for observed in self._observed_by_name.values():
+            if observed.failure_domain is not None:
+                has_heartbeat = observed.heartbeat_status is HeartbeatStatus.RECEIVED
+                any_heartbeat = has_heartbeat_by_domain.get(
+                    observed.failure_domain, False
+                )
+                has_heartbeat_by_domain[observed.failure_domain] = (
+                    any_heartbeat or has_heartbeat
+                )
+        for domain, has_heartbeat in has_heartbeat_by_domain.items():
+            if has_heartbeat and domain in self._lost_domains:
                 self._lost_domains.discard(domain)
                 yield StatusChange(event="domain_regained", fields={"domain": domain})
-            elif not is_heard and domain not in self._lost_domains:
+            elif not has_heartbeat and domain not in self._lost_domains:
                 self._lost_domains.add(domain)
                 yield StatusChange(event="domain_lost", fields={"domain": domain})
 
@@ -133,5 +145,5 @@
 ) -> HeartbeatStatus:
     if member.last_heartbeat_at is None:
         return HeartbeatStatus.NEVER_RECEIVED
-    is_silent = member.is_suspected(now=now, suspect_after_s=suspect_after_s)
-    return HeartbeatStatus.SUSPECTED if is_silent else HeartbeatStatus.RECEIVED
+    is_suspected = member.is_suspected(now=now, suspect_after_s=suspect_after_s)
+    return HeartbeatStatus.SUSPECTED if is_suspected else HeartbeatStatus.RECEIVED
--- a/packages/daemon/src/plankspindle_daemon/status_changes/plan_monitor.py
+++ b/packages/daemon/src/plankspindle_daemon/status_changes/plan_monitor.py
@@ -1,4 +1,4 @@
-"""Notices when another part of a service's keys leaves the region."""
+"""Detects changes of the share of a service's affinity keys that leave the region."""
 
 from __future__ import annotations
 
@@ -16,38 +16,38 @@
     from plankspindle_daemon.dispatch.dispatcher import Dispatcher
 
 MIN_SHARE_CHANGE = 0.1
-"""Change of the part of keys that leave the region which is worth a line."""
+"""Smallest change of the share of keys leaving the region that is logged."""
 
 
 @define(kw_only=True)
 class PlanMonitor:
-    """Compare the plan of each service with the one that was logged last."""
+    """Compare the placement plan of each service with the one last logged."""
 
     _remote_share_by_service: dict[str, float] = field(factory=dict)
 
     def observe(
         self, dispatchers_by_service: Mapping[str, Dispatcher]
     ) -> Iterator[StatusChange]:
-        """Give what has changed since the last time.
+        """Yield the changes since the previous call.
 
         Parameters
         ----------
         dispatchers_by_service : mapping of str to Dispatcher
-            Keepers of the plans.
+            Dispatchers, which have the plans.
         """
         for service, dispatcher in dispatchers_by_service.items():
             if dispatcher.placement is None:
                 continue
             plan = dispatcher.placement.plan
-            was = self._remote_share_by_service.get(service, 0.0)
-            if abs(plan.remote_share - was) < MIN_SHARE_CHANGE:
+            previous = self._remote_share_by_service.get(service, 0.0)
+            if abs(plan.remote_share - previous) < MIN_SHARE_CHANGE:
                 continue
             self._remote_share_by_service[service] = plan.remote_share
             yield StatusChange(
                 event="keys_leaving_region",
                 fields={
                     "service": service,
-                    "was": round(was, 3),
+                    "was": round(previous, 3),
                     "now": round(plan.remote_share, 3),
                 },
             )
--- a/packages/daemon/src/plankspindle_daemon/status_changes/quarantine_changes.py
+++ b/packages/daemon/src/plankspindle_daemon/status_changes/quarantine_changes.py
@@ -1,4 +1,4 @@
-"""Gives what changed in the quarantine, to be logged."""
+"""Converts changes of the quarantine to status changes, to be logged."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def pop_changes(quarantine: Quarantine) -> Iterator[StatusChange]:
-    """Take the changes since the last time out of a quarantine."""
+    """Remove the changes since the previous call from a quarantine and yield them."""
     changes, quarantine.changes = quarantine.changes, []
     for change in changes:
         identity = identity_text(change.identity)
--- a/packages/daemon/src/plankspindle_daemon/status_changes/status_change.py
+++ b/packages/daemon/src/plankspindle_daemon/status_changes/status_change.py
@@ -1,4 +1,4 @@
-"""A change of what this VM believes."""
+"""Change of a status observed by this VM."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 @frozen(kw_only=True)
 class StatusChange:
-    """One change, to be logged.
+    """One status change, to be logged.
 
     Parameters
     ----------
     event : str
-        Name of the event, in snake case.
+        Name of the log event, in snake case.
     fields : dict of str to object
-        What changed, and the evidence with its age.
+        Log fields: old and new status, and the evidence with its age.
     """
 
     event: str
--- a/packages/daemon/src/plankspindle_daemon/status_changes/status_monitor.py
+++ b/packages/daemon/src/plankspindle_daemon/status_changes/status_monitor.py
@@ -1,4 +1,4 @@
-"""Notices every change of what this VM believes, to be logged with its evidence."""
+"""Detects every change of the status observed by this VM, for the log."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
     from plankspindle_daemon.platform.bounded_calls import BoundedCalls
 
 MIN_SHARE_CHANGE = 0.1
-"""Change of the part of requests that leave the region which is worth a line."""
+"""Smallest change of the share of requests leaving the region that is logged."""
 
 
 @define(kw_only=True)
 class StatusMonitor:
-    """Compare what a node believes with what it believed before.
+    """Compare the status observed by a node with that of the previous check.
 
     Attributes
     ----------
     upstreams : UpstreamMonitor
-        Watch of the upstreams.
+        Monitor of the upstreams.
     members : MemberMonitor
-        Watch of the entry VMs.
+        Monitor of the entry VMs.
     plans : PlanMonitor
-        Watch of the keys that leave the region.
+        Monitor of the affinity keys that leave the region.
     """
 
     upstreams: UpstreamMonitor = field(factory=UpstreamMonitor)
@@ -49,12 +49,12 @@
     def observe(
         self, node: Node, calls: BoundedCalls, now: float
     ) -> list[StatusChange]:
-        """Give what has changed since the last time.
+        """Return the changes since the previous call.
 
         Parameters
         ----------
         node : Node
-            The decisions.
+            Decision logic of this VM.
         calls : BoundedCalls
             Calls to the platform.
         now : float
@@ -80,33 +80,37 @@
                 event="platform_lost", fields={"seen": calls.last_failure}
             )
         elif calls.available and self._platform_lost_at is not None:
-            away_ms = round(1000 * (now - self._platform_lost_at))
+            outage_ms = round(1000 * (now - self._platform_lost_at))
             self._platform_lost_at = None
-            yield StatusChange(event="platform_regained", fields={"away_ms": away_ms})
+            yield StatusChange(event="platform_regained", fields={"away_ms": outage_ms})
 
     def _drain_changes(self, node: Node) -> Iterator[StatusChange]:
         if node.configuration is None:
             return
-        drains = frozenset(node.configuration.drains_by_id)
-        for drain in sorted(drains - self._drain_ids):
+        drain_ids = frozenset(node.configuration.drains_by_id)
+        for drain in sorted(drain_ids - self._drain_ids):
             yield StatusChange(event="drain_began", fields={"drain": drain})
-        for drain in sorted(self._drain_ids - drains):
+        for drain in sorted(self._drain_ids - drain_ids):
             yield StatusChange(event="drain_ended", fields={"drain": drain})
-        self._drain_ids = drains
+        self._drain_ids = drain_ids
 
     def _reader_role_changes(self, node: Node, now: float) -> Iterator[StatusChange]:
         role = node.shared_reads.role(now).value
         if role != self._reader_role:
-            was, self._reader_role = self._reader_role, role
-            yield StatusChange(event="platform_reads", fields={"was": was, "now": role})
+            previous, self._reader_role = self._reader_role, role
+            yield StatusChange(
+                event="platform_reads", fields={"was": previous, "now": role}
+            )
 
     def _own_changes(self, node: Node) -> Iterator[StatusChange]:
         readiness = node.readiness().value
         if readiness != self._readiness:
-            was, self._readiness = self._readiness, readiness
-            yield StatusChange(event="readiness", fields={"was": was, "now": readiness})
-        part = node.services.limiter.share
-        if abs(part - self._remote_share) >= MIN_SHARE_CHANGE:
-            was_part, self._remote_share = self._remote_share, part
-            fields = {"was": round(was_part, 3), "now": round(part, 3)}
+            previous, self._readiness = self._readiness, readiness
+            yield StatusChange(
+                event="readiness", fields={"was": previous, "now": readiness}
+            )
+        share = node.services.limiter.share
+        if abs(share - self._remote_share) >= MIN_SHARE_CHANGE:
+            previous_share, self._remote_share = self._remote_share, share
+            fields = {"was": round(previous_share, 3), "now": round(share, 3)}
             yield StatusChange(event="part_leaving_region", fields=fields)
--- a/packages/daemon/src/plankspindle_daemon/status_changes/upstream_monitor.py
+++ b/packages/daemon/src/plankspindle_daemon/status_changes/upstream_monitor.py
@@ -1,4 +1,4 @@
-"""Notices when what is believed of an upstream changes."""
+"""Detects changes of the observed status of upstreams."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 @define(kw_only=True)
 class UpstreamMonitor:
-    """Compare the standing of each upstream with the one before.
+    """Compare the status of each upstream with that of the previous check.
 
     Attributes
     ----------
     ejections_by_service : Counter of str
-        How often upstreams were backed off.
+        How often an upstream of the service became backed off.
     """
 
     ejections_by_service: Counter[str] = field(factory=Counter)
@@ -41,81 +41,85 @@
     def observe(
         self, dispatchers_by_service: Mapping[str, Dispatcher], now: float
     ) -> list[StatusChange]:
-        """Give what has changed since the last time.
+        """Return the changes since the previous call.
 
         Parameters
         ----------
         dispatchers_by_service : mapping of str to Dispatcher
-            Keepers of the upstreams.
+            Dispatchers, which have the upstreams.
         now : float
             Monotonic seconds.
         """
-        beliefs: list[StatusChange] = []
+        changes: list[StatusChange] = []
         for service, dispatcher in dispatchers_by_service.items():
-            present = dispatcher.upstreams_by_name
-            known = self._statuses_by_service.setdefault(service, {})
-            for name, upstream in present.items():
-                beliefs += self._statement_changes(service, upstream)
-                standing = upstream.status(now)
-                was = known.get(name)
-                if standing is was:
+            upstreams_by_name = dispatcher.upstreams_by_name
+            status_by_name = self._statuses_by_service.setdefault(service, {})
+            for name, upstream in upstreams_by_name.items():
+                changes += self._statement_changes(service, upstream)
+                status = upstream.status(now)
+                previous = status_by_name.get(name)
+                if status is previous:
                     continue
-                known[name] = standing
-                if was is None and standing is UpstreamStatus.HEALTHY:
+                status_by_name[name] = status
+                if previous is None and status is UpstreamStatus.HEALTHY:
                     continue
-                if standing is UpstreamStatus.BACKED_OFF:
+                if status is UpstreamStatus.BACKED_OFF:
                     self.ejections_by_service[service] += 1
-                beliefs.append(_status_change(service, upstream, was, now))
-            for gone in _removals(service, known, present):
-                self._statement_by_name.pop(str(gone.fields["upstream"]), None)
-                beliefs.append(gone)
-        return beliefs
+                changes.append(_status_change(service, upstream, previous, now))
+            for removal in _removals(service, status_by_name, upstreams_by_name):
+                self._statement_by_name.pop(str(removal.fields["upstream"]), None)
+                changes.append(removal)
+        return changes
 
     def _statement_changes(
         self, service: str, upstream: UpstreamState
     ) -> Iterator[StatusChange]:
-        """Give what an upstream says of itself, where that is another than before."""
-        was = self._statement_by_name.get(upstream.name, NO_STATEMENT)
-        stated = upstream.last_statement
-        if stated == was:
+        """Yield the statement of an upstream if it differs from the previous one."""
+        previous = self._statement_by_name.get(upstream.name, NO_STATEMENT)
+        statement = upstream.last_statement
+        if statement == previous:
             return
-        self._statement_by_name[upstream.name] = stated
+        self._statement_by_name[upstream.name] = statement
         fields = {
             "service": service,
             "upstream": upstream.name,
-            "limit_per_s": stated.limit_per_s,
-            "limit_before_per_s": was.limit_per_s,
-            "leaving": stated.is_leaving or None,
-            "rest_s": stated.retry_after_s,
-            "unreadable": "; ".join(stated.unreadable) or None,
+            "limit_per_s": statement.limit_per_s,
+            "limit_before_per_s": previous.limit_per_s,
+            "leaving": statement.is_leaving or None,
+            "rest_s": statement.retry_after_s,
+            "unreadable": "; ".join(statement.unreadable) or None,
         }
         yield StatusChange(event="upstream_stated", fields=fields)
 
 
 def _removals(
-    service: str, known: dict[str, UpstreamStatus], present: Mapping[str, UpstreamState]
+    service: str,
+    status_by_name: dict[str, UpstreamStatus],
+    upstreams_by_name: Mapping[str, UpstreamState],
 ) -> Iterator[StatusChange]:
-    """Forget the upstreams that are there no more."""
-    for name in sorted(known.keys() - present.keys()):
-        was = known.pop(name)
-        fields = {"service": service, "upstream": name, "was": was.value}
+    """Discard removed upstreams and yield their removals."""
+    for name in sorted(status_by_name.keys() - upstreams_by_name.keys()):
+        previous = status_by_name.pop(name)
+        fields = {"service": service, "upstream": name, "was": previous.value}
         yield StatusChange(event="upstream_standing", fields={**fields, "now": REMOVED})
 
 
 def _status_change(
-    service: str, upstream: UpstreamState, was: UpstreamStatus | None, now: float
+    service: str, upstream: UpstreamState, previous: UpstreamStatus | None, now: float
 ) -> StatusChange:
-    seen, answered_at = upstream.evidence, upstream.answered_at
+    evidence, answered_at = upstream.evidence, upstream.answered_at
     return StatusChange(
         event="upstream_standing",
         fields={
             "service": service,
             "upstream": upstream.name,
-            "was": NEW if was is None else was.value,
+            "was": NEW if previous is None else previous.value,
             "now": upstream.status(now).value,
             "in_flight": upstream.ledger.in_flight,
-            "seen": seen,
-            "seen_ms_ago": None if seen is None else _ms(now - upstream.evidence_at),
+            "seen": evidence,
+            "seen_ms_ago": None
+            if evidence is None
+            else _ms(now - upstream.evidence_at),
             "answered_ms_ago": _ms(now - answered_at) if answered_at else None,
         },
     )
--- a/packages/daemon/tests/status_changes/test_status_monitor.py
+++ b/packages/daemon/tests/status_changes/test_status_monitor.py
@@ -1,4 +1,4 @@
-"""Tests of noticing what is believed newly."""
+"""Tests of the detection of status changes."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 NOW = 100.0
 
 
-def test_an_upstream_is_told_of_when_its_standing_changes_with_what_was_seen() -> None:
+def test_status_change_of_upstream_is_reported_with_evidence() -> None:
     dispatcher = build_dispatcher(slots_by_upstream={"u": 4})
-    watch = UpstreamMonitor()
+    monitor = UpstreamMonitor()
     by_service = {"registry": dispatcher}
-    assert watch.observe(by_service, NOW) == []
+    assert monitor.observe(by_service, NOW) == []
     for number in range(3):
         ended = AttemptCompleted(
             ticket=build_ticket(number),
@@ -40,102 +40,100 @@
             cause="no connection: refused",
         )
         dispatcher.handle(ended, NOW)
-    (lost,) = watch.observe(by_service, NOW + 0.5)
+    (lost,) = monitor.observe(by_service, NOW + 0.5)
     assert lost.event == "upstream_standing"
     assert (lost.fields["was"], lost.fields["now"]) == ("well", "backed-off")
     assert lost.fields["seen"] == "unreachable: no connection: refused"
     assert lost.fields["seen_ms_ago"] == 500
-    assert watch.ejections_by_service == {"registry": 1}
-    assert watch.observe(by_service, NOW + 0.6) == []
+    assert monitor.ejections_by_service == {"registry": 1}
+    assert monitor.observe(by_service, NOW + 0.6) == []
     del dispatcher.upstreams_by_name["u"]
-    (gone,) = watch.observe(by_service, NOW + 1.0)
+    (gone,) = monitor.observe(by_service, NOW + 1.0)
     assert (gone.fields["was"], gone.fields["now"]) == ("backed-off", "gone")
 
 
-def test_members_and_whole_domains_are_told_of_when_they_fall_silent_and_return() -> (
-    None
-):
-    membership, watch = build_membership("own", all_domains=True), MemberMonitor()
+def test_loss_and_return_of_members_and_domains_are_reported() -> None:
+    membership, monitor = build_membership("own", all_domains=True), MemberMonitor()
     first = build_member("a", failure_domain="ke-1", last_heartbeat_at=NOW)
     second = build_member("b", failure_domain="ke-1", last_heartbeat_at=NOW)
     membership.members_by_name |= {"a": first, "b": second}
-    seen = watch.observe(membership, NOW)
+    seen = monitor.observe(membership, NOW)
     assert [each.fields["now"] for each in seen] == ["heard", "heard"]
     first.last_heartbeat_at = NOW - 50
-    (suspected,) = watch.observe(membership, NOW)
+    (suspected,) = monitor.observe(membership, NOW)
     assert suspected.fields["now"] == "suspected"
     assert suspected.fields["silent_ms"] == 50_000
     second.last_heartbeat_at = NOW - 50
-    events = [each.event for each in watch.observe(membership, NOW)]
+    events = [each.event for each in monitor.observe(membership, NOW)]
     assert events == ["member_standing", "domain_lost"]
     first.last_heartbeat_at = NOW
-    events = [each.event for each in watch.observe(membership, NOW)]
+    events = [each.event for each in monitor.observe(membership, NOW)]
     assert events == ["member_standing", "domain_regained"]
     del membership.members_by_name["b"]
-    (removed,) = watch.observe(membership, NOW)
+    (removed,) = monitor.observe(membership, NOW)
     assert removed.fields["now"] == "removed"
 
 
-def test_a_restart_of_a_member_is_told_of() -> None:
-    membership, watch = build_membership("own", all_domains=True), MemberMonitor()
+def test_restart_of_member_is_reported() -> None:
+    membership, monitor = build_membership("own", all_domains=True), MemberMonitor()
     member = build_member("a", failure_domain="ke-1", last_heartbeat_at=NOW)
     membership.members_by_name["a"] = member
-    watch.observe(membership, NOW)
+    monitor.observe(membership, NOW)
     member.incarnation = 7
-    (told,) = watch.observe(membership, NOW)
-    assert told.fields["restarted"]
+    (change,) = monitor.observe(membership, NOW)
+    assert change.fields["restarted"]
 
 
 @pytest.mark.parametrize("failures", [2, 3])
-def test_a_platform_that_goes_is_told_of_once(failures: int) -> None:
-    calls, watch = BoundedCalls(timeout_s=1.0), StatusMonitor()
+def test_platform_outage_is_reported_once(failures: int) -> None:
+    calls, monitor = BoundedCalls(timeout_s=1.0), StatusMonitor()
     for _ in range(failures):
         calls.breaker.record(failed=True, now=NOW)
     calls.last_failure = "status 503"
-    lost = list(watch._platform_changes(calls, NOW))
+    lost = list(monitor._platform_changes(calls, NOW))
     assert [each.event for each in lost] == ["platform_lost"] * (failures - 2)
-    assert not list(watch._platform_changes(calls, NOW))
+    assert not list(monitor._platform_changes(calls, NOW))
     calls.breaker.record(failed=False, now=NOW)
-    regained = list(watch._platform_changes(calls, NOW + 1.5))
+    regained = list(monitor._platform_changes(calls, NOW + 1.5))
     assert [each.fields for each in regained] == [{"away_ms": 1_500}] * (failures - 2)
 
 
-def test_random_state_is_untouched_by_watching() -> None:
+def test_observing_does_not_change_random_state() -> None:
     dispatcher = build_dispatcher(slots_by_upstream={"u": 4})
     before = dispatcher.random.getstate()
     UpstreamMonitor().observe({"registry": dispatcher}, NOW)
     assert dispatcher.random.getstate() == before
 
 
-def test_keys_that_begin_to_leave_the_region_are_told_of_with_how_busy_it_is() -> None:
+def test_share_of_keys_leaving_region_is_reported_when_it_changes() -> None:
     dispatcher = build_reported_slots_dispatcher("u")
-    watch = PlanMonitor()
+    monitor = PlanMonitor()
     by_service = {"registry": dispatcher}
-    assert list(watch.observe(by_service)) == []
+    assert list(monitor.observe(by_service)) == []
     plan = dispatcher.placement.plan
     plan.update(local_slots=6.0, remote_slots=66.0, vm_share=1 / 3)
-    (told,) = watch.observe(by_service)
-    assert told.event == "keys_leaving_region"
-    assert told.fields["service"] == "registry"
-    assert (told.fields["was"], told.fields["now"]) == (0.0, 0.75)
-    assert list(watch.observe(by_service)) == []
+    (change,) = monitor.observe(by_service)
+    assert change.event == "keys_leaving_region"
+    assert change.fields["service"] == "registry"
+    assert (change.fields["was"], change.fields["now"]) == (0.0, 0.75)
+    assert list(monitor.observe(by_service)) == []
 
 
-def test_what_an_upstream_states_of_itself_is_told_when_it_changes() -> None:
+def test_upstream_statement_is_reported_when_it_changes() -> None:
     dispatcher = build_dispatcher(slots_by_upstream={"u": 4})
-    watch, by_service = UpstreamMonitor(), {"registry": dispatcher}
+    monitor, by_service = UpstreamMonitor(), {"registry": dispatcher}
 
     def state(statement: UpstreamStatement) -> list[StatusChange]:
         stated = StatementReceived(
             upstream="u", incarnation=0, statement=statement, sent_at=NOW - 0.1
         )
         dispatcher.handle(stated, NOW)
-        return watch.observe(by_service, NOW)
+        return monitor.observe(by_service, NOW)
 
     (named,) = state(UpstreamStatement(limit_per_s=4.6))
     assert named.event == "upstream_stated"
     assert named.fields["limit_per_s"] == 4.6
     assert state(UpstreamStatement(limit_per_s=4.6)) == []
-    (unread,) = state(UpstreamStatement(unreadable=("x: b'-1'",)))
-    assert unread.fields["unreadable"] == "x: b'-1'"
+    (unreadable,) = state(UpstreamStatement(unreadable=("x: b'-1'",)))
+    assert unreadable.fields["unreadable"] == "x: b'-1'"
     assert dispatcher.statements_unreadable == 1
