--- a/packages/daemon/src/plankspindle_daemon/observability/__init__.py
+++ b/packages/daemon/src/plankspindle_daemon/observability/__init__.py
@@ -1,3 +1,3 @@
-"""Metrics and state dumps."""
+"""Metrics and the state dump of a daemon."""
 
 from __future__ import annotations
--- a/packages/daemon/src/plankspindle_daemon/observability/histogram_collector.py
+++ b/packages/daemon/src/plankspindle_daemon/observability/histogram_collector.py
@@ -1,4 +1,4 @@
-"""Histograms in the form of the metrics library."""
+"""Exports the histograms of a process to the Prometheus library."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 
 class HistogramCollector(Collector):
-    """Give the histograms of a process when its metrics are read.
+    """Collect the histograms of a process when its metrics are read.
 
     Parameters
     ----------
     measures : MetricSources
-        What is counted.
+        Counts of the process.
     """
 
     def __init__(self, *, sources: MetricSources) -> None:
         self._sources = sources
 
     def collect(self) -> Iterable[Metric]:
-        """Give all histograms."""
+        """Yield all histograms."""
         requests = self._sources.requests
         yield _make_family(
             "plankspindle_request_duration_seconds",
--- a/packages/daemon/src/plankspindle_daemon/observability/instruments.py
+++ b/packages/daemon/src/plankspindle_daemon/observability/instruments.py
@@ -1,4 +1,4 @@
-"""The instruments of a process: counters, gauges and histograms."""
+"""OpenTelemetry instruments of a process: counters, gauges and histograms."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from plankspindle_daemon.observability.histogram_collector import HistogramCollector
 
 MAX_LABELLED_WORKSPACES = 20
-"""Workspaces that metrics name, so that their number stays bounded."""
+"""Workspaces with a label value of their own, to bound the number of time series."""
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -26,12 +26,12 @@
 
 
 class Instruments:
-    """Observable instruments, registered as long as this object is open.
+    """Observable instruments, registered until this object is closed.
 
     Parameters
     ----------
     measures : MetricSources
-        What is counted.
+        Counts of the process.
     """
 
     def __init__(self, *, sources: MetricSources) -> None:
@@ -64,7 +64,7 @@
         self._provider.shutdown()
 
     def render(self) -> bytes:
-        """Read all instruments and give them as Prometheus text."""
+        """Read all instruments and return them in the Prometheus text format."""
         return generate_latest(REGISTRY)
 
     def _add_counter(self, name: str, observe: Observe) -> None:
@@ -118,23 +118,25 @@
         return [Observation(self._sources.node.quarantine.requests_refused)]
 
     def _quota_requests(self) -> Iterable[Observation]:
-        """Give counts of the workspaces with most refusals; the rest go together."""
-        borrower = self._sources.node.quotas.token_requester
+        """Yield counts of the workspaces with most refusals, and the sum of others."""
+        requester = self._sources.node.quotas.token_requester
         for decision, counts in (
-            ("admitted", borrower.admitted_by_workspace),
-            ("refused", borrower.refused_by_workspace),
+            ("admitted", requester.admitted_by_workspace),
+            ("refused", requester.refused_by_workspace),
         ):
             named = [
                 name
-                for name, _ in borrower.refused_by_workspace.most_common(
+                for name, _ in requester.refused_by_workspace.most_common(
                     MAX_LABELLED_WORKSPACES
                 )
             ]
             for name in named:
                 labels = {"workspace": name, "decision": decision}
                 yield Observation(counts[name], labels)
-            rest = counts.total() - sum(counts[name] for name in named)
-            yield Observation(rest, {"workspace": "others", "decision": decision})
+            other_count = counts.total() - sum(counts[name] for name in named)
+            yield Observation(
+                other_count, {"workspace": "others", "decision": decision}
+            )
 
     def _statements_unreadable(self) -> Iterable[Observation]:
         return [
@@ -155,8 +157,8 @@
         ]
 
     def _quarantined_requests(self) -> Iterable[Observation]:
-        listed = self._sources.node.quarantine.quarantine_list
-        return [Observation(len(listed.entries_by_identity))]
+        quarantine_list = self._sources.node.quarantine.quarantine_list
+        return [Observation(len(quarantine_list.entries_by_identity))]
 
     def _log_lines_dropped(self) -> Iterable[Observation]:
         return [Observation(self._sources.log_lines_dropped)]
--- a/packages/daemon/src/plankspindle_daemon/observability/metric_sources.py
+++ b/packages/daemon/src/plankspindle_daemon/observability/metric_sources.py
@@ -1,4 +1,4 @@
-"""Everything that metrics and state dump show, in one place."""
+"""Objects whose counts the metrics and the state dump show."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 @define(kw_only=True)
 class MetricSources:
-    """What is counted in one process.
+    """Objects of one process whose counts the metrics and the state dump show.
 
     Parameters
     ----------
     node : Node
-        The decisions.
+        Decision logic of this VM.
     requests : RequestMetrics
         Counts of the request path.
     calls : BoundedCalls
         Calls to the platform.
     ejections_by_service : Counter of str
-        How often upstreams were backed off.
+        How often an upstream of the service became backed off.
     log : KeyValueDestination, optional
-        Where events go.
+        Destination of the log, which counts dropped lines.
     """
 
     node: Node
@@ -37,5 +37,5 @@
 
     @property
     def log_lines_dropped(self) -> int:
-        """Lines of the log that were dropped."""
+        """Number of log lines that were dropped."""
         return 0 if self.log is None else self.log.dropped_by_event.total()
--- a/packages/daemon/src/plankspindle_daemon/observability/metrics_reader.py
+++ b/packages/daemon/src/plankspindle_daemon/observability/metrics_reader.py
@@ -1,4 +1,4 @@
-"""Metrics in the Prometheus text form, loaded when they are first asked for."""
+"""Metrics in the Prometheus text format, whose libraries are imported on first use."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 
 class MetricsReader:
-    """Expose what a process counts.
+    """Render the metrics of a process.
 
     Parameters
     ----------
     measures : MetricSources
-        What is counted.
+        Counts of the process.
 
     Notes
     -----
-    The libraries of the metrics take about 5 MB, so they are loaded when the metrics
-    are first asked for.
+    The metrics libraries take about 5 MB of memory, so they are imported when the
+    metrics are first read.
     """
 
     def __init__(self, *, sources: MetricSources) -> None:
@@ -34,7 +34,7 @@
             self._instruments = None
 
     def render(self) -> bytes:
-        """Read all instruments and give them as Prometheus text."""
+        """Read all instruments and return them in the Prometheus text format."""
         if self._instruments is None:
             self._instruments = self._load()
         return self._instruments.render()
--- a/packages/daemon/src/plankspindle_daemon/observability/request_metrics.py
+++ b/packages/daemon/src/plankspindle_daemon/observability/request_metrics.py
@@ -1,4 +1,4 @@
-"""Counts of the request path, and metrics in the Prometheus text form on request."""
+"""Counters and histograms of the request path."""
 
 from __future__ import annotations
 
@@ -28,25 +28,25 @@
 TAKEN = "taken"
 WITHHELD = "withheld"
 NO_SERVICE = "none"
-"""Service of requests that were refused before one was found."""
+"""Label value for requests that were refused before their service was known."""
 
 
 @define(kw_only=True)
 class RequestMetrics:
-    """Counts of the request path, taken from what happened to each request.
+    """Counters and histograms of the request path, filled from request traces.
 
     Attributes
     ----------
     lookups : int
-        Answered look-ups.
+        Answered lookups.
     request_durations_by_key : dict of (service, rank, ending) to Histogram
-        Durations of requests.
+        Durations of requests, in seconds.
     queue_durations_by_service : dict of str to Histogram
-        Time that requests waited for an upstream.
+        Times that requests waited for an upstream, in seconds.
     attempt_durations_by_key : dict of (service, verdict) to Histogram
-        Durations of attempts.
+        Durations of attempts, in seconds.
     retries_by_key : Counter of (service, decision, because)
-        Retries that were taken or withheld.
+        Retries that were allowed or denied; ``because`` is the reason.
     """
 
     lookups: int = 0
@@ -58,16 +58,16 @@
     retries_by_key: Counter[tuple[str, str, str]] = field(factory=Counter)
 
     def record_lookup(self) -> None:
-        """Count a look-up."""
+        """Count a lookup."""
         self.lookups += 1
 
     def record_request(self, trace: RequestTrace, now: float) -> None:
-        """Count a request that has ended, with its attempts and waits.
+        """Count a completed request, with its attempts, retries and queueing times.
 
         Parameters
         ----------
         trace : RequestTrace
-            What happened to it.
+            Trace of the request.
         now : float
             Monotonic seconds.
         """
--- a/packages/daemon/src/plankspindle_daemon/observability/state_dump.py
+++ b/packages/daemon/src/plankspindle_daemon/observability/state_dump.py
@@ -1,4 +1,4 @@
-"""Dump of everything a daemon decides on, as plain JSON values."""
+"""Dump of the state that a daemon bases its decisions on, as plain JSON values."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 
 def dump_node(node: Node, now: float) -> dict[str, Any]:
-    """Dump the decision machines.
+    """Dump the state of a node.
 
     Parameters
     ----------
     node : Node
-        The machines.
+        The node.
     now : float
         Monotonic seconds.
 
     Returns
     -------
     dict
-        One entry a slice.
+        Values by key; a key is mostly one package of the daemon.
     """
     return {
         "vm": node.vm,
@@ -78,7 +78,7 @@
 
 
 def _dump_workspaces(node: Node, now: float) -> dict[str, Any]:
-    """Dump quotas and who hands out their tokens; digests of keys are left out."""
+    """Dump quotas and which VMs grant their tokens, without digests of API keys."""
     configuration = node.configuration
     if configuration is None:
         return {}
@@ -160,7 +160,7 @@
 
 
 def _dump_upstream(upstream: UpstreamState, now: float) -> dict[str, Any]:
-    gate = upstream.fleet_limiter()
+    limiter = upstream.fleet_limiter()
     return {
         "standing": upstream.status(now).value,
         "evidence": upstream.evidence,
@@ -170,8 +170,8 @@
         "in_flight": upstream.ledger.in_flight,
         "health": type(upstream.health.state).__name__,
         "leaving": upstream.leaving,
-        "fleet_limit_per_s": None if gate is None else gate.limit_per_s,
-        "fleet_limit_used": 0 if gate is None else gate.used,
+        "fleet_limit_per_s": None if limiter is None else limiter.limit_per_s,
+        "fleet_limit_used": 0 if limiter is None else limiter.used,
         "rests_ms": round(1000 * (upstream.health.retry_at(now) - now)),
         "relative_latency": round(upstream.relative_latency, 3),
     }
@@ -189,8 +189,8 @@
             for each in quarantine.quarantine_list.entries_by_identity.values()
         },
         "counted": {
-            identity_text(case.identity): list(case.crashed_at_by_incarnation)
-            for case in quarantine.crash_records.records_by_identity.values()
+            identity_text(record.identity): list(record.crashed_at_by_incarnation)
+            for record in quarantine.crash_records.records_by_identity.values()
         },
         "held_back": quarantine.requests_refused,
         "crashes_reported": quarantine.crashes_reported,
@@ -200,10 +200,10 @@
 def _dump_domains(node: Node, now: float) -> dict[str, Any]:
     if node.configuration is None:
         return {}
-    heard = node.digest_exchange.digests.received_by_vm.values()
+    received = node.digest_exchange.digests.received_by_vm.values()
     dumped = {}
     for domain, declared in node.configuration.failure_domains_by_name.items():
-        digests = [each for each in heard if each.digest.failure_domain == domain]
+        digests = [each for each in received if each.digest.failure_domain == domain]
         versions = [each.digest.configuration_version for each in digests]
         loads = {
             service: node.digest_exchange.digests.load_of(
@@ -241,7 +241,7 @@
 
 
 def dump_metrics(sources: MetricSources) -> dict[str, Any]:
-    """Dump the counts that the metrics show, too."""
+    """Dump the counts that are also exported as metrics."""
     requests = sources.requests
     return {
         "measures": {
--- a/packages/daemon/tests/observability/test_metrics.py
+++ b/packages/daemon/tests/observability/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of metrics, and that the state dump says the same."""
+"""Tests of the metrics, and of their agreement with the state dump."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class StubNode:
-    """The parts of a node that metrics read, with nothing in force."""
+    """The parts of a node that metrics read, without a configuration."""
 
     dispatchers_by_service: dict[str, Any] = {}
     version = 7
@@ -42,12 +42,12 @@
 
 
 def build_trace() -> RequestTrace:
-    story = RequestTrace(
+    trace = RequestTrace(
         request_id="r", id_is_from_caller=True, started_at=10.0, started_at_unix=0.0
     )
-    story.service, story.rank = "registry", 1
-    story.record(Queued(ahead=0, limit=9), 10.0)
-    story.record(PLACED, 10.3)
+    trace.service, trace.rank = "registry", 1
+    trace.record(Queued(ahead=0, limit=9), 10.0)
+    trace.record(PLACED, 10.3)
     lost = AttemptEnded(
         attempt=1,
         upstream="u",
@@ -56,108 +56,108 @@
         ran=Executed.MAYBE,
         took_ms=200,
     )
-    story.record(lost, 10.5)
+    trace.record(lost, 10.5)
     retry = RetryDecided(taken=True, because="upstream-lost", budget_left=3.0)
-    story.record(retry, 10.5)
-    story.record(PLACED, 10.5)
-    story.complete(Completion.SERVED, status=200)
-    return story
+    trace.record(retry, 10.5)
+    trace.record(PLACED, 10.5)
+    trace.complete(Completion.SERVED, status=200)
+    return trace
 
 
 @pytest.fixture
-def measures() -> MetricSources:
+def sources() -> MetricSources:
     node: Any = StubNode()
     calls = BoundedCalls(timeout_s=1.0)
     calls.calls_by_kind[CallKind.READ] = 3
-    found = MetricSources(
+    built = MetricSources(
         node=node,
         requests=RequestMetrics(),
         calls=calls,
         ejections_by_service=Counter({"registry": 2}),
     )
-    found.requests.record_lookup()
-    found.requests.record_request(build_trace(), 10.9)
-    return found
+    built.requests.record_lookup()
+    built.requests.record_request(build_trace(), 10.9)
+    return built
 
 
 def samples(text: str) -> dict[str, float]:
-    """Read Prometheus text into values by name and labels."""
-    found = {}
+    """Parse Prometheus text into values by name and labels."""
+    values = {}
     for line in text.splitlines():
         if line.startswith("#"):
             continue
         name, value = line.rsplit(" ", 1)
         labels = sorted(re.findall(r'(\w+)="([^"]*)"', name))
         kept = [f"{key}={each}" for key, each in labels if not key.startswith("otel")]
-        found[" ".join([name.partition("{")[0], *kept])] = float(value)
-    return found
+        values[" ".join([name.partition("{")[0], *kept])] = float(value)
+    return values
 
 
-def test_a_request_is_counted_with_its_wait_attempts_and_retries(
-    measures: MetricSources,
+def test_request_is_counted_with_queueing_time_attempts_and_retries(
+    sources: MetricSources,
 ) -> None:
-    reader = MetricsReader(sources=measures)
-    found = samples(reader.render().decode())
+    reader = MetricsReader(sources=sources)
+    values = samples(reader.render().decode())
     reader.close()
     of_request = "ending=served rank=1 service=registry"
-    assert found[f"plankspindle_request_duration_seconds_count {of_request}"] == 1
+    assert values[f"plankspindle_request_duration_seconds_count {of_request}"] == 1
     bucket = "plankspindle_request_duration_seconds_bucket ending=served"
-    assert found[f"{bucket} le=0.75 rank=1 service=registry"] == 0
-    assert found[f"{bucket} le=1.0 rank=1 service=registry"] == 1
+    assert values[f"{bucket} le=0.75 rank=1 service=registry"] == 0
+    assert values[f"{bucket} le=1.0 rank=1 service=registry"] == 1
     queued = "plankspindle_queue_duration_seconds_sum service=registry"
-    assert found[queued] == pytest.approx(0.3)
+    assert values[queued] == pytest.approx(0.3)
     of_attempt = "service=registry verdict=failed"
-    assert found[f"plankspindle_attempt_duration_seconds_count {of_attempt}"] == 1
+    assert values[f"plankspindle_attempt_duration_seconds_count {of_attempt}"] == 1
     retried = "because=upstream-lost decision=taken service=registry"
-    assert found[f"plankspindle_retries_total {retried}"] == 1
-    assert found["plankspindle_platform_available"] == 1
-    assert found["plankspindle_configuration_version"] == 7
+    assert values[f"plankspindle_retries_total {retried}"] == 1
+    assert values["plankspindle_platform_available"] == 1
+    assert values["plankspindle_configuration_version"] == 7
 
 
-def test_requests_that_are_held_back_are_counted(measures: MetricSources) -> None:
-    quarantine = measures.node.quarantine
-    for life in "abc":
-        quarantine.record_crash(7, life, at=1.0, now=1.0)
+def test_requests_refused_by_quarantine_are_counted(sources: MetricSources) -> None:
+    quarantine = sources.node.quarantine
+    for incarnation in "abc":
+        quarantine.record_crash(7, incarnation, at=1.0, now=1.0)
     quarantine.tick(2.0)
     assert quarantine.blocking_entry(7, 3.0) is not None
-    reader = MetricsReader(sources=measures)
-    found = samples(reader.render().decode())
+    reader = MetricsReader(sources=sources)
+    values = samples(reader.render().decode())
     reader.close()
-    assert found["plankspindle_upstream_crashes_reported_total"] == 3
-    assert found["plankspindle_requests_held_back_total"] == 1
-    assert found["plankspindle_quarantined_requests"] == 1
+    assert values["plankspindle_upstream_crashes_reported_total"] == 3
+    assert values["plankspindle_requests_held_back_total"] == 1
+    assert values["plankspindle_quarantined_requests"] == 1
 
 
-def test_metrics_and_state_dump_agree(measures: MetricSources) -> None:
-    reader = MetricsReader(sources=measures)
-    found = samples(reader.render().decode())
+def test_metrics_and_state_dump_agree(sources: MetricSources) -> None:
+    reader = MetricsReader(sources=sources)
+    values = samples(reader.render().decode())
     reader.close()
-    dumped = dump_metrics(measures)["measures"]
-    assert found["plankspindle_lookups_total"] == dumped["lookups"]
+    dumped = dump_metrics(sources)["measures"]
+    assert values["plankspindle_lookups_total"] == dumped["lookups"]
     for each in dumped["requests"]:
         labels = (
             f"ending={each['ending']} rank={each['rank']} service={each['service']}"
         )
         name = f"plankspindle_request_duration_seconds_{{}} {labels}"
-        assert found[name.format("count")] == each["count"]
-        assert found[name.format("sum")] == pytest.approx(each["seconds"])
+        assert values[name.format("count")] == each["count"]
+        assert values[name.format("sum")] == pytest.approx(each["seconds"])
     for each in dumped["attempts"]:
         labels = f"service={each['service']} verdict={each['verdict']}"
         name = f"plankspindle_attempt_duration_seconds_count {labels}"
-        assert found[name] == each["count"]
+        assert values[name] == each["count"]
     for each in dumped["retries"]:
         labels = f"because={each['because']} decision={each['decision']}"
         name = f"plankspindle_retries_total {labels} service={each['service']}"
-        assert found[name] == each["count"]
+        assert values[name] == each["count"]
     for service, count in dumped["ejections"].items():
-        assert found[f"plankspindle_ejections_total service={service}"] == count
-    dropped = found["plankspindle_log_lines_dropped_total"]
+        assert values[f"plankspindle_ejections_total service={service}"] == count
+    dropped = values["plankspindle_log_lines_dropped_total"]
     assert dropped == dumped["log_lines_dropped"]
 
 
 @settings(derandomize=True)
 @given(st.lists(st.floats(0.0, 20.0), max_size=50))
-def test_buckets_count_what_lies_up_to_their_bound(values: list[float]) -> None:
+def test_buckets_count_values_up_to_their_bound(values: list[float]) -> None:
     histogram = Histogram(bounds=(0.1, 1.0, 10.0))
     for value in values:
         histogram.record(value)
