--- a/packages/daemon/src/plankspindle_daemon/daemon.py
+++ b/packages/daemon/src/plankspindle_daemon/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: sockets, clocks and tasks around the decisions of a node."""
+"""The daemon: sockets, clocks and tasks around the decision logic of a node."""
 
 from __future__ import annotations
 
@@ -61,8 +61,9 @@
     from plankspindle_daemon.settings.settings_file import SettingsFile
 
 STALE_CONNECTION_CHECK_PERIOD_S = 5.0
+"""Period of closing pooled connections that are stale, in seconds."""
 SETTINGS_CHECK_PERIOD_S = 5.0
-"""Period of looking whether the settings file has changed."""
+"""Period of checking whether the settings file has changed, in seconds."""
 
 
 class Daemon:
@@ -75,11 +76,11 @@
     random : Random
         Source of all its random choices.
     ports : PlatformPorts, optional
-        The ways to the platform; the product's own interface if not given.
+        Interfaces to the platform; the product's own interface if not given.
     log : KeyValueDestination, optional
-        Where events go, to be flushed now and then.
+        Destination of the log, flushed at every tick.
     file : SettingsFile, optional
-        Where the settings come from, to be read again.
+        File of the settings, read again when it has changed.
     """
 
     def __init__(
@@ -130,7 +131,7 @@
         self._ticker = self._make_ticker()
 
     def _make_outbound_links(self, random: Random) -> None:
-        """Make the ways to other entry VMs and to upstreams."""
+        """Create what sends to other entry VMs and to upstreams."""
         settings = self.settings
         self._sealer = FrameSealer(keys=_peer_keys(settings))
         self._peers = PeerLink(
@@ -166,7 +167,7 @@
         )
 
     def _make_followers(self) -> None:
-        """Make what follows the platform."""
+        """Create what reads the platform periodically."""
         timing = self.settings.timing
         self._configuration_follower = ConfigurationFollower(
             node=self.node,
@@ -311,14 +312,14 @@
         log_event("stopped", uptime_s=round(monotonic() - self.node.started_at, 1))
 
     def leave(self, reason: str) -> None:
-        """Begin the planned stop."""
+        """Begin the planned stop; the reason is logged."""
         if not self.node.leave.is_leaving:
             log_event("leaving", reason=reason, running=self._caller_listener.running)
         self.node.leave.begin(monotonic())
         self._caller_listener.disable_keep_alive()
 
     def reload(self) -> None:
-        """Read the settings file again, and take what a running process can take."""
+        """Read the settings file again, and apply what a running process can change."""
         if self._settings_file is None:
             return
         read = self._settings_file.read()
@@ -351,7 +352,7 @@
         membership.options = evolve(membership.options, seeds=tuple(new.peers))
 
     async def _follow_settings(self) -> None:
-        """Read the settings file again when it has changed without a signal."""
+        """Reload the settings file whenever it has changed, also without a signal."""
         while True:
             await sleep(SETTINGS_CHECK_PERIOD_S)
             if self._settings_file is not None and self._settings_file.has_changed():
@@ -369,9 +370,9 @@
             await group.spawn(self._follow_settings)
         _ = group.result
 
-    async def _send_messages(self, news: list[SendToPeer]) -> None:
-        """Send news to other entry VMs."""
-        await self._effects.perform([*news])
+    async def _send_messages(self, messages: list[SendToPeer]) -> None:
+        """Send messages to other entry VMs."""
+        await self._effects.perform([*messages])
 
     async def _discard_stale_connections(self) -> None:
         while True:
--- a/packages/daemon/src/plankspindle_daemon/daemon_process.py
+++ b/packages/daemon/src/plankspindle_daemon/daemon_process.py
@@ -1,4 +1,4 @@
-"""One daemon as a process: its signals and its exit status."""
+"""A daemon as a process: signals and exit status."""
 
 from __future__ import annotations
 
@@ -34,18 +34,18 @@
     log: KeyValueDestination | None = None,
     file: SettingsFile | None = None,
 ) -> int:
-    """Run a daemon until it has left.
+    """Run a daemon until its planned stop is complete.
 
     Parameters
     ----------
     settings : DaemonSettings
         Its settings.
     ports : PlatformPorts, optional
-        The ways to the platform; the product's own interface if not given.
+        Interfaces to the platform; the product's own interface if not given.
     log : KeyValueDestination, optional
-        Where events go, to be flushed now and then.
+        Destination of the log, flushed at every tick.
     file : SettingsFile, optional
-        Where the settings come from, to be read again on SIGHUP and when it changes.
+        File of the settings, read again on SIGHUP and when it has changed.
 
     Returns
     -------
@@ -77,7 +77,7 @@
 
 
 async def _handle_signals(daemon: Daemon) -> None:
-    """Wait for signals on a socket that the interpreter writes their numbers to."""
+    """Handle signals, whose numbers the interpreter writes to a socket."""
     reader, writer = stdlib_socket.socketpair()
     reader.setblocking(False)
     writer.setblocking(False)
--- a/packages/daemon/src/plankspindle_daemon/platform_ports.py
+++ b/packages/daemon/src/plankspindle_daemon/platform_ports.py
@@ -1,4 +1,4 @@
-"""What a daemon needs of the platform that it runs on."""
+"""Interfaces of a daemon to the platform that it runs on."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 class ExtraListener(Protocol):
-    """A further listener."""
+    """A listener beside those for callers, operators and peers."""
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen."""
 
     async def close(self) -> None:
         """Stop listening."""
@@ -33,7 +33,7 @@
 
 @frozen(kw_only=True)
 class PlatformPorts:
-    """The ways to the platform, and what differs with it.
+    """Interfaces to the platform, and options that depend on it.
 
     Parameters
     ----------
@@ -42,15 +42,15 @@
     reader : ReaderPort
         Reader of the configuration.
     presence : PresencePort, optional
-        What enters this VM in the list, where the platform does not do so itself.
+        Registers this VM in the list, if the platform does not do so itself.
     dialect : Dialect
-        Names of headers towards callers and upstreams.
+        Names of headers in messages with callers and upstreams.
     listener_factories : tuple of callable
-        Makers of further listeners.
+        Factories of additional listeners.
     lists_upstreams : bool
         Whether upstreams are declared by the list of VMs.
     all_vms_read_configuration : bool
-        Whether every entry VM reads the configuration, not only a few.
+        Whether every entry VM reads the configuration itself, not only a few of them.
     heartbeats_across_domains : bool
         Whether entry VMs of all failure domains send heartbeats to one another.
     """
@@ -66,7 +66,7 @@
 
 
 def default_ports(settings: DaemonSettings) -> PlatformPorts:
-    """Make the ports to a platform that speaks the product's own interface."""
+    """Return the ports to a platform with the product's own interface."""
     platform = PlatformClient(
         endpoint=settings.platform,
         timeout_s=settings.timing.platform_timeout_ms / 1000,
--- a/packages/daemon/src/plankspindle_daemon/ticker.py
+++ b/packages/daemon/src/plankspindle_daemon/ticker.py
@@ -1,4 +1,4 @@
-"""The regular work of a daemon: what is due, what is believed, when it stood still."""
+"""The periodic work of a daemon: due actions, status changes, detection of pauses."""
 
 from __future__ import annotations
 
@@ -25,45 +25,45 @@
 from plankspindle_daemon.status_changes.status_monitor import StatusMonitor
 
 TICK_PERIOD_S = 0.05
-"""Period of looking at what waits, while requests wait, in seconds."""
+"""Period of ticks while requests are queued, in seconds."""
 IDLE_TICK_PERIOD_S = 0.125
-"""The same while none waits; a request that begins to wait ends it.
+"""Period of ticks while no request is queued, in seconds; a queued request ends it.
 
-Each look wakes the process: twelve wake-ups a second fewer.
+A tick wakes the process. The longer period saves twelve wake-ups a second.
 """
 MIN_STATUS_CHECK_PERIOD_S = 0.25
-"""Period of comparing beliefs with those before; changes between are not seen."""
+"""Minimum period of status checks, in seconds; changes in between are not detected."""
 STATUS_CHECKS_PER_S = 1_000
-"""Upstreams and members that are compared a second, at 2 us each 0.2 percent of a core.
+"""Upstreams and members checked a second; at 2 us each, 0.2 percent of a core.
 
-Beyond 250 of them the period is longer.
+With more than 250 of them, the period of the checks is longer.
 """
 
 
 @define(kw_only=True)
 class Ticker:
-    """Let time pass for the decisions, and log what they believe newly.
+    """Call the node periodically, and log changes of the observed status.
 
     Parameters
     ----------
     node : Node
-        The decisions.
+        Decision logic of this VM.
     effects, dispatch : EffectRunner, DispatchRunner
-        What carries them out.
+        Carry out the effects of its decisions.
     pauses : PauseMonitor
-        What notices that the process stood still.
+        Detects that the process was paused.
     quarantine : QuarantineStore
-        What keeps requests that are held back at the platform.
+        Stores the quarantine at the platform.
     status_monitor : StatusMonitor
-        What was believed before.
+        Detects status changes.
     calls : BoundedCalls
         Calls to the platform.
     supervisor : Supervisor
-        What knows of tasks that ended by an error.
+        Reports tasks that failed.
     running : callable
-        Gives the requests that run here.
+        Returns the number of requests that run on this VM.
     log : KeyValueDestination, optional
-        Where events go, to be flushed now and then.
+        Destination of the log, flushed at every tick.
     """
 
     node: Node
@@ -79,7 +79,7 @@
     _next_status_check_at: float = 0.0
 
     async def run(self) -> None:
-        """Go on until the planned stop is complete."""
+        """Tick until the planned stop is complete."""
         while True:
             await self._wait_for_tick()
             self.supervisor.raise_if_failed()
@@ -95,25 +95,25 @@
                 return
 
     async def _wait_for_tick(self) -> None:
-        begins_to_wait = self.dispatch.request_queued
+        request_queued = self.dispatch.request_queued
         if not self.dispatch.has_waiting_requests and not self.node.leave.is_leaving:
             with suppress(TaskTimeout):
-                await within(IDLE_TICK_PERIOD_S, begins_to_wait.wait)
-            if not begins_to_wait.is_set():
+                await within(IDLE_TICK_PERIOD_S, request_queued.wait)
+            if not request_queued.is_set():
                 return
-        begins_to_wait.clear()
+        request_queued.clear()
         await sleep(TICK_PERIOD_S)
 
     def _log_status_changes(self, now: float) -> None:
-        """Log what is believed newly, and hand on the log."""
+        """Log status changes when a check is due, and flush the log."""
         if now >= self._next_status_check_at:
             self._next_status_check_at = now + self._status_check_period_s()
-            for belief in self.status_monitor.observe(self.node, self.calls, now):
-                log_event(belief.event, **belief.fields)
+            for change in self.status_monitor.observe(self.node, self.calls, now):
+                log_event(change.event, **change.fields)
         if self.log is not None:
             self.log.flush(now)
 
     def _status_check_period_s(self) -> float:
-        members = len(self.node.membership.members_by_name)
-        watched = self.node.services.upstream_count() + members
-        return max(MIN_STATUS_CHECK_PERIOD_S, watched / STATUS_CHECKS_PER_S)
+        member_count = len(self.node.membership.members_by_name)
+        observed_count = self.node.services.upstream_count() + member_count
+        return max(MIN_STATUS_CHECK_PERIOD_S, observed_count / STATUS_CHECKS_PER_S)
--- a/packages/daemon/tests/test_blocked_log_reader.py
+++ b/packages/daemon/tests/test_blocked_log_reader.py
@@ -1,4 +1,4 @@
-"""A real daemon whose log nobody reads."""
+"""A daemon process whose log output is not read."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 )
 
 
-def test_a_log_that_nobody_reads_holds_no_request_up(tmp_path: Path) -> None:
+def test_unread_log_does_not_block_requests(tmp_path: Path) -> None:
     processes = Processes(folder=tmp_path)
     try:
         processes.start_platform(PLATFORM, [PLACE])
@@ -33,7 +33,7 @@
         apply_configuration(PLACE, build_configuration(upstreams_by_name={}))
 
         def dropped() -> int:
-            # Its answer comes only if the loop of the daemon goes on turning.
+            # An answer shows that the event loop of the daemon isn't blocked.
             for _ in range(100):
                 assert (
                     call(PLACE.caller, target="/v1/services/registry/x").status == 503
--- a/packages/daemon/tests/test_callers_page_examples.py
+++ b/packages/daemon/tests/test_callers_page_examples.py
@@ -1,4 +1,4 @@
-"""The curl examples of docs/callers.md work as they stand."""
+"""Tests that the curl examples of docs/callers.md work unchanged."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 @define(kw_only=True)
 class Curl:
-    """One curl command of the page, carried out without curl."""
+    """One curl command of the page, sent without curl."""
 
     method: str = "GET"
     target: str = ""
@@ -65,7 +65,7 @@
                     command.target = url.removeprefix(EXAMPLE_HOST)
         return command
 
-    def run(self) -> HttpAnswer:
+    def send(self) -> HttpAnswer:
         return call(
             PLACE.caller, self.method, self.target, headers=self.headers, body=self.body
         )
@@ -80,7 +80,7 @@
     wait_for_operator_listener(PLACE)
     upstreams = {"u": build_upstream(endpoint=UPSTREAM, slots=4)}
     apply_configuration(PLACE, build_configuration(upstreams_by_name=upstreams))
-    wait_until(lambda: share() == 4, what="shares")
+    wait_until(lambda: share() == 4, what="a share of every slot")
 
 
 def share() -> int:
@@ -88,7 +88,7 @@
     return int(service["upstreams"].get("u", {"share": 0})["share"])
 
 
-def test_every_example_is_answered(tmp_path: Path) -> None:
+def test_every_example_of_page_succeeds(tmp_path: Path) -> None:
     text = PAGE.read_text(encoding="utf-8").replace("\\\n", " ")
     lines = re.findall(r"^    (curl .*)$", text, flags=re.MULTILINE)
     assert len(lines) == 4
@@ -97,7 +97,7 @@
         start(processes)
         request_id = ""
         for line in lines:
-            answer = Curl.parse(line, key=GOLD_KEY, request_id=request_id).run()
+            answer = Curl.parse(line, key=GOLD_KEY, request_id=request_id).send()
             assert answer.status in (200, 201), line
             if answer.status == 201:
                 request_id = json.loads(answer.body)["request_ids"][0]
--- a/packages/daemon/tests/test_daemon.py
+++ b/packages/daemon/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""Ends of the daemon: broken invariant, unexpected error, address in use."""
+"""Tests of fatal errors: violated invariant, unexpected error, address in use."""
 
 from __future__ import annotations
 
@@ -36,11 +36,11 @@
     from plankspindle_core.http.server_exchange import ServerExchange
     from plankspindle_daemon.settings.daemon_settings import DaemonSettings
 
-    Play = Callable[[str], tuple["RequestOutcome", str]]
+    SendFailing = Callable[[str], tuple["RequestOutcome", str]]
 
 _PORTS = count(18_600, 3)
 BODY_BYTES = 400_000
-"""Length of an answer that is still on its way when its sender has handed it over."""
+"""Long enough that the answer is still being sent when the handler returns."""
 
 
 def build_settings() -> DaemonSettings:
@@ -55,7 +55,7 @@
 
 
 def run_logged(run: Callable[..., Any], *arguments: object) -> tuple[Any, str]:
-    """Run something, and give its result and what was logged."""
+    """Run a coroutine, and return its result and the log."""
     stream = io.StringIO()
     destination = start_logging(stream=stream)
     try:
@@ -69,7 +69,7 @@
     return run_logged(run_daemon, settings)
 
 
-def test_a_broken_invariant_stops_the_process_with_one_clear_line(
+def test_violated_invariant_in_tick_stops_process_with_one_log_line(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def tick(self: Node, *, now: float, wall: float) -> list[object]:
@@ -84,7 +84,7 @@
     assert 'error="invariant made-up is broken: for a test"' in lines[0]
 
 
-def test_an_unexpected_error_of_a_lasting_task_stops_the_process(
+def test_unexpected_error_in_permanent_task_stops_process(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def follow(self: ListFollower) -> None:
@@ -99,38 +99,40 @@
 
 @frozen(kw_only=True)
 class RequestOutcome:
-    """How a request that breaks ended beside another one.
+    """Outcome of a failing request that ran beside another one.
 
     Parameters
     ----------
     exit_status : int
-        That of the daemon; zero while it runs.
+        Exit status of the daemon; zero while it runs.
     statuses : list of int or None
-        Status of the broken request and that of the other.
-    runs_on : bool
-        Whether the daemon still runs then.
+        HTTP status of the failing request and of the other one.
+    still_runs : bool
+        Whether the daemon still runs afterwards.
     """
 
     exit_status: int
     statuses: list[int | None]
-    runs_on: bool
+    still_runs: bool
 
 
-async def ask_beside_a_running_one(
-    settings: DaemonSettings, broken: str
+async def send_beside_running_request(
+    settings: DaemonSettings, failing: str
 ) -> RequestOutcome:
-    """Send a request that breaks while another one runs."""
+    """Send a failing request while another one runs."""
     daemon = await curio.spawn(run_daemon, settings)
     while (await fetch(settings.listen.caller, timeout_s=1.0)).is_err():
         await curio.sleep(0.02)
     running = await curio.spawn(status_of, settings, "/slow")
     await curio.sleep(0.1)
-    statuses = [await status_of(settings, broken), await running.join()]
+    statuses = [await status_of(settings, failing), await running.join()]
     await curio.sleep(0.2)
-    runs_on = not daemon.terminated
+    still_runs = not daemon.terminated
     await daemon.cancel()
     return RequestOutcome(
-        exit_status=0 if runs_on else daemon.result, statuses=statuses, runs_on=runs_on
+        exit_status=0 if still_runs else daemon.result,
+        statuses=statuses,
+        still_runs=still_runs,
     )
 
 
@@ -139,7 +141,7 @@
     return answer.unwrap().status if answer.is_ok() else None
 
 
-async def handle_or_break(self: CallerListener, source: ServerExchange) -> None:
+async def handle_or_fail(self: CallerListener, source: ServerExchange) -> None:
     await source.read_body(max_bytes=0)
     if source.target == "/unexpected":
         raise ZeroDivisionError
@@ -154,34 +156,38 @@
 
 
 @pytest.fixture
-def play(monkeypatch: pytest.MonkeyPatch) -> Play:
-    monkeypatch.setattr(CallerListener, "handle", handle_or_break)
-    return partial(run_logged, ask_beside_a_running_one, build_settings())
+def send_failing(monkeypatch: pytest.MonkeyPatch) -> SendFailing:
+    monkeypatch.setattr(CallerListener, "handle", handle_or_fail)
+    return partial(run_logged, send_beside_running_request, build_settings())
 
 
-def test_an_unexpected_error_of_a_request_ends_only_that_request(play: Play) -> None:
-    played, log = play("/unexpected")
-    assert played.statuses == [500, 200]
-    assert played.runs_on
+def test_unexpected_error_in_request_fails_only_that_request(
+    send_failing: SendFailing,
+) -> None:
+    outcome, log = send_failing("/unexpected")
+    assert outcome.statuses == [500, 200]
+    assert outcome.still_runs
     assert 'error="ZeroDivisionError()"' in log
-    assert "handle_or_break" in log
+    assert "handle_or_fail" in log
 
 
-def test_an_unexpected_error_after_an_answer_leaves_it_whole(play: Play) -> None:
-    played, log = play("/after-answer")
-    assert played.statuses == [200, 200]
-    assert played.runs_on
+def test_unexpected_error_after_answer_does_not_truncate_it(
+    send_failing: SendFailing,
+) -> None:
+    outcome, log = send_failing("/after-answer")
+    assert outcome.statuses == [200, 200]
+    assert outcome.still_runs
     assert "event=error_contained" in log
 
 
-def test_a_broken_invariant_of_a_request_stops_the_process(play: Play) -> None:
-    played, log = play("/invariant")
-    assert not played.runs_on
-    assert played.exit_status == EXIT_BROKEN_INVARIANT
+def test_violated_invariant_in_request_stops_process(send_failing: SendFailing) -> None:
+    outcome, log = send_failing("/invariant")
+    assert not outcome.still_runs
+    assert outcome.exit_status == EXIT_BROKEN_INVARIANT
     assert "event=invariant_broken" in log
 
 
-def test_an_address_in_use_is_said_and_ends_the_process() -> None:
+def test_address_in_use_is_logged_and_stops_process() -> None:
     settings = build_settings()
     with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as taken:
         taken.bind((settings.listen.operator.host, settings.listen.operator.port))
--- a/packages/daemon/tests/test_key_secrecy.py
+++ b/packages/daemon/tests/test_key_secrecy.py
@@ -1,4 +1,4 @@
-"""An API key leaves a process neither to upstreams nor in what it writes or shows."""
+"""Tests that API keys reach neither upstreams, nor files, nor operator answers."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class RecordingUpstream(socketserver.ThreadingTCPServer):
-    """Answer every request, and keep the bytes that came."""
+    """Answers every request, and records the received bytes."""
 
     allow_reuse_address = True
     daemon_threads = True
@@ -117,7 +117,7 @@
     return call(PLACE.caller, target=target, headers=headers).status
 
 
-def test_no_key_leaves_the_process(
+def test_api_keys_do_not_leave_process(
     processes: Processes, upstream: RecordingUpstream
 ) -> None:
     forged = (header_names.WORKSPACE, b"forged")
@@ -130,8 +130,8 @@
     assert ask("/r/1", None) == 401
     assert ask("/r/1", LIMITED) in (429, 503)
     sent = [each for each in upstream.received if not each.startswith(b"GET /load ")]
-    told = [each for each in sent if b"plankspindle-workspace: huka270" in each]
-    assert told
+    named = [each for each in sent if b"plankspindle-workspace: huka270" in each]
+    assert named
     assert b"forged" not in b"".join(sent)
     assert b"authorization" not in b"".join(sent).lower()
     log_path = processes.folder.rglob("*")
--- a/packages/daemon/tests/test_malformed_requests.py
+++ b/packages/daemon/tests/test_malformed_requests.py
@@ -1,4 +1,4 @@
-"""What callers may write into the head of a request ends nothing but that request."""
+"""Tests that a malformed request head fails that request and nothing else."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @define
 class FakeSource:
-    """A request without a body, and the status it is answered with."""
+    """A request without a body that records the status of its answer."""
 
     target: str
     method: str = "GET"
@@ -53,16 +53,16 @@
 
 
 @pytest.mark.parametrize("target", ["//[", "http://[x/", "//]/?a=[", "//\x85", "?", ""])
-def test_a_target_that_is_no_address_is_answered(target: str) -> None:
+def test_malformed_target_is_answered(target: str) -> None:
     assert status_of("GET", target) == 503
 
 
 @pytest.mark.parametrize("count", ["%C2%B2", "9" * 5_000, "-1", "1.5", "0", "101"])
-def test_a_count_that_is_none_is_refused(count: str) -> None:
+def test_invalid_count_is_refused(count: str) -> None:
     assert status_of("POST", f"/v1/request-ids?count={count}") == 400
 
 
-def test_a_caller_cannot_have_the_host_or_the_framing_dropped() -> None:
+def test_connection_header_cannot_remove_host_or_content_length() -> None:
     headers = [
         (b"host", b"desk.example"),
         (b"content-length", b"3"),
@@ -79,7 +79,7 @@
     "headers",
     [[], [(b"host", b"a"), (b"x", b"\x00")], [(b"host", b"a"), (b"host", b"b")]],
 )
-def test_a_head_that_may_not_be_sent_is_an_error_value(headers: HeaderList) -> None:
+def test_sending_invalid_headers_returns_an_error(headers: HeaderList) -> None:
     async def send() -> bool:
         connection = ClientConnection(endpoint=Endpoint("127.0.0.1", 9))
         sent = await connection.send_request(method="GET", target="/", headers=headers)
@@ -88,7 +88,7 @@
     assert curio.run(send)
 
 
-def test_a_process_without_descriptors_left_is_told_so(
+def test_connecting_without_free_file_descriptors_returns_an_error(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def refuse(*_: object) -> None:
--- a/packages/daemon/tests/test_package_dependencies.py
+++ b/packages/daemon/tests/test_package_dependencies.py
@@ -1,4 +1,4 @@
-"""Slices import one another in one direction only."""
+"""Tests that the packages of the daemon have no circular imports."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 ROOT = Path(plankspindle_daemon.__file__).parent
 
 
-def imported_slices(source: str) -> set[str]:
-    """Name the slices that a module imports, for its types or its work."""
+def imported_packages(source: str) -> set[str]:
+    """Return the packages that a module imports, also those only for type checks."""
     found = set()
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.ImportFrom) and node.module is not None:
@@ -26,23 +26,23 @@
     return found
 
 
-def graph() -> dict[str, set[str]]:
-    arrows: dict[str, set[str]] = {}
+def dependency_graph() -> dict[str, set[str]]:
+    dependencies: dict[str, set[str]] = {}
     for path in ROOT.rglob("*.py"):
         name = path.relative_to(ROOT).parts[0].removesuffix(".py")
-        found = imported_slices(path.read_text(encoding="utf-8"))
-        arrows.setdefault(name, set()).update(found - {name})
-    return arrows
+        found = imported_packages(path.read_text(encoding="utf-8"))
+        dependencies.setdefault(name, set()).update(found - {name})
+    return dependencies
 
 
-def test_no_slice_imports_one_that_imports_it() -> None:
-    arrows = graph()
-    assert len(arrows) > 20
-    TopologicalSorter(arrows).prepare()
+def test_packages_have_no_circular_imports() -> None:
+    dependencies = dependency_graph()
+    assert len(dependencies) > 20
+    TopologicalSorter(dependencies).prepare()
 
 
-def test_a_circle_would_be_found() -> None:
-    arrows = graph()
-    arrows["traces"] = arrows["traces"] | {"node"}
+def test_circular_import_is_detected() -> None:
+    dependencies = dependency_graph()
+    dependencies["traces"] = dependencies["traces"] | {"node"}
     with pytest.raises(CycleError):
-        TopologicalSorter(arrows).prepare()
+        TopologicalSorter(dependencies).prepare()
--- a/packages/daemon/tests/test_process_stopped_within_tick.py
+++ b/packages/daemon/tests/test_process_stopped_within_tick.py
@@ -1,11 +1,10 @@
-"""A real process that stands still in the middle of a tick.
+"""A daemon process that is stopped in the middle of a tick.
 
-Seen: once in a run of all tests beside other load, a process that had been stopped for
-1.5 s sent its first request to an upstream that had begun to leave meanwhile.
-
-Cause: a pause was looked for between two ticks. A process that is stopped within one
-goes on with the time of before, and ticks next only after requests that came since.
-What proved it: stopped within a tick, it does so each time.
+Guards against a request that is sent to an upstream that began to leave while the
+process was stopped for 1.5 s. If pauses are detected only between two ticks, a process
+stopped within a tick continues with the old time, and handles the requests that
+arrived meanwhile before its next tick. Stopping it within a tick reproduces that fault
+each time.
 """
 
 from __future__ import annotations
@@ -46,7 +45,7 @@
 GOLD = (header_names.AUTHORIZATION, b"Bearer " + GOLD_KEY.encode())
 STOPPED_S = 1.5
 REQUESTS = 5
-STOPS_IN_A_TICK = """
+STOP_WITHIN_TICK = """
 import os, signal
 from plankspindle_daemon.node.node import Node
 tick, flag = Node.tick, {flag!r}
@@ -70,7 +69,7 @@
         started.start_daemon(
             PLACE,
             platform=PLATFORM,
-            prelude=STOPS_IN_A_TICK.format(flag=str(tmp_path / "stop")),
+            prelude=STOP_WITHIN_TICK.format(flag=str(tmp_path / "stop")),
             timing={"live_list_ms": 200, "configuration_ms": 100, "probe_ms": 200},
         )
         wait_for_operator_listener(PLACE)
@@ -91,18 +90,18 @@
     return "State:\tT" in Path(f"/proc/{pid}/status").read_text()
 
 
-def test_the_first_request_after_it_is_decided_on_what_is_known_anew(
+def test_first_request_after_stop_uses_state_read_anew(
     processes: Processes, tmp_path: Path
 ) -> None:
     (tmp_path / "stop").touch()
     pid = processes.process_by_name[PLACE.name].pid
-    wait_until(lambda: is_stopped(pid), what="it stands still")
+    wait_until(lambda: is_stopped(pid), what="the process is stopped")
     time.sleep(STOPPED_S)
     leaving = json.dumps({"leaving": True}).encode()
     call(UPSTREAMS["u1"].endpoint, "POST", "/control", body=leaving)
     processes.send_signal(PLACE.name, signal.SIGCONT)
     found = [served_by(number) for number in range(REQUESTS)]
-    # Shares are taken anew after a while; until then a request may be told not-run.
+    # Until slot shares are acquired again, a request may be answered "not-run".
     assert found[-1] == b"ba-1-a/u2"
     assert b"ba-1-a/u1" not in found
     assert "event=paused" in processes.read_log(PLACE.name)
--- a/packages/daemon/tests/test_real_processes.py
+++ b/packages/daemon/tests/test_real_processes.py
@@ -1,4 +1,4 @@
-"""Real daemons on loopback: kills, pauses, planned stops, outages, garbage."""
+"""Daemon processes on loopback: kills, pauses, planned stops, outages, garbage."""
 
 from __future__ import annotations
 
@@ -154,7 +154,7 @@
     return issued
 
 
-def test_keys_run_once_are_replayed_and_bound_to_caller_and_body(
+def test_idempotency_key_runs_once_is_replayed_and_bound_to_caller_and_body(
     processes: Processes,
 ) -> None:
     first = transfer(FIRST, key="k1")
@@ -173,7 +173,7 @@
     assert total_runs() == 1
 
 
-def test_a_lost_answer_of_the_store_is_settled_by_reading_back(
+def test_claim_write_with_lost_answer_is_settled_by_reading_back(
     processes: Processes,
 ) -> None:
     control_platform(faults={"lose_answers": 1})
@@ -182,7 +182,7 @@
     assert total_runs() == 1
 
 
-def test_with_the_platform_down_keys_are_not_run_and_the_rest_goes_on(
+def test_platform_outage_stops_only_requests_with_idempotency_key(
     processes: Processes,
 ) -> None:
     request_id = issue_id(FIRST)
@@ -198,7 +198,7 @@
     assert total_runs() == 1
 
 
-def test_a_key_not_claimed_while_the_platform_was_slow_can_run_later(
+def test_key_not_claimed_on_slow_platform_can_run_later(
     processes: Processes,
 ) -> None:
     control_platform(faults={"delay_ms": 4_000})
@@ -208,13 +208,13 @@
     control_platform(faults={})
     wait_until(
         lambda: outcome_of(transfer(FIRST, key="k1")) == "done",
-        what="the claim of the attempt that was given up is released",
+        what="the claim of the abandoned attempt is released",
         timeout_s=30.0,
     )
     assert total_runs() == 1
 
 
-def test_a_daemon_started_without_the_platform_learns_from_its_peers(
+def test_daemon_started_during_platform_outage_gets_configuration_from_peers(
     processes: Processes,
 ) -> None:
     processes.send_signal(FIRST.name, signal.SIGKILL)
@@ -228,7 +228,7 @@
     assert answer.status == 200
 
 
-def test_an_id_of_a_killed_process_is_unknown_and_never_runs(
+def test_request_id_of_killed_process_is_unknown_and_never_runs(
     processes: Processes,
 ) -> None:
     request_id = issue_id(FIRST)
@@ -244,7 +244,7 @@
     assert total_runs() == 0
 
 
-def test_a_transfer_whose_answer_is_lost_is_unknown_and_not_repeated(
+def test_transfer_with_lost_answer_is_unknown_and_not_repeated(
     processes: Processes,
 ) -> None:
     for name in UPSTREAMS:
@@ -255,7 +255,9 @@
     assert total_runs() == 1
 
 
-def test_lookups_survive_an_upstream_that_breaks(processes: Processes) -> None:
+def test_idempotent_requests_succeed_despite_failing_upstream(
+    processes: Processes,
+) -> None:
     control_upstream("u1", mode="close-after-run")
     for number in range(10):
         target = f"{SERVICES}/plates/{number}"
@@ -263,14 +265,14 @@
         assert (answer.status, outcome_of(answer)) == (200, "done")
 
 
-def test_a_long_truncated_answer_resets_the_caller(processes: Processes) -> None:
+def test_long_truncated_answer_resets_caller_connection(processes: Processes) -> None:
     for name in UPSTREAMS:
         control_upstream(name, mode="truncate")
     with pytest.raises(ConnectionError):
         call(FIRST.caller, target=SERVICES + "/bytes/100000", headers=[GOLD])
 
 
-def test_a_short_truncated_answer_is_never_given(processes: Processes) -> None:
+def test_short_truncated_answer_is_never_sent_to_caller(processes: Processes) -> None:
     for name in UPSTREAMS:
         control_upstream(name, mode="truncate")
     answer = call(FIRST.caller, target=SERVICES + "/plates/1", headers=[GOLD])
@@ -280,7 +282,7 @@
     assert total_runs() == 1
 
 
-def test_a_short_truncated_answer_is_replaced_by_that_of_another_upstream(
+def test_short_truncated_answer_is_retried_at_another_upstream(
     processes: Processes,
 ) -> None:
     control_upstream("u1", mode="truncate")
@@ -290,7 +292,7 @@
         assert (answer.status, outcome_of(answer)) == (200, "done")
 
 
-def test_stray_bytes_of_one_answer_never_reach_another_caller(
+def test_extra_bytes_after_answer_never_reach_another_caller(
     processes: Processes,
 ) -> None:
     for name in UPSTREAMS:
@@ -302,7 +304,7 @@
         assert answer == {"path": f"/plates/{number}", "body_bytes": 0}
 
 
-def test_a_caller_that_goes_cancels_its_upstream(processes: Processes) -> None:
+def test_disconnect_of_caller_cancels_upstream_request(processes: Processes) -> None:
     for name in UPSTREAMS:
         control_upstream(name, service_ms=5_000)
     with socket.create_connection((FIRST.host, FIRST.base_port)) as caller:
@@ -318,7 +320,7 @@
     assert not any(each["in_flight"] for each in upstreams_at(FIRST).values())
 
 
-def test_a_download_is_resumed_by_range(processes: Processes) -> None:
+def test_download_is_resumed_by_range_request(processes: Processes) -> None:
     answer = call(
         FIRST.caller,
         target=f"{SERVICES}/bytes/100000",
@@ -329,7 +331,7 @@
     assert find_header(answer.headers, b"content-range") == b"bytes 99000-99999/100000"
 
 
-def test_a_long_upload_is_passed_on_as_it_arrives(processes: Processes) -> None:
+def test_long_upload_is_streamed_to_upstream(processes: Processes) -> None:
     answer = call(
         FIRST.caller,
         "POST",
@@ -349,7 +351,7 @@
     assert (refused.status, outcome_of(refused)) == (413, "not-run")
 
 
-def test_a_request_ends_at_the_deadline_of_its_caller(
+def test_request_is_ended_at_caller_deadline(
     processes: Processes,
 ) -> None:
     for name in UPSTREAMS:
@@ -363,7 +365,7 @@
     )
 
 
-def test_a_planned_stop_finishes_a_running_download(processes: Processes) -> None:
+def test_planned_stop_completes_running_download(processes: Processes) -> None:
     size = 30_000_000
     with socket.create_connection((FIRST.host, FIRST.base_port)) as slow:
         head = f"GET {SERVICES}/bytes/{size} HTTP/1.1\r\nhost: a\r\n\r\n"
@@ -371,7 +373,8 @@
         received = len(slow.recv(1000))
         processes.send_signal(FIRST.name, signal.SIGTERM)
         wait_until(
-            lambda: read_state(FIRST)["readiness"] == "leaving", what="leaving is known"
+            lambda: read_state(FIRST)["readiness"] == "leaving",
+            what="readiness is leaving",
         )
         named = json.loads(
             call(SECOND.caller, target="/v1/lookup?service=registry").body
@@ -386,7 +389,7 @@
                     )["vms"]
                 }
             ),
-            what="not named any more",
+            what="the lookup no longer names the VM",
         )
         assert named["vms"]
         late = call(FIRST.caller, target=SERVICES + "/plates/1", headers=[GOLD])
@@ -399,7 +402,7 @@
     assert "cut_off=0" in processes.read_log(FIRST.name)
 
 
-def test_a_leaving_upstream_gets_nothing_new(processes: Processes) -> None:
+def test_leaving_upstream_gets_no_new_requests(processes: Processes) -> None:
     list_vms(u1=True)
     wait_until(lambda: bool(upstreams_at(FIRST)["u1"]["leaving"]), what="leaving")
     for number in range(10):
@@ -409,7 +412,7 @@
         assert by == b"ba-1-a/u2"
 
 
-def test_a_paused_process_takes_no_decision_on_what_it_knew(
+def test_resumed_process_does_not_use_state_from_before_pause(
     processes: Processes,
 ) -> None:
     processes.send_signal(FIRST.name, signal.SIGSTOP)
@@ -423,7 +426,7 @@
     assert "event=paused" in processes.read_log(FIRST.name)
 
 
-def test_garbage_to_every_port_is_counted_and_refused(processes: Processes) -> None:
+def test_garbage_on_every_port_is_counted_and_refused(processes: Processes) -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp:
         for garbage in (b"", b"x" * 1400, b"PS\x01" + b"\0" * 30):
             udp.sendto(garbage, (FIRST.host, FIRST.base_port + 2))
@@ -446,7 +449,7 @@
     assert total_runs() == 0
 
 
-def test_the_slots_of_an_upstream_hold_under_load_from_two_vms(
+def test_slot_limit_of_upstreams_holds_under_load_from_two_vms(
     processes: Processes,
 ) -> None:
     for name in UPSTREAMS:
--- a/packages/daemon/tests/test_reload.py
+++ b/packages/daemon/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""A real daemon whose settings file changes while it runs."""
+"""A daemon process whose settings file changes while it runs."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
     wait_until(lambda: text in processes.read_log(PLACE.name), what=text)
 
 
-def test_a_running_daemon_takes_what_it_can_on_sighup(processes: Processes) -> None:
+def test_sighup_applies_settings_that_need_no_restart(processes: Processes) -> None:
     change_settings(
         processes,
         secrets={"operator_token": "fresh"},
@@ -73,7 +73,7 @@
     assert call(PLACE.operator, target="/health").status == 401
 
 
-def test_settings_that_are_wrong_change_nothing(processes: Processes) -> None:
+def test_invalid_settings_change_nothing(processes: Processes) -> None:
     path = processes.folder / f"{PLACE.name}.yaml"
     path.write_text("vm: [", encoding="utf-8")
     processes.send_signal(PLACE.name, signal.SIGHUP)
@@ -82,7 +82,7 @@
     assert processes.process_by_name[PLACE.name].poll() is None
 
 
-def test_a_change_without_a_signal_is_noticed(processes: Processes) -> None:
+def test_changed_settings_file_is_reloaded_without_signal(processes: Processes) -> None:
     processes.send_signal(PLACE.name, signal.SIGHUP)
     wait_for_line(processes, "event=reloaded")
     change_settings(processes, secrets={"operator_token": "fresh"})
