--- a/packages/daemon/src/plankspindle_daemon/wire/codec.py
+++ b/packages/daemon/src/plankspindle_daemon/wire/codec.py
@@ -1,4 +1,4 @@
-"""Encoding of peer messages with Cap'n Proto."""
+"""Encoding and decoding of peer messages with Cap'n Proto."""
 
 from __future__ import annotations
 
@@ -53,14 +53,17 @@
     AttributeError,
     RuntimeError,
 )
-"""Errors of reading a payload; the last is of a value that only newer schemas have."""
+"""Errors of decoding a payload.
+
+``RuntimeError`` is raised for an enumerated value that only a newer schema has.
+"""
 ENCODE_ERRORS = (capnp.KjException, ValueError, OverflowError)
 """Errors of :func:`encode` for a field that the schema has no room for."""
 
 
 @frozen(kw_only=True)
 class _Conversion:
-    """How a field that is no number or text is written and read."""
+    """Conversion of a field that is neither a number nor a text."""
 
     write: Callable[[Any], Any]
     read: Callable[[Any], Any]
@@ -125,7 +128,7 @@
     Quarantined,
     Clearance,
 )
-"""Classes of which messages hold lists."""
+"""Element classes of the lists in messages."""
 _UNION_MEMBER_BY_CLASS = {cls: name for name, cls in _CLASS_BY_UNION_MEMBER.items()}
 
 
@@ -141,7 +144,7 @@
 
 
 def encode(message: PeerMessage) -> bytes:
-    """Encode a message in packed form.
+    """Encode a message in the packed form of Cap'n Proto.
 
     Parameters
     ----------
@@ -156,7 +159,7 @@
     Raises
     ------
     KjException, ValueError, OverflowError
-        If a field has no room in the schema, or is no text.
+        If a value is out of range for its schema field, or has the wrong type.
     """
     member = _UNION_MEMBER_BY_CLASS[type(message)]
     content = {_SENDER: message.sender, member: _to_mapping(message)}
--- a/packages/daemon/src/plankspindle_daemon/wire/frame.py
+++ b/packages/daemon/src/plankspindle_daemon/wire/frame.py
@@ -1,7 +1,8 @@
 """Authenticated frames around the messages between entry VMs.
 
-A frame is magic (2 bytes), format (1 byte), number of the key (1 byte, the first byte
-of its SHA-256), MAC (16 bytes, truncated HMAC-SHA256 over all other bytes), payload.
+Layout of a frame: magic (2 bytes), format version (1 byte), key id (1 byte, the first
+byte of the key's SHA-256), MAC (16 bytes, truncated HMAC-SHA256 over all other bytes),
+payload.
 """
 
 from __future__ import annotations
@@ -20,46 +21,47 @@
 MAC_BYTES = 16
 HEAD_BYTES = len(MAGIC) + 2 + MAC_BYTES
 MAX_FRAME_BYTES = 1_400
-"""Longest frame, so that it fits one Ethernet packet."""
+"""Longest frame in bytes, so that it fits in one Ethernet packet."""
 
 
 @frozen
 class BadFrame:
-    """Bytes that are no frame of a peer.
+    """A received frame that is malformed or not authentic.
 
     Parameters
     ----------
     reason : str
-        Why they were dropped.
+        Why the frame was dropped.
     """
 
     reason: str
 
 
 class FrameSealer:
-    """Seal and open frames with the keys of the settings.
+    """Sign and verify frames with the shared keys from the settings.
 
     Parameters
     ----------
     keys : list of bytes
-        The first key signs; each is accepted.
+        The first key signs; frames signed with any of them are accepted, so that keys
+        can be rotated.
     """
 
     def __init__(self, *, keys: list[bytes]) -> None:
         self.set_keys(keys)
 
     def set_keys(self, keys: list[bytes]) -> None:
-        """Take other keys from now on."""
+        """Replace the keys."""
         self._key_by_id = {_key_id(key): key for key in reversed(keys)}
         self._signing_key = keys[0]
 
     def seal(self, payload: bytes) -> bytes:
-        """Wrap a payload of at most ``MAX_FRAME_BYTES - HEAD_BYTES`` bytes."""
+        """Sign a payload of at most ``MAX_FRAME_BYTES - HEAD_BYTES`` bytes."""
         head = MAGIC + bytes((FORMAT, _key_id(self._signing_key)))
         return head + _mac(self._signing_key, head, payload) + payload
 
     def open(self, frame: bytes) -> Result[bytes, BadFrame]:
-        """Check a frame and give its payload."""
+        """Verify a frame and return its payload."""
         if not HEAD_BYTES <= len(frame) <= MAX_FRAME_BYTES:
             return Err(BadFrame("size"))
         head, mac, payload = frame[:4], frame[4:HEAD_BYTES], frame[HEAD_BYTES:]
--- a/packages/daemon/tests/wire/test_wire.py
+++ b/packages/daemon/tests/wire/test_wire.py
@@ -1,4 +1,4 @@
-"""Tests of frames and messages between entry VMs."""
+"""Tests of frames and of the encoding of messages between entry VMs."""
 
 from __future__ import annotations
 
@@ -136,17 +136,17 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda each: type(each).__name__)
-def test_messages_arrive_as_they_were_sent(message: PeerMessage) -> None:
+def test_decoded_message_equals_the_encoded_one(message: PeerMessage) -> None:
     assert decode(encode(message)).unwrap() == message
 
 
 @given(payload=st.binary(max_size=200))
-def test_garbage_in_a_frame_is_an_error_value(payload: bytes) -> None:
+def test_garbage_payload_is_an_error_value(payload: bytes) -> None:
     decoded = decode(payload)
     assert decoded.is_ok() or decoded.unwrap_err().reason.startswith("message")
 
 
-def test_a_state_that_only_newer_processes_know_is_an_error_value(
+def test_unknown_enum_value_of_a_newer_schema_is_an_error_value(
     tmp_path: Path,
 ) -> None:
     schema = Path(codec.__file__).with_name("peer.capnp").read_text()
@@ -165,21 +165,21 @@
 
 
 @given(at=st.integers(0, 1000), change=st.integers(1, 255))
-def test_a_changed_frame_is_refused(at: int, change: int) -> None:
+def test_tampered_frame_is_rejected(at: int, change: int) -> None:
     sealer = FrameSealer(keys=[NEW])
     frame = bytearray(sealer.seal(encode(MESSAGES[0])))
     frame[at % len(frame)] ^= change
     assert sealer.open(bytes(frame)).is_err()
 
 
-def test_keys_can_be_rotated() -> None:
+def test_frames_are_accepted_during_key_rotation() -> None:
     old, both, new = (FrameSealer(keys=keys) for keys in ([OLD], [NEW, OLD], [NEW]))
     assert both.open(old.seal(b"x")).unwrap() == b"x"
     assert new.open(both.seal(b"x")).unwrap() == b"x"
     assert new.open(old.seal(b"x")).unwrap_err().reason == "authentication"
 
 
-def test_a_frame_of_another_size_or_format_is_refused() -> None:
+def test_frame_of_wrong_size_or_format_is_rejected() -> None:
     sealer = FrameSealer(keys=[NEW])
     assert sealer.open(b"").unwrap_err().reason == "size"
     assert sealer.open(b"y" * 1401).unwrap_err().reason == "size"
