--- a/packages/daemon/src/plankspindle_daemon/peer_messages/__init__.py
+++ b/packages/daemon/src/plankspindle_daemon/peer_messages/__init__.py
@@ -1,3 +1,3 @@
-"""Messages between entry VMs, of all slices."""
+"""Messages between entry VMs."""
 
 from __future__ import annotations
--- a/packages/daemon/src/plankspindle_daemon/peer_messages/content_messages.py
+++ b/packages/daemon/src/plankspindle_daemon/peer_messages/content_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which entry VMs pass configuration versions on."""
+"""Messages that transfer configuration versions between entry VMs."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 @frozen(kw_only=True)
 class ContentRequest:
-    """Ask for a part of the content of a version.
+    """Request a chunk of the content of a configuration version.
 
     Parameters
     ----------
     sender : str
-        Name of the VM that asks.
+        Name of the requesting VM.
     version : int
-        Version that its heartbeat named.
+        Version announced in the receiver's heartbeat.
     offset : int
-        First byte wanted of the compressed content.
+        Offset of the chunk in the compressed content, in bytes.
     """
 
     sender: str
@@ -26,20 +26,20 @@
 
 @frozen(kw_only=True)
 class ContentChunk:
-    """A part of the compressed content of a version.
+    """A chunk of the compressed content of a configuration version.
 
     Parameters
     ----------
     sender : str
-        Name of the VM that has it.
+        Name of the VM that has the content.
     version : int
-        The version.
+        Configuration version.
     digest : str
-        SHA-256 of the whole content, not compressed.
+        SHA-256 of the complete uncompressed content.
     offset, total : int
-        First byte of the part, and length of the whole.
+        Offset of the chunk and length of the complete compressed content, in bytes.
     data : bytes
-        The part, at most ``CHUNK_BYTES``.
+        The chunk, at most ``CHUNK_BYTES`` long.
     """
 
     sender: str
--- a/packages/daemon/src/plankspindle_daemon/peer_messages/crash_news.py
+++ b/packages/daemon/src/plankspindle_daemon/peer_messages/crash_news.py
@@ -1,4 +1,4 @@
-"""What entry VMs tell one another of requests under which upstreams end."""
+"""Messages between entry VMs about requests that may crash upstreams."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 @frozen(kw_only=True)
 class CrashReport:
-    """An upstream ended while a request was in flight there.
+    """An upstream crashed while a request was in flight on it.
 
     Parameters
     ----------
     identity : int
-        The request, 64 bits; the same for all its tries.
+        Digest of the request, 64 bits; the same for all its attempts.
     life : str
-        Which life of which upstream ended.
+        Incarnation id of the upstream that crashed.
     ago_ms : int
-        Time since that was noticed, at the sending of the message.
+        Time between the detection of the crash and the sending of the message.
     """
 
     identity: int
@@ -26,18 +26,19 @@
 
 @frozen(kw_only=True)
 class Quarantined:
-    """A request that is held back.
+    """A request in quarantine.
 
     Parameters
     ----------
     identity : int
-        The request.
+        Digest of the request.
     ago_ms : int
-        Time since it was put in quarantine, at the sending of the message.
+        Time between its quarantining and the sending of the message.
     trials : int
-        How often it was let through since then.
+        Number of probe attempts since then.
     lives : tuple of str
-        Lives of upstreams that ended under it; empty in a repetition.
+        Incarnation ids of upstreams that crashed while running it; empty if the message
+        is sent again.
     """
 
     identity: int
@@ -48,14 +49,14 @@
 
 @frozen(kw_only=True)
 class Clearance:
-    """An upstream ran a suspected request to its end.
+    """A suspected request that an upstream answered without crashing.
 
     Parameters
     ----------
     identity : int
-        The request.
+        Digest of the request.
     ago_ms : int
-        Time since its answer came, at the sending of the message.
+        Time between its answer and the sending of the message.
     """
 
     identity: int
@@ -64,23 +65,24 @@
 
 @frozen(kw_only=True)
 class CrashNews:
-    """News of such requests.
+    """Update on crashes and on suspected, quarantined and cleared requests.
 
     Parameters
     ----------
     sender : str
-        Name of the VM.
+        Name of the sending VM.
     reports : tuple of CrashReport
-        Ends of upstreams that it noticed, for those that count them.
+        Crashes of upstreams that the sender detected, for the VMs that count them.
     watched : tuple of int
-        Requests whose answers are to be told, since several upstreams ended under them.
+        Digests of requests whose answers must be reported, since several upstreams
+        crashed while running them.
     suspected : tuple of int
-        Those of them under which upstreams ended one after the other, of which a try is
-        sent to one upstream only.
+        Those of them that several upstreams crashed on one after the other; an attempt
+        of such a request is sent to one upstream only.
     quarantined : tuple of Quarantined
-        Requests that are held back.
+        Requests in quarantine.
     cleared : tuple of Clearance
-        Requests that were answered.
+        Suspected requests that were answered.
     """
 
     sender: str
--- a/packages/daemon/src/plankspindle_daemon/peer_messages/headroom_messages.py
+++ b/packages/daemon/src/plankspindle_daemon/peer_messages/headroom_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which entry VMs of different failure domains agree on headroom."""
+"""Messages by which entry VMs of different failure domains grant headroom."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 @frozen(kw_only=True)
 class HeadroomRequest:
-    """Ask to move requests of a service to the receiver.
+    """Request permission to move requests of a service to the receiver.
 
     Parameters
     ----------
     sender : str
-        Name of the VM that asks.
+        Name of the requesting VM.
     request_id : int
-        Random number, repeated in the grant and in the requests moved under it.
+        Random id, repeated in the grant and in the requests moved under it.
     service : str
-        Service.
+        Name of the service.
     count : int
-        Requests to move at once.
+        Requested number of concurrent requests.
     duration_ms : int
-        Time for which they are asked.
+        Requested duration of the grant.
     incarnation : int
-        Process that asks.
+        Incarnation of the requesting process.
     """
 
     sender: str
@@ -35,22 +35,22 @@
 
 @frozen(kw_only=True)
 class HeadroomGrant:
-    """Allow requests to be moved to the sender for a time.
+    """Permit the receiver to move requests to the sender for a limited time.
 
     Parameters
     ----------
     sender : str
-        Name of the VM that grants.
+        Name of the granting VM.
     request_id : int
-        Of the request it answers.
+        Id of the request that it answers.
     service : str
-        Service.
+        Name of the service.
     count : int
-        Requests that may run here at once under the grant.
+        Requests that may run on the sender concurrently under the grant.
     duration_ms : int
-        Time for which it holds, counted by the other side from its request.
+        Validity of the grant, counted by the receiver from the sending of its request.
     holder_incarnation : int
-        The only process that may use it.
+        Incarnation of the only process that may use the grant.
     """
 
     sender: str
--- a/packages/daemon/src/plankspindle_daemon/peer_messages/heartbeat.py
+++ b/packages/daemon/src/plankspindle_daemon/peer_messages/heartbeat.py
@@ -1,4 +1,4 @@
-"""What an entry VM tells the others of itself."""
+"""Heartbeats between entry VMs."""
 
 from __future__ import annotations
 
@@ -7,43 +7,46 @@
 from plankspindle_daemon.peer_messages.readiness import Readiness
 
 ALL_UPSTREAMS = "*"
-"""Stands in ``over_share`` for more upstreams than a heartbeat can name."""
+"""Wildcard in ``over_share`` for more upstreams than fit in a heartbeat."""
 
 
 @frozen(kw_only=True)
 class Heartbeat:
-    """What an entry VM tells its peers about itself.
+    """Periodic status of an entry VM, sent to its peers.
 
     Parameters
     ----------
     sender : str
-        Name of the VM.
+        Name of the sending VM.
     incarnation : int
-        Random number of the process, 64 bits.
+        Random id of the sending process, 64 bits.
     sequence : int
-        Count of its heartbeats, so that late ones are dropped.
+        Sequence number, so that heartbeats that arrive out of order are dropped.
     failure_domain : str
-        Where it stands.
+        Failure domain that the VM is located in.
     caller_endpoint, peer_endpoint : Endpoint
-        Its listeners.
+        Listeners of the VM.
     readiness : Readiness
-        Whether it takes work.
+        Whether the VM accepts requests.
     view_digest : int
         Digest of the members that it counts for slot shares, 64 bits.
     over_share : tuple of str
-        Upstreams on which it still runs more than its share.
+        Upstreams on which it still runs more requests than its share.
     configuration_version : int
-        Version it has in force.
+        Configuration version in force.
     head_read_ago_ms : int
-        Time since any member read the head of the configuration, as far as it knows.
+        Time since the last read of the configuration head by any member that the sender
+        has information about.
     silent_upstreams : tuple of str
-        Upstreams that answer none of its requests at present.
+        Upstreams that currently answer none of the sender's requests.
     silent_incarnations : tuple of int
-        Which life of each of them is meant.
+        Incarnation of each of those upstreams.
     is_watched : bool
-        Whether the receiver is to tell all members if no further one comes soon.
+        Whether the receiver must report the sender to all members as suspect if no
+        further heartbeat arrives soon.
     quarantine_digest : int
-        Digest of the requests that it holds back, 64 bits; zero if there are none.
+        Digest of the requests in the sender's quarantine, 64 bits; zero if there are
+        none.
     """
 
     sender: str
--- a/packages/daemon/src/plankspindle_daemon/peer_messages/limit_news.py
+++ b/packages/daemon/src/plankspindle_daemon/peer_messages/limit_news.py
@@ -1,4 +1,4 @@
-"""What an entry VM has heard of the limit of an upstream."""
+"""Update on the rate limit that an upstream announced."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 
 @frozen(kw_only=True)
 class LimitNews:
-    """An upstream names a limit over all entry VMs, or did not name it once.
+    """An answer of an upstream announced a fleet-wide limit, or omitted it.
 
     Parameters
     ----------
     sender : str
-        Name of the VM that heard it.
+        Name of the VM that received the answer.
     life : str
-        Life of the upstream.
+        Incarnation id of the upstream.
     limit_per_s : float
-        Requests a second that it takes from all of them.
+        Requests per second that the upstream accepts from all entry VMs together.
     is_silent : bool
-        Whether an answer named none; the limit says nothing then.
+        Whether the answer omitted the limit; ``limit_per_s`` has no meaning then.
     number : int
-        Random number of the answer, since news comes more than once.
+        Random id of the answer, since an update is sent more than once.
     ago_ms : int
-        Age of what is told: of the answer that named the limit, or of the request
-        whose answer named none.
+        Age of the answer that announced the limit, or of the request whose answer
+        omitted it.
     """
 
     sender: str
--- a/packages/daemon/src/plankspindle_daemon/peer_messages/list_news.py
+++ b/packages/daemon/src/plankspindle_daemon/peer_messages/list_news.py
@@ -1,4 +1,4 @@
-"""What an entry VM that reads the platform tells the others of its domain."""
+"""Updates that a reader of the platform's list sends to its failure domain."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 @frozen(kw_only=True)
 class ToldUpstream:
-    """An upstream of the platform's list, as it is told to other entry VMs.
+    """An upstream of the platform's list, as sent to other entry VMs.
 
     Parameters
     ----------
     name, service, failure_domain : str
-        Its declaration.
+        Declaration of the upstream.
     endpoint : Endpoint
-        Where requests go.
+        Address that requests are sent to.
     slots : int
-        Its slots.
+        Requests that the upstream may run at once.
     leaving : bool
         Whether it is leaving.
     cold_ms : int
         Time for which it stays cold, from the sending of the message.
     incarnation : int
-        Number of its present life; zero if the platform does not tell it.
+        Incarnation number; zero if the platform does not report it.
     """
 
     name: str
@@ -38,32 +38,32 @@
 
 @frozen(kw_only=True)
 class ListNews:
-    """How fresh a reader's knowledge is, and what has changed in the list.
+    """Age of a reader's data, and the changes in the platform's list.
 
     Parameters
     ----------
     sender : str
         Name of the reader.
     bases : tuple of int
-        Spans of versions of the list from which the changes lead to the present one,
-        first and last of each in turn.
+        Spans of list versions that the changes can be applied to, as first and last
+        version of each span in turn.
     version : int
-        Version of the list that the reader holds.
+        Version of the list that the reader has.
     list_age_ms, configuration_age_ms : int
         Time since the reader read the list and the configuration.
     configuration_version : int
-        Version that the reader has in force.
+        Configuration version that the reader has in force.
     after_gap : bool
-        Whether entries may be missing since the platform was away.
+        Whether entries may be missing because the platform was unavailable.
     keep_ms : int
-        Time for which missing entries are kept then, from the sending of the message;
-        zero if the reader does not tell it.
+        Time for which missing entries are retained in that case, from the sending of
+        the message; zero if the reader does not report it.
     changed : tuple of ToldUpstream
         Upstreams that are new or have changed.
     gone : tuple of str
-        Upstreams that are no longer listed.
+        Names of upstreams that are no longer listed.
     part, parts : int
-        Which of how many messages this is that carry the change together, from 0 on.
+        Index from 0, and number of the messages that carry the change together.
     """
 
     sender: str
--- a/packages/daemon/src/plankspindle_daemon/peer_messages/load_digest.py
+++ b/packages/daemon/src/plankspindle_daemon/peer_messages/load_digest.py
@@ -1,4 +1,4 @@
-"""Load digests between failure domains."""
+"""Load digests that entry VMs send to other failure domains."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     capacity : int
         Requests that may run at once.
     in_flight, queued : int
-        Requests that run and wait.
+        Numbers of running and of queued requests.
     """
 
     service: str
@@ -32,13 +32,13 @@
     Parameters
     ----------
     sender : str
-        Name of the VM.
+        Name of the sending VM.
     failure_domain : str
-        Where it stands.
+        Failure domain that the VM is located in.
     configuration_version : int
-        Version it has in force.
+        Configuration version in force.
     loads : tuple of ServiceLoad
-        One entry a service.
+        One entry per service.
     """
 
     sender: str
--- a/packages/daemon/src/plankspindle_daemon/peer_messages/peer_message.py
+++ b/packages/daemon/src/plankspindle_daemon/peer_messages/peer_message.py
@@ -1,4 +1,4 @@
-"""Any message between entry VMs, and the effect of sending one."""
+"""Union of all messages between entry VMs, and the effect that sends one."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 @frozen(kw_only=True)
 class SendToPeer:
-    """A message is to be sent to another entry VM."""
+    """Effect: send a message to another entry VM."""
 
     message: PeerMessage
     to: Endpoint
--- a/packages/daemon/src/plankspindle_daemon/peer_messages/quota_messages.py
+++ b/packages/daemon/src/plankspindle_daemon/peer_messages/quota_messages.py
@@ -1,29 +1,29 @@
-"""Messages by which entry VMs keep quotas over the fleet."""
+"""Messages by which entry VMs enforce fleet-wide quotas."""
 
 from __future__ import annotations
 
 from plankspindle_core.classes import frozen
 
 NO_UPSTREAM_LIMIT = -1.0
-"""Limit of a request for tokens of a workspace's quota."""
+"""Value of ``limit_per_s`` in a request for tokens of a workspace's quota."""
 
 
 @frozen(kw_only=True)
 class ShareClaim:
-    """Ask an entry VM for a lease of its share of the quotas.
+    """Request a lease of the receiver's share of the quotas.
 
     Parameters
     ----------
     sender : str
-        Name of the VM that wants to hand out tokens.
+        Name of the VM that is to grant the tokens.
     incarnation : int
-        Process that asks.
+        Incarnation of the requesting process.
     sent_ms : int
-        Its clock; the lease repeats it and runs from then.
+        Time on the sender's clock; the lease repeats it and is valid from then.
     shards : tuple of int
-        Shards of workspaces that it claims.
+        Claimed shards of workspaces.
     fleet_size : int
-        Entry VMs that it knows of.
+        Number of entry VMs in the sender's view.
     """
 
     sender: str
@@ -35,20 +35,21 @@
 
 @frozen(kw_only=True)
 class ShareLease:
-    """Lease the own share of some shards to the VM that claimed it.
+    """Lease the sender's share of some shards to the VM that claimed it.
 
     Parameters
     ----------
     sender : str
-        Name of the VM whose share it is.
+        Name of the VM that leases its share.
     claim_incarnation, claim_sent_ms : int
-        The claim that it answers.
+        ``incarnation`` and ``sent_ms`` of the claim that it answers.
     shards : tuple of int
-        Shards that are leased.
+        Leased shards.
     idle_ms : tuple of int
-        For each of them, the time for which nobody had the share before.
+        For each shard, the time for which its share was not leased to any VM before.
     fleet_size : int
-        Entry VMs that the sender knows of; its share is one part in so many.
+        Number of entry VMs in the sender's view; its share is one part in
+        ``fleet_size``.
     """
 
     sender: str
@@ -61,22 +62,22 @@
 
 @frozen(kw_only=True)
 class TokenRequest:
-    """Ask a holder for tokens, one for each request.
+    """Request tokens from a holder, one for each caller's request.
 
     Parameters
     ----------
     sender : str
-        Name of the VM that asks.
+        Name of the requesting VM.
     request_id : int
-        Random number, repeated in the grant.
+        Random id, repeated in the grant.
     workspace : str
-        The workspace; for the limit of an upstream, the life of that.
+        The workspace; for the limit of an upstream, the upstream's incarnation id.
     count : int
-        Tokens wanted.
+        Requested number of tokens.
     limit_per_s : float
-        Limit of the upstream, in requests a second; negative for a workspace.
+        Limit of the upstream, in requests per second; negative for a workspace.
     heard_ago_ms : int
-        Age of the answer that named the limit.
+        Age of the answer that announced the limit.
     """
 
     sender: str
@@ -88,30 +89,31 @@
 
     @property
     def is_of_limit(self) -> bool:
-        """Whether tokens for an upstream that names a limit are wanted."""
+        """Whether the tokens are for an upstream's limit, not a workspace's quota."""
         return self.limit_per_s >= 0
 
 
 @frozen(kw_only=True)
 class TokenGrant:
-    """Give tokens of a workspace or an upstream's limit.
+    """Grant tokens of a workspace's quota or an upstream's limit.
 
     Parameters
     ----------
     sender : str
         Name of the holder.
     request_id : int
-        Of the request it answers.
+        Id of the request that it answers.
     workspace : str
-        What they are for, as in the request.
+        Workspace or incarnation id, as in the request.
     count : int
-        Tokens given, as many as were wanted or fewer.
+        Granted number of tokens, at most the requested number.
     retry_after_ms : int
-        Time until there is one for who got none; zero if all were given.
+        Time until a token for a denied request is available; zero if all tokens were
+        granted.
     has_share : bool
         Whether the sender holds any share of the quota or limit.
     is_of_limit : bool
-        Whether they are for an upstream that names a limit.
+        Whether the tokens are for an upstream's limit, not a workspace's quota.
     """
 
     sender: str
--- a/packages/daemon/src/plankspindle_daemon/peer_messages/readiness.py
+++ b/packages/daemon/src/plankspindle_daemon/peer_messages/readiness.py
@@ -6,7 +6,7 @@
 
 
 class Readiness(Enum):
-    """What an entry VM says of itself in its heartbeats."""
+    """Readiness that an entry VM announces in its heartbeats."""
 
     STARTING = "starting"
     READY = "ready"
--- a/packages/daemon/src/plankspindle_daemon/peer_messages/resend_queue.py
+++ b/packages/daemon/src/plankspindle_daemon/peer_messages/resend_queue.py
@@ -1,4 +1,4 @@
-"""News that is sent several times, since datagrams are lost."""
+"""Queue of updates that are sent several times, since datagrams can be lost."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from plankspindle_daemon.peer_messages.peer_message import SendToPeer
 
 MAX_RESENDS = 2
-"""Times that news is sent again."""
+"""Number of times that an update is sent again."""
 RESEND_INTERVAL_S = 0.4
-"""Time between two sendings of the same news, in seconds."""
+"""Time between two transmissions of the same update, in seconds."""
 MAX_QUEUED = 1_024
-"""News that waits to be sent again; older news goes."""
+"""Longest queue, in updates; beyond it the oldest updates are dropped."""
 
 
 @define(kw_only=True)
 class _Resend:
-    """News that is to be sent again."""
+    """An update that is due to be sent again."""
 
     effects: list[SendToPeer]
     due: float
@@ -26,29 +26,29 @@
 
 @define(kw_only=True)
 class ResendQueue:
-    """Messages that wait to be sent again."""
+    """Updates waiting to be sent again."""
 
     _waiting: list[_Resend] = Factory(list)
 
     def __len__(self) -> int:
-        """Count the news that waits."""
+        """Return the number of queued updates."""
         return len(self._waiting)
 
     def send_repeatedly(
         self, effects: list[SendToPeer], now: float
     ) -> list[SendToPeer]:
-        """Keep messages that are sent now, to be sent again; give them as they are."""
+        """Queue resends of messages that are sent now, and return the messages."""
         self._add(
             _Resend(effects=effects, due=now + RESEND_INTERVAL_S, remaining=MAX_RESENDS)
         )
         return effects
 
     def schedule(self, effects: list[SendToPeer], now: float) -> None:
-        """Keep messages where none can be sent, to be sent from the next tick on."""
+        """Queue messages that cannot be sent now, to be sent from the next tick on."""
         self._add(_Resend(effects=effects, due=now, remaining=1 + MAX_RESENDS))
 
     def pop_due(self, now: float) -> list[SendToPeer]:
-        """Give what is to be sent at this moment."""
+        """Return the messages that are due now."""
         due = [each for each in self._waiting if now >= each.due]
         if not due:
             return []
--- a/packages/daemon/src/plankspindle_daemon/peer_messages/slot_messages.py
+++ b/packages/daemon/src/plankspindle_daemon/peer_messages/slot_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which entry VMs of a failure domain lend slots to one another."""
+"""Messages by which entry VMs of a failure domain lend slots to each other."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 @frozen(kw_only=True)
 class SlotRequest:
-    """Ask a peer to lend slots.
+    """Request a loan of slots.
 
     Parameters
     ----------
     sender : str
         Name of the borrower.
     request_id : int
-        Random number, repeated in the grant.
+        Random id, repeated in the grant.
     upstream : str
-        Upstream whose slots are asked for.
+        Upstream whose slots are requested.
     count : int
-        Number of slots.
+        Requested number of slots.
     duration_ms : int
-        Time for which they are asked.
+        Requested duration of the loan.
     incarnation : int
-        Process that asks.
+        Incarnation of the borrowing process.
     """
 
     sender: str
@@ -35,22 +35,22 @@
 
 @frozen(kw_only=True)
 class SlotGrant:
-    """Lend slots for a time.
+    """Grant a loan of slots for a limited time.
 
     Parameters
     ----------
     sender : str
         Name of the lender.
     request_id : int
-        Of the request it answers.
+        Id of the request that it answers.
     upstream : str
         Upstream whose slots are lent.
     count : int
-        Number of slots; zero refuses.
+        Number of slots; zero denies the request.
     duration_ms : int
-        Time for which they are lent, counted by the borrower from its request.
+        Duration of the loan, counted by the borrower from the sending of its request.
     borrower_incarnation : int
-        The only process that may use the grant.
+        Incarnation of the only process that may use the grant.
     """
 
     sender: str
--- a/packages/daemon/src/plankspindle_daemon/peer_messages/suspicion.py
+++ b/packages/daemon/src/plankspindle_daemon/peer_messages/suspicion.py
@@ -1,4 +1,4 @@
-"""What a watcher tells all members of entry VMs that it no longer hears."""
+"""Message that reports entry VMs whose heartbeats a watcher no longer receives."""
 
 from __future__ import annotations
 
@@ -7,16 +7,17 @@
 
 @frozen(kw_only=True)
 class Suspect:
-    """An entry VM that is silent.
+    """An entry VM that is suspected to have failed.
 
     Parameters
     ----------
     name : str
         Name of the VM.
     incarnation : int
-        The process that is meant.
+        Incarnation of the suspected process.
     sequence : int
-        Its newest heartbeat that was heard; a newer one refutes.
+        Sequence number of its last received heartbeat; a newer heartbeat refutes the
+        suspicion.
     """
 
     name: str
@@ -26,14 +27,14 @@
 
 @frozen(kw_only=True)
 class Suspicion:
-    """Entry VMs that one of their watchers no longer hears.
+    """Entry VMs whose heartbeats one of their watchers no longer receives.
 
     Parameters
     ----------
     sender : str
-        The watcher.
+        Name of the watcher.
     suspects : tuple of Suspect
-        The silent ones.
+        The suspected VMs.
     """
 
     sender: str
