--- a/packages/core/src/plankspindle_core/__init__.py
+++ b/packages/core/src/plankspindle_core/__init__.py
@@ -1,3 +1,3 @@
-"""Shared model, settings, logs and HTTP helpers of plankspindle."""
+"""Configuration model, settings, logging and HTTP shared by all packages."""
 
 from __future__ import annotations
--- a/packages/core/src/plankspindle_core/classes.py
+++ b/packages/core/src/plankspindle_core/classes.py
@@ -1,4 +1,4 @@
-"""Classes of ``attrs`` whose representation is worked out when it is asked for."""
+"""``attrs`` decorators that generate no ``__repr__`` code when a class is defined."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 else:
 
     def define(maybe_class: type | None = None, **options: Any) -> Any:
-        """Make a class as :func:`attrs.define` does, without compiling its ``repr``.
+        """Define a class like :func:`attrs.define`, without compiling its ``__repr__``.
 
-        A process makes 290 classes as it starts; compiling a method each takes a fifth
-        of 0.6 s of its processor, and few are ever printed.
+        A process defines 290 classes at its start. Compiling one method for each takes
+        a fifth of the 0.6 s of processor time of the start, and few are ever printed.
 
         Parameters
         ----------
         maybe_class : type, optional
-            The class, where the decorator stands without arguments.
+            The class, if the decorator is used without arguments.
         **options : object
-            What :func:`attrs.define` takes.
+            Arguments of :func:`attrs.define`.
         """
 
         def make(cls: type) -> type:
@@ -35,13 +35,13 @@
         return make if maybe_class is None else make(maybe_class)
 
     def frozen(maybe_class: type | None = None, **options: Any) -> Any:
-        """Make a class as :func:`attrs.frozen` does, likewise."""
+        """Define a class like :func:`attrs.frozen`, in the same way."""
         return define(maybe_class, frozen=True, on_setattr=None, **options)
 
 
 @recursive_repr()
 def _describe(self: Any) -> str:
-    """Name the class and its fields, as ``attrs`` does."""
+    """Return the representation of an instance in the format of ``attrs``."""
     parts = [
         f"{each.name}={getattr(self, each.name)!r}"
         for each in attrs.fields(type(self))
--- a/packages/core/src/plankspindle_core/configuration/__init__.py
+++ b/packages/core/src/plankspindle_core/configuration/__init__.py
@@ -1,3 +1,3 @@
-"""The versioned configuration that operators change by confirmed plans."""
+"""The versioned configuration, which operators change through confirmed plans."""
 
 from __future__ import annotations
--- a/packages/core/src/plankspindle_core/configuration/caller.py
+++ b/packages/core/src/plankspindle_core/configuration/caller.py
@@ -1,4 +1,4 @@
-"""A paying caller and its priority class."""
+"""A caller with an API key and its priority class."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 @frozen(kw_only=True)
 class Caller:
-    """A caller known by an API key, of which only the digest is kept.
+    """A caller identified by an API key, of which only the digest is stored.
 
     Parameters
     ----------
     priority_class : str
-        Name of the class it pays for.
+        Priority class of its requests.
     key_sha256 : str
         SHA-256 of the API key in hexadecimal.
     """
@@ -28,13 +28,13 @@
 
 
 def hash_api_key(key: bytes) -> str:
-    """Digest an API key as it is kept in the configuration.
+    """Return the digest of an API key as stored in the configuration.
 
     Parameters
     ----------
     key : bytes
-        The key as sent by the caller; it carries at least 128 random bits, which
-        is why a plain digest serves.
+        The key as sent by the caller. It has at least 128 random bits, so a plain
+        digest is sufficient.
 
     Returns
     -------
--- a/packages/core/src/plankspindle_core/configuration/codec.py
+++ b/packages/core/src/plankspindle_core/configuration/codec.py
@@ -1,4 +1,4 @@
-"""Reading and writing of configurations as YAML and JSON."""
+"""Decoding and encoding of configurations as YAML and JSON."""
 
 from __future__ import annotations
 
@@ -36,10 +36,10 @@
 
 @cache
 def _converter() -> Converter:
-    """Make the converter, and import what it needs, once a configuration is coded.
+    """Create the converter, and import its modules, at the first use.
 
-    That takes 60 ms of the processor, a tenth of the start of a process, and many
-    processes never need it: they read the platform's own form.
+    That takes 60 ms of processor time, a tenth of the start of a process, and many
+    processes never need it, since they read the platform's own format.
     """
     from cattrs.gen import make_dict_structure_fn
     from cattrs.gen import make_dict_unstructure_fn
@@ -94,24 +94,24 @@
 
 
 def configuration_from_yaml(text: str) -> Result[Configuration, InvalidDocument]:
-    """Read a configuration from YAML text."""
+    """Decode and validate a configuration from YAML text."""
     return load_yaml(text).and_then(configuration_from_mapping)
 
 
 def configuration_to_mapping(configuration: Configuration) -> dict[str, Any]:
-    """Give the plain mapping of a configuration, with the keys of the YAML form."""
+    """Return a configuration as a plain mapping with the keys of the YAML format."""
     mapping: dict[str, Any] = _converter().unstructure(configuration)
     return mapping
 
 
 def encode_configuration(configuration: Configuration) -> bytes:
-    """Write a configuration as canonical JSON, the form kept in the object store."""
+    """Encode a configuration as canonical JSON, the format of the object store."""
     mapping = configuration_to_mapping(configuration)
     return json.dumps(mapping, sort_keys=True, separators=(",", ":")).encode()
 
 
 def decode_configuration(content: bytes) -> Result[Configuration, InvalidDocument]:
-    """Read a configuration from JSON content of the object store."""
+    """Decode a configuration from JSON content of the object store."""
     try:
         mapping = read_json(content)
     except ValueError as error:
@@ -120,5 +120,5 @@
 
 
 def content_digest(content: bytes) -> str:
-    """Name content by its SHA-256 in hexadecimal."""
+    """Return the SHA-256 of content in hexadecimal; it is the name of the object."""
     return hashlib.sha256(content).hexdigest()
--- a/packages/core/src/plankspindle_core/configuration/configuration.py
+++ b/packages/core/src/plankspindle_core/configuration/configuration.py
@@ -1,4 +1,4 @@
-"""One complete version of what operators configured."""
+"""One complete version of the configuration."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 @frozen(kw_only=True)
 class FailureDomain:
-    """A part of a region that fails as one.
+    """A part of a region whose VMs can fail together.
 
     Parameters
     ----------
     region : str
-        Region that holds it.
+        Region that contains it.
     """
 
     region: str
@@ -35,12 +35,12 @@
 
 @frozen(kw_only=True)
 class Site:
-    """The place that client blocks are steered to first.
+    """The location that client blocks are steered to first.
 
     Parameters
     ----------
     failure_domain : str
-        Failure domain whose entry VMs are named first.
+        Failure domain whose entry VMs come first in the answer to a lookup.
     """
 
     failure_domain: str
@@ -48,14 +48,14 @@
 
 @frozen(kw_only=True)
 class Configuration:
-    """Services, upstreams, callers, client blocks and shifts of one version.
+    """Services, upstreams, callers, routes, shifts and drains of one version.
 
     Parameters
     ----------
     failure_domains_by_name : dict of str to FailureDomain
         All failure domains.
     priority_classes : list of str
-        Names of the classes, the most important first.
+        Names of the classes, highest priority first.
     services_by_name : dict of str to Service
         All services.
     upstreams_by_name : dict of str to Upstream
@@ -63,8 +63,8 @@
     callers_by_name : dict of str to Caller
         Callers with an API key.
     workspaces_by_name : dict of str to Workspace
-        Customers with API keys, quotas and homes. Where there are any, routes need a
-        key of one of them unless they are public.
+        Customers with API keys, quotas and home regions. If there are any, requests on
+        routes that are not public need a key of one of them.
     sites_by_name : dict of str to Site
         Targets of client blocks.
     site_by_prefix : dict of str to str
@@ -74,9 +74,9 @@
     drains_by_id : dict of str to Drain
         Confirmed drains.
     distances : Distances
-        Declared delays.
+        Declared one-way delays.
     routes_by_name : dict of str to Route
-        Which service answers for a host and path.
+        Services that answer the requests for a host and path.
     """
 
     failure_domains_by_name: dict[str, FailureDomain]
@@ -93,21 +93,21 @@
     workspaces_by_name: dict[str, Workspace] = Factory(dict)
 
     def region_of(self, failure_domain: str) -> str | None:
-        """Name the region of a failure domain, or None if it is not declared."""
+        """Return the region of a failure domain, or None if it is not declared."""
         found = self.failure_domains_by_name.get(failure_domain)
         return found.region if found else None
 
     def drains_of(
         self, *, failure_domain: str, vm: str | None = None, upstream: str | None = None
     ) -> dict[str, Drain]:
-        """Give the drains that hold for an entry VM or an upstream, by id.
+        """Return the drains that apply to an entry VM or an upstream, by id.
 
         Parameters
         ----------
         failure_domain : str
-            Where it stands.
+            Failure domain of the entry VM or upstream.
         vm, upstream : str, optional
-            Its name, as one or the other.
+            Name of the entry VM, or of the upstream.
         """
         if not self.drains_by_id:
             return {}
@@ -125,7 +125,7 @@
         }
 
     def domains_of(self, region: str) -> set[str]:
-        """Name the failure domains of a region."""
+        """Return the names of the failure domains of a region."""
         return {
             name
             for name, domain in self.failure_domains_by_name.items()
@@ -133,7 +133,7 @@
         }
 
     def distance_ms(self, one: str, other: str) -> float:
-        """Give the declared one-way delay between two failure domains.
+        """Return the declared one-way delay between two failure domains.
 
         Parameters
         ----------
@@ -152,12 +152,12 @@
         return self.distances.between_regions_ms
 
     def problems(self) -> list[str]:
-        """List every reference or limit that is wrong.
+        """Return all invalid references and limits.
 
         Returns
         -------
         list of str
-            One sentence a problem, naming the key; empty if the version is valid.
+            One sentence per problem, with the key; empty if the version is valid.
         """
         return [
             *self._class_problems(),
--- a/packages/core/src/plankspindle_core/configuration/distances.py
+++ b/packages/core/src/plankspindle_core/configuration/distances.py
@@ -10,7 +10,7 @@
 
 @frozen(kw_only=True)
 class Distances:
-    """One-way delays in milliseconds, as declared by operators.
+    """One-way delays in milliseconds, declared by operators.
 
     Parameters
     ----------
--- a/packages/core/src/plankspindle_core/configuration/drain.py
+++ b/packages/core/src/plankspindle_core/configuration/drain.py
@@ -1,4 +1,4 @@
-"""A confirmed drain of a place or an upstream."""
+"""A confirmed drain of a region, failure domain, entry VM or upstream."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class DrainKind(Enum):
-    """What is drained."""
+    """Kind of the drained resource."""
 
     REGION = "region"
     FAILURE_DOMAIN = "failure-domain"
@@ -19,17 +19,18 @@
 
 @frozen(kw_only=True)
 class Drain:
-    """No new work goes to a place or an upstream; what runs there finishes.
+    """A resource gets no new requests, while its running requests complete.
 
     Parameters
     ----------
     kind : DrainKind
-        What is drained.
+        Kind of the drained resource.
     name : str
-        Its name.
+        Name of the drained resource.
     at : float, optional
-        Time from which it gets nothing new, seconds since the Unix epoch; at once if
-        not given. Work that would outlive it goes elsewhere before.
+        Time from which it gets no new requests, seconds since the Unix epoch; at once
+        if not given. Requests that are expected to run beyond this time are sent
+        elsewhere before it, too.
     """
 
     kind: DrainKind
--- a/packages/core/src/plankspindle_core/configuration/operation.py
+++ b/packages/core/src/plankspindle_core/configuration/operation.py
@@ -1,4 +1,4 @@
-"""One kind of request that a service accepts."""
+"""An operation of a service, with its execution contract."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
     Parameters
     ----------
     method : str
-        HTTP method in capitals.
+        HTTP method in upper case.
     path_prefix : str
         Prefix of the path below the service.
     idempotent : bool
-        Whether the request may be run again.
+        Whether a request may be run more than once.
     timeout_ms : int
         Longest time from admission to the last byte, in milliseconds.
     expected_ms : int
-        Usual duration in milliseconds; used to keep work off an upstream that will
-        leave before it ends.
+        Typical duration in milliseconds; used to avoid upstreams that will leave before
+        the request completes.
     """
 
     method: str
@@ -37,7 +37,7 @@
     expected_ms: int = field(default=DEFAULT_EXPECTED_MS, validator=validators.ge(0))
 
     def matches(self, method: str, path: str) -> bool:
-        """Tell whether a request belongs to this operation.
+        """Return whether a request belongs to this operation.
 
         Parameters
         ----------
@@ -55,11 +55,11 @@
 
 
 SAFE_METHODS = ("GET", "HEAD")
-"""Methods that are idempotent unless an operation says otherwise."""
+"""Methods that are idempotent unless an operation declares otherwise."""
 
 
 def default_operation(method: str) -> Operation:
-    """Give the contract of a request that no operation declares.
+    """Return the contract of a request that no operation declares.
 
     Parameters
     ----------
--- a/packages/core/src/plankspindle_core/configuration/route.py
+++ b/packages/core/src/plankspindle_core/configuration/route.py
@@ -1,4 +1,4 @@
-"""A route: which service answers the requests for a host and path."""
+"""A route: the services that answer the requests for a host and path."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 @frozen(kw_only=True)
 class ServicePart:
-    """The part of a route's requests that one service gets.
+    """A service of a route, with its weight.
 
     Parameters
     ----------
     service : str
         Name of the service.
     weight : int
-        Its part, relative to the weights of the others.
+        Share of the route's requests, relative to the weights of the other services.
     """
 
     service: str
@@ -37,25 +37,26 @@
     host : str
         Name in the ``Host`` header, in lower case and without port.
     path_prefix : str
-        What the path begins with; it begins and ends with a slash itself.
+        Prefix of the path; begins and ends with a slash.
     parts : list of ServicePart
         Services that answer, with their weights.
     priority_class : str
-        Class of all requests on the route.
+        Priority class of all requests on the route.
     idempotent : bool
-        Whether a request may run more than once.
+        Whether a request may be run more than once.
     bulky : bool
         Whether answers are so large that they should not leave their failure domain.
     timeout_ms : int
         Longest time from admission to the last byte, in milliseconds.
     target_ms : int
-        Time within which an answer is wanted, in milliseconds.
+        Target latency of an answer, in milliseconds.
     max_attempts : int
-        Most upstreams that one request may be sent to.
+        Largest number of upstreams that one request may be sent to.
     affinity : bool
-        Whether requests with the same affinity key should meet the same upstream.
+        Whether requests with the same affinity key should be placed on the same
+        upstream.
     home_regions : list of str
-        The only regions that may serve it; any region if empty.
+        The only regions that may serve the route; any region if empty.
     public : bool
         Whether it is open to callers without an API key.
     """
@@ -74,7 +75,7 @@
     public: bool = False
 
     def problems(self) -> list[str]:
-        """List what is wrong with the route itself, one sentence a problem."""
+        """Return the problems of the route itself, one sentence per problem."""
         found = []
         if not (self.path_prefix.startswith("/") and self.path_prefix.endswith("/")):
             found.append(f"path_prefix: {self.path_prefix!r} must begin and end with /")
--- a/packages/core/src/plankspindle_core/configuration/service.py
+++ b/packages/core/src/plankspindle_core/configuration/service.py
@@ -1,4 +1,4 @@
-"""A service whose requests are steered."""
+"""A service, with its queueing, retry and slot sharing rules."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
     """How entry VMs share the slots of an upstream."""
 
     MEMBERS = "members"
-    """By equal shares among the members of its failure domain, and loans."""
+    """Equal shares for the members of its failure domain, plus loans of slots."""
     REPORTED = "reported"
-    """Any entry VM may use it, by own counts and what it reports in its answers."""
+    """Any entry VM may use it, based on own counts and the load that it reports."""
 
 
 @frozen(kw_only=True)
@@ -32,22 +32,22 @@
     Parameters
     ----------
     operations : list of MatrixOperation
-        Declared kinds of request; the longest matching prefix wins.
+        Declared operations; the longest matching prefix wins.
     default_class : str, optional
-        Priority class of callers without a key. Without it they get 401.
+        Priority class of callers without a key. Without it they get status 401.
     queue_limit : int
         Longest queue of one entry VM, in requests.
     retry_percent : int
-        Retries allowed as a share of fresh requests, in percent.
+        Retries allowed as a share of first attempts, in percent.
     retry_burst : int
         Retries that all entry VMs together may make beyond that share.
     slot_sharing : SlotSharing
         How entry VMs share the slots of its upstreams.
     cold_requests_per_s : float
-        Requests a second that a cold upstream bears, all entry VMs together; zero if
-        it bears as many as a warm one.
+        Requests per second that a cold upstream can serve, from all entry VMs together;
+        zero if it can serve as many as a warm one.
     cold_ms : int
-        Time for which an upstream is cold after a start, in milliseconds.
+        Time for which an upstream is cold after its start, in milliseconds.
     """
 
     operations: list[Operation] = field(factory=list)
@@ -63,7 +63,7 @@
     cold_ms: int = field(default=0, validator=validators.ge(0))
 
     def operation_for(self, method: str, path: str) -> Operation:
-        """Find the contract of a request.
+        """Return the operation that a request belongs to.
 
         Parameters
         ----------
@@ -84,6 +84,6 @@
 
     @property
     def longest_timeout_ms(self) -> int:
-        """Longest timeout of any request of this service, in milliseconds."""
+        """Longest timeout of all operations of this service, in milliseconds."""
         undeclared = default_operation("GET").timeout_ms
         return max([undeclared, *(each.timeout_ms for each in self.operations)])
--- a/packages/core/src/plankspindle_core/configuration/shift.py
+++ b/packages/core/src/plankspindle_core/configuration/shift.py
@@ -1,4 +1,4 @@
-"""A confirmed move of part of a service's requests to another region."""
+"""A confirmed shift of a share of a service's requests to another region."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
     service : str
         Service whose requests move.
     from_region : str
-        Region that gives requests away.
+        Region that the requests are moved out of.
     to_region : str
-        Region that receives them.
+        Region that they are moved to.
     cap_percent : float
-        Largest share of the requests received in ``from_region`` that may move, in
+        Largest share of the requests received in ``from_region`` that may be moved, in
         percent.
     ramp_s : float
-        Time over which the moved share grows from nothing to the cap, in seconds, so
-        that caches of the receiving region can warm.
+        Time over which the moved share grows from zero to the cap, in seconds, so that
+        the caches of the receiving region can warm up.
     """
 
     service: str
--- a/packages/core/src/plankspindle_core/configuration/upstream.py
+++ b/packages/core/src/plankspindle_core/configuration/upstream.py
@@ -1,4 +1,4 @@
-"""A back end of a service."""
+"""Declaration of an upstream."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     Parameters
     ----------
     service : str
-        Name of the service it runs.
+        Name of the service that it runs.
     failure_domain : str
-        Failure domain that holds it; only entry VMs of that domain use it.
+        Failure domain that it is located in; only entry VMs of that domain use it.
     endpoint : Endpoint
-        Where it listens.
+        Address that it listens on.
     slots : int
-        Requests it may run at once.
+        Requests that it may run at once.
     """
 
     service: str
--- a/packages/core/src/plankspindle_core/configuration/workspace.py
+++ b/packages/core/src/plankspindle_core/configuration/workspace.py
@@ -1,4 +1,4 @@
-"""A workspace: the keys of one customer, its class, its quota and its homes."""
+"""A workspace: API keys, priority class, quota and home regions of a customer."""
 
 from __future__ import annotations
 
@@ -15,18 +15,19 @@
 
 @frozen(kw_only=True)
 class Workspace:
-    """A customer whose requests are authenticated, limited and kept at home together.
+    """A customer whose API keys share a priority class, a quota and home regions.
 
     Parameters
     ----------
     key_sha256s : list of str
         SHA-256 of each of its API keys in hexadecimal; the keys themselves are not
-        kept.
+        stored.
     priority_class : str, optional
-        Class of its requests, whatever that of the route; None leaves it to the route.
+        Priority class of its requests, which overrides that of the route; None to use
+        that of the route.
     rate_per_s : float
-        Requests a second that it may send through all entry VMs together; unlimited if
-        zero.
+        Requests per second that it may send through all entry VMs together; unlimited
+        if zero.
     burst : float
         Requests that it may send at once beyond that rate.
     home_regions : list of str
--- a/packages/core/src/plankspindle_core/endpoint.py
+++ b/packages/core/src/plankspindle_core/endpoint.py
@@ -9,17 +9,17 @@
 
 MAX_PORT = 65535
 PARSE_CACHE_SIZE = 4_096
-"""Texts whose endpoints are remembered, 1 MB; each heartbeat names the same two."""
+"""Entries of the cache of parsed texts, 1 MB; a VM's heartbeats repeat the same two."""
 
 
 @frozen
 class Endpoint:
-    """An IP number and a port; host names are not resolved anywhere.
+    """An IP address and a port; host names are never resolved.
 
     Parameters
     ----------
     host : str
-        IPv4 or IPv6 number.
+        IPv4 or IPv6 address.
     port : int
         Port, 1 to 65535.
     """
@@ -30,14 +30,14 @@
     def __lt__(self, other: Endpoint) -> bool:
         """Order by host and port.
 
-        Lists of all members are sorted each second; the generated method takes five
-        times as long.
+        Lists of all members are sorted every second; the method that attrs generates
+        takes five times as long.
         """
         return (self.host, self.port) < (other.host, other.port)
 
     @classmethod
     def parse(cls, text: str) -> Endpoint:
-        """Read ``127.0.0.1:80`` or ``[::1]:80``.
+        """Parse a text such as ``127.0.0.1:80`` or ``[::1]:80``.
 
         Parameters
         ----------
@@ -52,7 +52,7 @@
         Raises
         ------
         ValueError
-            If the host is not an IP number or the port is out of range.
+            If the host is not an IP address or the port is out of range.
         """
         return _parse(text)
 
--- a/packages/core/src/plankspindle_core/errors.py
+++ b/packages/core/src/plankspindle_core/errors.py
@@ -1,4 +1,4 @@
-"""Errors that are values, shared by all packages."""
+"""Error values shared by all packages."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     Parameters
     ----------
     problems : tuple of str
-        One line a problem, each beginning with the path of the key.
+        One line per problem, each beginning with the path of the key.
     """
 
     problems: tuple[str, ...]
@@ -23,12 +23,12 @@
 
 @frozen
 class Unreadable:
-    """A value from outside that does not have the form it must have.
+    """A value from another process that does not have the expected form.
 
     Parameters
     ----------
     detail : str
-        What is wrong with it.
+        Description of the problem.
     """
 
     detail: str
--- a/packages/core/src/plankspindle_core/histogram.py
+++ b/packages/core/src/plankspindle_core/histogram.py
@@ -1,4 +1,4 @@
-"""Counts of observations by buckets."""
+"""A histogram that is cheap to update."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 @define(kw_only=True)
 class Histogram:
-    """Observations by upper bounds; a library renders them when it is asked.
+    """Counts of observations in buckets; a metrics library renders them on scrape.
 
     Parameters
     ----------
     bounds : tuple of float
-        Upper bounds of the buckets, rising; one more bucket has none.
+        Upper bounds of the buckets, ascending; a further bucket has no upper bound.
 
     Attributes
     ----------
     counts : list of int
-        Observations in each bucket.
+        Number of observations in each bucket.
     total : float
-        Sum of the observations.
+        Sum of the observed values.
 
     Notes
     -----
-    Noting one takes 0.3 microseconds; the instruments of the metrics library take 14,
-    which is too much for each request.
+    Recording a value takes 0.3 us; the instruments of the metrics library take 14 us,
+    which is too much for every request.
     """
 
     bounds: tuple[float, ...]
@@ -40,16 +40,16 @@
 
     @property
     def observations(self) -> int:
-        """Observations in all buckets."""
+        """Number of observations in all buckets."""
         return sum(self.counts)
 
     def record(self, value: float) -> None:
-        """Count one observation."""
+        """Record one observation."""
         self.counts[bisect_left(self.bounds, value)] += 1
         self.total += value
 
     def cumulative(self) -> list[tuple[str, float]]:
-        """Give each bound with the observations up to it, the last without bound."""
+        """Return the cumulative counts as (upper bound, count), ``+Inf`` last."""
         seen = 0
         buckets = []
         for bound, count in zip(self.bounds, self.counts, strict=False):
--- a/packages/core/src/plankspindle_core/http/client_connection.py
+++ b/packages/core/src/plankspindle_core/http/client_connection.py
@@ -24,11 +24,12 @@
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
-"""A connection whose other side fell silent without a reset ends after 3 s of rest."""
+"""Keep-alive probes end an idle connection after 3 s without an answer or reset."""
 TCP_USER_TIMEOUT_MS = 1_500
 """Longest time that sent bytes may stay unacknowledged, in milliseconds.
 
-Lost packets are sent again after 0.2, 0.6 and 1.4 s: three losses in a row are borne.
+TCP retransmits lost packets after 0.2, 0.6 and 1.4 s, so the connection survives three
+consecutive losses.
 """
 RECEIVE_BYTES = 65_536
 MAX_HEAD_BYTES = 65_536
@@ -46,12 +47,12 @@
     Attributes
     ----------
     bytes_handed_over : bool
-        Whether any byte of the present request was handed to the socket. While it
-        is False the server cannot have run the request.
+        Whether any byte of the current request was written to the socket. While it is
+        False, the server cannot have run the request.
     exchanges : int
-        Exchanges that were completed on it.
+        Number of completed exchanges.
     released_at : float
-        When it was last put to rest, monotonic seconds.
+        Time at which it last became idle, monotonic seconds.
     """
 
     def __init__(self, *, endpoint: Endpoint) -> None:
@@ -66,17 +67,17 @@
         )
 
     async def start(self, *, timeout_s: float) -> Result[None, ConnectFailed]:
-        """Connect.
+        """Connect to the server.
 
         Parameters
         ----------
         timeout_s : float
-            Longest time to wait, in seconds.
+            Connect timeout in seconds.
 
         Returns
         -------
         Result
-            Nothing, or why no connection was made.
+            Nothing, or why the connection was not established.
         """
         family = socket.AF_INET6 if ":" in self.endpoint.host else socket.AF_INET
         try:
@@ -96,14 +97,14 @@
     async def send_request(
         self, *, method: str, target: str, headers: HeaderList
     ) -> Result[None, ConnectionLost]:
-        """Give the head of a request; it is sent together with what follows.
+        """Buffer the head of a request; it is sent together with the next data.
 
         Parameters
         ----------
         method, target : str
             Request line.
         headers : list of (bytes, bytes)
-            Headers, with the framing of the body among them if there is one.
+            Headers, including the framing of the body if there is one.
 
         Returns
         -------
@@ -118,11 +119,11 @@
         return Ok(None)
 
     async def send_data(self, data: bytes) -> Result[None, ConnectionLost]:
-        """Send a part of the request's body."""
+        """Send a chunk of the request body."""
         return await self._send(h11.Data(data=data))
 
     async def end_request(self) -> Result[None, ConnectionLost]:
-        """End the request's body."""
+        """End the request body."""
         return await self._send(h11.EndOfMessage())
 
     async def _send(self, event: Any) -> Result[None, ConnectionLost]:
@@ -159,12 +160,12 @@
                     return Err(ConnectionLost(f"unexpected {type(other).__name__}"))
 
     async def read_chunk(self) -> Result[bytes | None, ConnectionLost]:
-        """Read the next part of the response body.
+        """Read the next chunk of the response body.
 
         Returns
         -------
         Result
-            A part, or None once the body is complete, or how the connection was lost
+            A chunk, or None once the body is complete, or how the connection was lost
             before the framing of the body was satisfied.
         """
         event = await self._next_event()
@@ -179,7 +180,7 @@
                 return Err(ConnectionLost(f"unexpected {type(other).__name__}"))
 
     async def read_body(self, *, max_bytes: int) -> Result[bytes, ConnectionLost]:
-        """Read the whole response body.
+        """Read the complete response body.
 
         Parameters
         ----------
@@ -189,7 +190,7 @@
         Returns
         -------
         Result
-            The body, or how the connection was lost before it was whole.
+            The body, or how the connection was lost before the body was complete.
         """
         parts: list[bytes] = []
         size = 0
@@ -202,7 +203,7 @@
                 return Ok(b"".join(parts))
             size += len(data)
             if size > max_bytes:
-                return Err(ConnectionLost(f"the body passes {max_bytes} bytes"))
+                return Err(ConnectionLost(f"the body exceeds {max_bytes} bytes"))
             parts.append(data)
 
     async def _next_event(self) -> Result[Any, ConnectionLost]:
@@ -216,13 +217,13 @@
             return Err(ConnectionLost(f"{type(error).__name__}: {error}"))
 
     def prepare_reuse(self) -> bool:
-        """Ready the connection for another exchange, if it is clean.
+        """Prepare the connection for another exchange, if it can be reused.
 
         Returns
         -------
         bool
-            False if the exchange is unfinished, the server closes, or bytes that
-            belong to no request have arrived; the connection must then be closed.
+            False if the exchange is incomplete, the server closes the connection, or
+            unsolicited bytes have arrived; the connection must then be closed.
         """
         protocol = self._protocol
         finished = protocol.our_state is h11.DONE and protocol.their_state is h11.DONE
@@ -234,7 +235,7 @@
         return self.is_idle()
 
     def is_idle(self) -> bool:
-        """Tell whether nothing, not even the end of the stream, waits to be read."""
+        """Return whether neither data nor the end of the stream is waiting."""
         try:
             self._socket._socket.recv(1, stdlib_socket.MSG_PEEK)
         except BlockingIOError:
@@ -244,14 +245,14 @@
         return False
 
     async def close(self) -> None:
-        """Close the connection, which cancels an unfinished exchange."""
+        """Close the connection, which cancels an incomplete exchange."""
         if self._socket is not None:
             await self._socket.close()
             self._socket = None
 
 
 def _set_options(connection: Any) -> None:
-    """Send at once, and notice a silent other side by keep-alive probes."""
+    """Disable Nagle's algorithm, and detect an unresponsive server by TCP timeouts."""
     connection.setsockopt(stdlib_socket.SOL_SOCKET, stdlib_socket.SO_KEEPALIVE, 1)
     for option, value in (
         (stdlib_socket.TCP_NODELAY, 1),
--- a/packages/core/src/plankspindle_core/http/errors.py
+++ b/packages/core/src/plankspindle_core/http/errors.py
@@ -1,4 +1,4 @@
-"""Failures of HTTP exchanges, as values."""
+"""Error values of HTTP exchanges."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @frozen
 class ConnectFailed:
-    """No connection was made, so no byte was sent.
+    """The connection was not established, so no byte was sent.
 
     Parameters
     ----------
     detail : str
-        What the operating system said.
+        Error of the operating system.
     is_refused : bool
-        Whether the host answered that nobody listens there.
+        Whether the host refused the connection, since nothing listens on the port.
     """
 
     detail: str
@@ -28,7 +28,7 @@
     Parameters
     ----------
     detail : str
-        What was seen.
+        Description of the failure.
     """
 
     detail: str
@@ -36,12 +36,12 @@
 
 @frozen
 class TimedOut:
-    """The time allowed for the exchange ran out.
+    """The exchange was not complete before its timeout.
 
     Parameters
     ----------
     seconds : float
-        Time that was allowed.
+        The timeout in seconds.
     """
 
     seconds: float
--- a/packages/core/src/plankspindle_core/http/fetch.py
+++ b/packages/core/src/plankspindle_core/http/fetch.py
@@ -1,4 +1,4 @@
-"""One complete HTTP exchange on a connection of its own."""
+"""Complete HTTP exchanges, on a new or an existing connection."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     headers : list of (bytes, bytes)
         Headers with lower-case names.
     body : bytes
-        The whole body.
+        The complete body.
     """
 
     status: int
@@ -56,20 +56,20 @@
     Parameters
     ----------
     endpoint : Endpoint
-        Server to ask.
+        Server to send the request to.
     method, target : str
         Request line.
     headers : list of (bytes, bytes), optional
-        Headers besides ``Host`` and the framing.
+        Headers other than ``Host`` and the framing.
     body : bytes
-        Whole request body.
+        Complete request body.
     timeout_s : float
-        Longest time for all of it, in seconds.
+        Timeout of the complete exchange, in seconds.
 
     Returns
     -------
     Result
-        The complete answer, or what failed. After :class:`ConnectionLost` and
+        The complete answer, or the failure. After :class:`ConnectionLost` and
         :class:`TimedOut` the server may have acted on the request.
     """
     connection = ClientConnection(endpoint=endpoint)
@@ -115,18 +115,18 @@
     headers: HeaderList,
     body: bytes = b"",
 ) -> Result[HttpAnswer, HttpError]:
-    """Make one exchange on a connection that is ready.
+    """Make one exchange on an established connection.
 
     Parameters
     ----------
     connection : ClientConnection
-        A new connection, or one that was made ready for reuse.
+        A new connection, or one that was prepared for reuse.
     method, target : str
         Request line.
     headers : list of (bytes, bytes)
-        Headers besides ``Host`` and the length.
+        Headers other than ``Host`` and ``Content-Length``.
     body : bytes
-        Whole request body.
+        Complete request body.
 
     Returns
     -------
--- a/packages/core/src/plankspindle_core/http/headers.py
+++ b/packages/core/src/plankspindle_core/http/headers.py
@@ -1,4 +1,4 @@
-"""Helpers for header lists in the form that h11 uses."""
+"""Helpers for header lists in the format of h11."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
         b"upgrade",
     }
 )
-"""Headers that hold for one connection only, RFC 9110 section 7.6.1."""
+"""Headers that apply to one connection only, RFC 9110 section 7.6.1."""
 END_TO_END = frozenset({b"host", b"content-length"})
-"""Headers that ``Connection`` cannot name: a request without them is another one."""
+"""Headers kept even if ``Connection`` lists them: removing one changes the request."""
 
 
 def as_header_list(headers: Iterable[tuple[bytes, bytes]]) -> HeaderList:
-    """Copy headers as h11 gives them, which may be views of its buffers."""
+    """Copy headers returned by h11, which may be views of its buffers."""
     return [(bytes(key), bytes(value)) for key, value in headers]
 
 
 def find_header(headers: Iterable[tuple[bytes, bytes]], name: bytes) -> bytes | None:
-    """Give the first value of a header, or None.
+    """Return the first value of a header, or None.
 
     Parameters
     ----------
@@ -49,7 +49,7 @@
 
 
 def without_hop_by_hop(headers: Iterable[tuple[bytes, bytes]]) -> HeaderList:
-    """Drop the headers of one connection, those named by ``Connection`` included."""
+    """Remove hop-by-hop headers, including those listed in ``Connection``."""
     listed = list(headers)
     named = {
         token.strip().lower()
--- a/packages/core/src/plankspindle_core/http/limits.py
+++ b/packages/core/src/plankspindle_core/http/limits.py
@@ -1,4 +1,4 @@
-"""Limits of an HTTP server."""
+"""Limits of an HTTP listener."""
 
 from __future__ import annotations
 
@@ -7,20 +7,21 @@
 
 @frozen(kw_only=True)
 class HttpLimits:
-    """What one listener accepts.
+    """Connection, size and time limits of one listener.
 
     Parameters
     ----------
     max_connections : int
-        Open connections; one more is closed at once.
+        Open connections; further ones are closed at once.
     max_header_bytes : int
-        Longest request head.
+        Longest request head, in bytes.
     header_timeout_s : float
         Longest time for a request head to arrive, in seconds.
     idle_timeout_s : float
-        Longest time for which an idle connection is kept, in seconds.
+        Longest time for which an idle connection is kept open, in seconds.
     body_timeout_s : float
-        Longest silence while a request body arrives or an answer is taken, in seconds.
+        Longest time without progress while a request body is received or an answer is
+        sent, in seconds.
     """
 
     max_connections: int = 2_000
--- a/packages/core/src/plankspindle_core/http/server.py
+++ b/packages/core/src/plankspindle_core/http/server.py
@@ -44,16 +44,16 @@
     endpoint : Endpoint
         Address to listen on.
     limits : HttpLimits
-        What is accepted.
+        Limits of the listener.
     handler : callable
         Coroutine function that answers one exchange.
 
     Attributes
     ----------
     leaving : bool
-        While True every answer carries ``Connection: close``.
+        While True, every answer carries ``Connection: close``.
     refused : int
-        Requests refused for breaking the protocol.
+        Requests rejected because they violate the protocol.
     """
 
     def __init__(
@@ -75,12 +75,12 @@
         return len(self._tasks)
 
     async def start(self) -> None:
-        """Listen and begin to accept.
+        """Listen and start to accept connections.
 
         Raises
         ------
         OSError
-            If the address cannot be used.
+            If the server cannot bind to the address.
         """
         family = socket.AF_INET6 if ":" in self.endpoint.host else socket.AF_INET
         listener = socket.socket(family, socket.SOCK_STREAM)
@@ -91,7 +91,7 @@
         self._accept_task = await spawn(self._accept, daemon=True)
 
     async def close(self, *, drain_s: float = 0.0) -> None:
-        """Stop accepting, let running exchanges finish, then close all connections.
+        """Wait for running exchanges, stop accepting, then close all connections.
 
         Parameters
         ----------
@@ -235,7 +235,7 @@
 
 
 def _disable_nagle(client: Any) -> bool:
-    """Let a connection send at once; False if the caller has reset it already."""
+    """Disable Nagle's algorithm; return False if the connection is already reset."""
     try:
         client.setsockopt(stdlib_socket.IPPROTO_TCP, stdlib_socket.TCP_NODELAY, 1)
     except OSError:
--- a/packages/core/src/plankspindle_core/http/server_exchange.py
+++ b/packages/core/src/plankspindle_core/http/server_exchange.py
@@ -22,12 +22,12 @@
 
 
 class CallerDisconnectedError(Exception):
-    """The caller closed its connection before its answer was complete."""
+    """The caller disconnected before its answer was complete."""
 
 
 @define(kw_only=True, eq=False)
 class ServerExchange:
-    """One request of a caller and the answer being sent.
+    """One request of a caller and its answer.
 
     Parameters
     ----------
@@ -36,7 +36,13 @@
     headers : list of (bytes, bytes)
         Headers with lower-case names.
     peer_host : str
-        IP number of the caller.
+        IP address of the caller.
+    limits : HttpLimits
+        Limits of the listener.
+    closes : bool
+        Whether the connection is closed after the answer.
+    head_sent : bool
+        Whether the head of the answer was buffered or sent.
     """
 
     method: str
@@ -52,17 +58,18 @@
     _unsent: bytes = b""
 
     async def read_chunk(self) -> bytes | None:
-        """Read the next part of the request body.
+        """Read the next chunk of the request body.
 
         Returns
         -------
         bytes or None
-            A part, or None once the body is complete.
+            A chunk, or None once the body is complete.
 
         Raises
         ------
         CallerDisconnectedError
-            If the caller closed, was silent too long or broke the protocol.
+            If the caller disconnected, sent nothing until the timeout or violated the
+            protocol.
         """
         if self._body_read:
             return None
@@ -73,7 +80,7 @@
         return bytes(event.data)
 
     async def read_body(self, *, max_bytes: int) -> bytes | None:
-        """Read the whole request body.
+        """Read the complete request body.
 
         Parameters
         ----------
@@ -110,19 +117,19 @@
         return event
 
     async def send_head(self, *, status: int, headers: HeaderList) -> None:
-        """Give the head of the answer; it is sent together with what follows.
+        """Buffer the head of the answer; it is sent together with the next data.
 
         Parameters
         ----------
         status : int
             Status code.
         headers : list of (bytes, bytes)
-            Headers, with the framing of the body among them.
+            Headers, including the framing of the body.
 
         Raises
         ------
         CallerDisconnectedError
-            If the caller is gone.
+            If the head cannot be sent in the present state of the exchange.
         """
         if self.closes or not self._body_read:
             headers = [*headers, (b"connection", b"close")]
@@ -134,7 +141,7 @@
         self.head_sent = True
 
     async def send_data(self, data: bytes) -> None:
-        """Send a part of the answer's body and wait until the socket took it."""
+        """Send a chunk of the answer's body and wait until the socket accepts it."""
         await self._send(h11.Data(data=data))
 
     async def finish(self) -> None:
@@ -160,7 +167,7 @@
     async def answer(
         self, *, status: int, headers: HeaderList | None = None, body: bytes = b""
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         framing = (b"content-length", str(len(body)).encode())
         await self.send_head(status=status, headers=[*(headers or []), framing])
         if body and self.method != "HEAD":
@@ -168,12 +175,12 @@
         await self.finish()
 
     def abort(self) -> None:
-        """Make the coming close a reset, so that the caller sees an unfinished answer.
+        """Make the next close a reset, so that the caller sees an incomplete answer.
 
         Notes
         -----
-        An answer without declared length would otherwise seem complete when its
-        connection ends, RFC 9112 section 8.
+        An answer without a declared length would otherwise seem complete when its
+        connection is closed, RFC 9112 section 8.
         """
         self.closes = True
         raw = self._socket._socket
@@ -183,26 +190,28 @@
 
     @property
     def answer_is_complete(self) -> bool:
-        """Whether the whole answer was handed to the socket."""
+        """Whether the complete answer was written to the socket."""
         return self._protocol.our_state in (h11.DONE, h11.MUST_CLOSE, h11.CLOSED)
 
     @property
     def body_is_read(self) -> bool:
-        """Whether the whole request body was read."""
+        """Whether the complete request body was read."""
         return self._body_read
 
     async def monitor_caller(self) -> Any:
-        """Start a task that raises :class:`CallerDisconnectedError` here on a close.
+        """Start a task that interrupts the calling task if the caller disconnects.
+
+        The calling task then raises :class:`CallerDisconnectedError`.
 
         Returns
         -------
         Task
-            To be cancelled when the answer is complete.
+            Must be cancelled when the answer is complete.
 
         Notes
         -----
-        Only to be used after the whole request body was read, since the task reads
-        the socket. Bytes of a further request are kept for it.
+        Must be called only after the complete request body was read, since the task
+        reads from the socket. Bytes of a pipelined request are buffered for it.
         """
         return await spawn(self._monitor, await current_task(), daemon=True)
 
@@ -216,5 +225,6 @@
             return
         self.closes = True
         await owner.cancel(
-            exc=CallerDisconnectedError("the caller closed"), blocking=False
+            exc=CallerDisconnectedError("the caller closed the connection"),
+            blocking=False,
         )
--- a/packages/core/src/plankspindle_core/invariants.py
+++ b/packages/core/src/plankspindle_core/invariants.py
@@ -1,4 +1,4 @@
-"""Assertion of invariants, counted per name so that a state dump shows them."""
+"""Runtime checks of invariants, counted by name for the state dump."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class InvariantError(AssertionError):
-    """A promise of the system was about to be broken; the process must stop."""
+    """An invariant of the system is violated; the process must stop."""
 
 
 def check_invariant(name: str, holds: bool, detail: str = "") -> None:
-    """Count one check of an invariant and stop the process if it is broken.
+    """Count a check of an invariant and raise an error if it is violated.
 
     Parameters
     ----------
@@ -21,12 +21,12 @@
     holds : bool
         Whether the invariant holds.
     detail : str, optional
-        What was found, for the log line.
+        Description of the violation, for the log line.
 
     Raises
     ------
     InvariantError
-        If the invariant is broken.
+        If the invariant is violated.
     """
     checks_by_name[name] += 1
     if not holds:
--- a/packages/core/src/plankspindle_core/logs/key_value_destination.py
+++ b/packages/core/src/plankspindle_core/logs/key_value_destination.py
@@ -1,4 +1,4 @@
-"""An eliot destination that writes one line of key=value pairs an event."""
+"""An eliot destination that writes each event as one line of key=value pairs."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
     from typing import TextIO
 
 LINES_PER_S = 100.0
-"""Lines a second of one kind of event; a busy VM's failed requests need about 50."""
+"""Rate limit of each event name; failed requests of a busy VM need about 50 lines/s."""
 BURST_LINES = 1_000.0
-"""Lines of one kind of event at once."""
+"""Burst of lines with the same event name."""
 DROP_REPORT_PERIOD_S = 1.0
-"""Period of telling how many lines were dropped."""
+"""Period of the log line that reports how many lines were dropped, in seconds."""
 CLOSE_TIMEOUT_S = 0.5
-"""Longest wait for the reader of the log when the process ends."""
+"""Longest wait for the reader of the log when the process exits, in seconds."""
 _LOOP_LOGGER = "curio"
 _OMITTED_KEYS = frozenset(
     {"task_uuid", "task_level", "timestamp", "message_type", "at"}
@@ -35,33 +35,33 @@
 
 
 class LineSink(Protocol):
-    """Takes lines without making anybody wait.
+    """Accepts log lines without blocking.
 
     Attributes
     ----------
     dropped : int
-        Lines that it dropped.
+        Number of dropped lines.
     """
 
     dropped: int
 
     def add(self, line: str) -> bool:
-        """Take a line; False if it was dropped."""
+        """Add a line; return False if it was dropped."""
 
     def flush(self) -> None:
-        """Hand on what can be handed on at this moment."""
+        """Write as much as possible without blocking."""
 
     def drain(self, *, wait_s: float) -> None:
-        """Hand on everything, waiting a bounded time."""
+        """Write all lines, waiting for at most ``wait_s`` seconds."""
 
 
 class StreamSink:
-    """Writes lines to a text stream at once, as tests want it.
+    """Writes lines to a text stream at once, for tests.
 
     Parameters
     ----------
     stream : TextIO
-        Where the lines go.
+        Stream that the lines are written to.
     """
 
     def __init__(self, *, stream: TextIO) -> None:
@@ -89,21 +89,21 @@
     Parameters
     ----------
     sink : LineSink
-        Where the lines go.
+        Sink that the lines are written to.
     vm : str, optional
-        Name that every line carries, so that logs of several VMs can be read together.
+        Name added to every line, so that logs of several VMs can be read together.
     clock : callable
-        Gives monotonic seconds.
+        Returns monotonic seconds.
 
     Attributes
     ----------
     dropped_by_event : Counter of str
-        Lines that were dropped, by event.
+        Number of dropped lines by event name.
 
     Notes
     -----
-    Each kind of event has a token bucket of its own, so that a flood of one kind does
-    not hide the others.
+    Each event name has a token bucket of its own, so that a flood of one event does not
+    suppress the others.
     """
 
     def __init__(
@@ -122,7 +122,7 @@
         self._next_report_at = 0.0
 
     def __call__(self, message: dict[str, Any]) -> None:
-        """Take one message."""
+        """Write one eliot message."""
         event = message.get("message_type") or message.get("action_type", "message")
         if not self._bucket_of(event).take(self._clock()):
             self.dropped_by_event[event] += 1
@@ -130,7 +130,7 @@
         self._add(event, message)
 
     def flush(self, now: float) -> None:
-        """Hand lines on, and tell once a second how many were dropped.
+        """Flush the sink, and log once per second how many lines were dropped.
 
         Parameters
         ----------
@@ -146,7 +146,7 @@
         self._sink.flush()
 
     def close(self) -> None:
-        """Hand everything on, waiting a little for a slow reader."""
+        """Write all pending lines, waiting ``CLOSE_TIMEOUT_S`` at most."""
         self._sink.drain(wait_s=CLOSE_TIMEOUT_S)
 
     def _bucket_of(self, event: str) -> TokenBucket:
@@ -175,22 +175,22 @@
 def start_logging(
     *, stream: TextIO | None = None, vm: str | None = None
 ) -> KeyValueDestination:
-    """Send every event to standard output, or to a stream, as key=value lines.
+    """Write every event to standard output, or to a stream, as key=value lines.
 
     Parameters
     ----------
     stream : TextIO, optional
-        A stream to be written at once, in place of standard output.
+        Stream that is written at once, instead of standard output.
     vm : str, optional
-        Name that every line carries.
+        Name added to every line.
 
     Returns
     -------
     KeyValueDestination
-        The destination, to be given to :func:`stop_logging`.
+        The destination, to be passed to :func:`stop_logging`.
     """
-    # It warns of each operation that ends a little after its timeout, in lines of its
-    # own form that push the cause of a failure out of sight.
+    # curio warns of every operation that ends slightly after its timeout. These lines
+    # have another format and bury the cause of a failure.
     logging.getLogger(_LOOP_LOGGER).setLevel(logging.ERROR)
     sink: LineSink
     if stream is None:
@@ -203,7 +203,7 @@
 
 
 def stop_logging(destination: KeyValueDestination) -> None:
-    """Stop sending events to a destination, and hand on what waits there."""
+    """Remove a destination, and write its pending lines."""
     eliot.remove_destination(destination)
     destination.close()
 
@@ -216,7 +216,7 @@
     event : str
         Name of the event, in snake case.
     **fields : object
-        Its key=value pairs; ``at`` is when it happened, seconds since the Unix epoch,
-        if that was not now.
+        Fields of the event; ``at`` is the time of the event, seconds since the Unix
+        epoch, if that is not the present.
     """
     eliot.log_message(message_type=event, **fields)
--- a/packages/core/src/plankspindle_core/logs/line_rendering.py
+++ b/packages/core/src/plankspindle_core/logs/line_rendering.py
@@ -1,4 +1,4 @@
-"""Log lines of key=value pairs, written and read."""
+"""Rendering and parsing of log lines of key=value pairs."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 
 
 def render_line(*, event: str, wall: float, fields: Mapping[str, Any]) -> str:
-    """Write one event as a line.
+    """Render one event as a line.
 
     Parameters
     ----------
     event : str
         Name of the event, in snake case.
     wall : float
-        When it happened, seconds since the Unix epoch.
+        Time of the event, seconds since the Unix epoch.
     fields : mapping of str to object
-        Its values; those that are None are left out.
+        Fields of the event; those that are None are omitted.
 
     Returns
     -------
     str
-        A single line; values with other than plain characters are JSON strings.
+        A single line; values with special characters are written as JSON strings.
     """
     when = datetime.fromtimestamp(wall, tz=UTC)
     pairs = [f"time={when.isoformat(timespec='milliseconds')}", f"event={event}"]
@@ -45,17 +45,17 @@
 
 
 def parse_line(line: str) -> dict[str, str] | None:
-    """Read one line back.
+    """Parse one line.
 
     Parameters
     ----------
     line : str
-        A line of a log; what a collector put before the event is skipped.
+        A line of a log; a prefix added by a log collector is skipped.
 
     Returns
     -------
     dict of str to str, or None
-        Its pairs with ``time`` and ``event`` among them; None if it holds no event.
+        Its fields, including ``time`` and ``event``; None if it is not an event.
     """
     start = _START.search(line)
     if start is None:
--- a/packages/core/src/plankspindle_core/logs/line_writer.py
+++ b/packages/core/src/plankspindle_core/logs/line_writer.py
@@ -1,4 +1,4 @@
-"""Lines to a file descriptor whose reader is never waited for."""
+"""Non-blocking writer of log lines to a file descriptor."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 from plankspindle_core.steady_clock import monotonic
 
 MAX_PENDING_BYTES = 262_144
-"""Lines that wait for their reader; about three seconds of a busy entry VM's log."""
+"""Longest buffer of unread lines, in bytes: about 3 s of a busy entry VM's log."""
 CHUNK_BYTES = 4_096
-"""Bytes written at a time: a pipe that is ready takes this many without waiting."""
+"""Bytes per write: a pipe that polls as writable accepts this many without blocking."""
 POLL_INTERVAL_S = 0.02
 
 
 class LineWriter:
-    """Hand lines to a file descriptor, and drop what its reader leaves standing.
+    """Write lines to a file descriptor, and drop lines if its reader is too slow.
 
     Parameters
     ----------
     descriptor : int
         Open file descriptor, such as that of standard output.
     max_pending_bytes : int
-        Bytes that may wait; further lines are dropped.
+        Size of the buffer in bytes; lines that do not fit are dropped.
 
     Attributes
     ----------
     dropped : int
-        Lines that were dropped since the program began.
+        Number of lines dropped since the writer was created.
 
     Notes
     -----
-    The descriptor stays in blocking mode, since others may share it. It is asked
-    whether it is ready before each write of at most ``CHUNK_BYTES``, which a ready pipe
-    takes whole.
+    The descriptor stays in blocking mode, since other processes may share it. It is
+    polled before each write of at most ``CHUNK_BYTES``, which a writable pipe accepts
+    completely.
     """
 
     def __init__(
@@ -52,16 +52,16 @@
 
     @property
     def pending_bytes(self) -> int:
-        """Bytes that wait for the reader."""
+        """Number of buffered bytes."""
         return self._pending_bytes
 
     def add(self, line: str) -> bool:
-        """Queue a line; False if it was dropped.
+        """Buffer a line; return False if it was dropped.
 
         Parameters
         ----------
         line : str
-            A line without its end.
+            A line without its newline.
         """
         encoded = line.encode() + b"\n"
         is_full = self._pending_bytes + len(encoded) > self._max_pending_bytes
@@ -73,12 +73,12 @@
         return True
 
     def flush(self) -> None:
-        """Write what the reader takes at this moment."""
+        """Write as much as the descriptor accepts without blocking."""
         while self._pending and self._is_ready():
             self._write(self._next_chunk())
 
     def drain(self, *, wait_s: float) -> None:
-        """Write everything, waiting a bounded time for a slow reader.
+        """Write all buffered lines, waiting for a slow reader for a limited time.
 
         Parameters
         ----------
@@ -96,7 +96,10 @@
         return bool(events) and bool(events[0][1] & select.POLLOUT)
 
     def _next_chunk(self) -> bytes:
-        """Take whole lines, so that a collector never sees half of one; or a part."""
+        """Take complete lines from the buffer, or a part of one that is too long.
+
+        A log collector then never reads a partial line that fits in one chunk.
+        """
         chunk = bytearray()
         while self._pending and len(chunk) + len(self._pending[0]) <= CHUNK_BYTES:
             chunk += self._pending.popleft()
@@ -111,7 +114,7 @@
         try:
             written = os.write(self._descriptor, chunk)
         except OSError:
-            # Nobody reads any more: a log that cannot be written stops no request.
+            # The reader has closed the pipe. Requests must not fail because of the log.
             self._is_broken = True
             self._pending.clear()
             self._pending_bytes = 0
--- a/packages/core/src/plankspindle_core/lookup_ttl.py
+++ b/packages/core/src/plankspindle_core/lookup_ttl.py
@@ -1,4 +1,4 @@
-"""Time for which callers may keep the answer to a look-up."""
+"""Time for which callers may cache the answer to a lookup."""
 
 from __future__ import annotations
 
--- a/packages/core/src/plankspindle_core/outcome.py
+++ b/packages/core/src/plankspindle_core/outcome.py
@@ -1,4 +1,4 @@
-"""What a caller is told about the execution of its request."""
+"""Outcome of a request, as reported to its caller."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class Outcome(Enum):
-    """Truth about one request, sent in the ``Plankspindle-Outcome`` header.
+    """Whether a request was executed, sent in the ``Plankspindle-Outcome`` header.
 
     Notes
     -----
-    ``NOT_RUN`` is sent only when it is proven that no upstream ran the request and
-    that none ever will. ``UNKNOWN`` is sent when bytes reached a socket and no
-    complete answer came back.
+    ``NOT_RUN`` is sent only if it is certain that no upstream ran the request and that
+    none ever will. ``UNKNOWN`` is sent if bytes were written to a socket and no
+    complete answer was received.
     """
 
     DONE = "done"
--- a/packages/core/src/plankspindle_core/process_start.py
+++ b/packages/core/src/plankspindle_core/process_start.py
@@ -1,4 +1,4 @@
-"""When this process began, as near as it can know."""
+"""Start time of this process."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from typing import Final
 
 PROCESS_STARTED_AT: Final = time.clock_gettime(time.CLOCK_BOOTTIME)
-"""Seconds on the clock of :mod:`plankspindle_core.steady_clock`.
+"""Start time in seconds on the clock of :mod:`plankspindle_core.steady_clock`.
 
-Whoever starts a process imports this module first: other imports take up to a second on
-a small machine.
+Entry points import this module before any other, since the other imports take up to a
+second on a small machine.
 """
--- a/packages/core/src/plankspindle_core/read_json.py
+++ b/packages/core/src/plankspindle_core/read_json.py
@@ -1,4 +1,4 @@
-"""JSON that comes from outside."""
+"""Parsing of untrusted JSON."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def read_json(text: bytes | str) -> Any:
-    """Read JSON.
+    """Parse JSON.
 
     Parameters
     ----------
@@ -17,13 +17,14 @@
     Raises
     ------
     ValueError
-        If it is no JSON, or nested deeper than the interpreter's stack allows.
+        If it is not valid JSON, or nested deeper than the interpreter's stack allows.
 
     Notes
     -----
-    ``json.loads`` ends such nesting with ``RecursionError``, which no reader expects.
+    ``json.loads`` raises ``RecursionError`` for such nesting, which callers that handle
+    ``ValueError`` would not catch.
     """
     try:
         return json.loads(text)
     except RecursionError as error:
-        raise ValueError("nested too deep") from error
+        raise ValueError("nested too deeply") from error
--- a/packages/core/src/plankspindle_core/settings/__init__.py
+++ b/packages/core/src/plankspindle_core/settings/__init__.py
@@ -1,3 +1,3 @@
-"""Reading of YAML documents into checked attrs classes."""
+"""Parsing of YAML documents into validated attrs classes."""
 
 from __future__ import annotations
--- a/packages/core/src/plankspindle_core/settings/structure.py
+++ b/packages/core/src/plankspindle_core/settings/structure.py
@@ -1,4 +1,4 @@
-"""Structuring of plain mappings into attrs classes with key paths in errors."""
+"""Conversion of plain mappings into attrs classes, with key paths in errors."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
 
 
 class _WrongTypeError(TypeError):
-    """A value of another type than wanted, with a message for its writer."""
+    """A value does not have the expected type; the message is for the operator."""
 
 
 def make_converter() -> Converter:
-    """Build a converter that checks scalar types and refuses unknown keys.
+    """Create a converter that checks scalar types and rejects unknown keys.
 
     Returns
     -------
     Converter
-        Ready for further hooks.
+        Converter that callers may add hooks to.
     """
     converter = Converter(forbid_extra_keys=True)
     for scalar in (bool, int, str):
@@ -73,7 +73,7 @@
     *,
     key_by_field: Mapping[str, str] = MappingProxyType({}),
 ) -> Result[Structured, InvalidDocument]:
-    """Structure a mapping, turning failures into lines with key paths.
+    """Convert a mapping into an attrs class; errors become lines with key paths.
 
     Parameters
     ----------
@@ -89,7 +89,7 @@
     Returns
     -------
     Result
-        The built object, or the problems found.
+        The object, or all problems found.
     """
     try:
         return Ok(converter.structure(value, wanted))
@@ -110,7 +110,7 @@
     if isinstance(error, _WrongTypeError | ValueError) and error.args:
         return str(error.args[0])
     if isinstance(error, TypeError | AttributeError | IndexError):
-        return "the value does not have the form it must have here"
+        return "the value does not have the expected form"
     extra = getattr(error, "extra_fields", None)
     if extra:
         keys = ", ".join(sorted(map(str, extra)))
--- a/packages/core/src/plankspindle_core/settings/yaml_document.py
+++ b/packages/core/src/plankspindle_core/settings/yaml_document.py
@@ -1,4 +1,4 @@
-"""YAML loading that refuses duplicate keys."""
+"""YAML loading that rejects duplicate keys."""
 
 from __future__ import annotations
 
@@ -13,27 +13,30 @@
 
 
 class _DuplicateKeyError(yaml.YAMLError):  # type: ignore[misc]
-    """A mapping names a key twice."""
+    """A mapping contains a key twice."""
 
 
 class _StrictLoader(yaml.CSafeLoader):  # type: ignore[misc]
-    """Safe loader that refuses duplicate keys."""
+    """Safe loader that rejects duplicate keys."""
 
     def construct_mapping(self, node: Any, deep: bool = False) -> dict[Any, Any]:
-        """Build a mapping, refusing a key that stands twice."""
+        """Build a mapping, rejecting duplicate keys."""
         seen = set()
         for key_node, _ in node.value:
             key = self.construct_object(key_node, deep=True)
             if key in seen:
                 line = key_node.start_mark.line + 1
-                raise _DuplicateKeyError(f"key {key!r} stands twice, line {line}")
+                raise _DuplicateKeyError(f"duplicate key {key!r}, line {line}")
             seen.add(key)
         built: dict[Any, Any] = super().construct_mapping(node, deep)
         return built
 
 
 YAML_ERRORS = (yaml.YAMLError, ValueError, TypeError, RecursionError)
-"""Errors of the library; all but the first for dates, tags and keys without sense."""
+"""Errors of the YAML library.
+
+All but the first are raised for invalid dates, tags and keys, and for deep nesting.
+"""
 
 
 def load_yaml(text: str) -> Result[dict[str, Any], InvalidDocument]:
--- a/packages/core/src/plankspindle_core/stable_hash.py
+++ b/packages/core/src/plankspindle_core/stable_hash.py
@@ -1,4 +1,4 @@
-"""A hash that is the same in every process."""
+"""A hash that has the same value in every process."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def stable_hash(text: str) -> int:
-    """Hash a text to 64 bits, the same in every process."""
+    """Return a 64-bit hash of a text that has the same value in every process."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
--- a/packages/core/src/plankspindle_core/steady_clock.py
+++ b/packages/core/src/plankspindle_core/steady_clock.py
@@ -1,8 +1,7 @@
-"""The clock of all ages, leases, deadlines and timers.
+"""Monotonic clock that includes suspensions, for ages, leases, deadlines and timers.
 
-It counts the time for which the machine was suspended, and never jumps. The steady
-clock of :mod:`time` stands still in a suspension: what was agreed for two seconds would
-hold on after a suspension of five.
+``time.monotonic`` stops while the machine is suspended: with it, a lease of two seconds
+would still be valid after a suspension of five.
 """
 
 from __future__ import annotations
@@ -23,11 +22,11 @@
     from collections.abc import Iterator
 
 monotonic: Final[Callable[[], float]] = partial(time.clock_gettime, time.CLOCK_BOOTTIME)
-"""Give the time in seconds since the machine was started, suspensions included."""
+"""Return the time since the machine was booted, in seconds, including suspensions."""
 
 
 def run(function: Callable[..., Any], *args: Any) -> Any:
-    """Run a coroutine function on a kernel whose timers count suspensions.
+    """Run a coroutine function on a curio kernel whose timers include suspensions.
 
     Parameters
     ----------
@@ -39,13 +38,13 @@
     Returns
     -------
     object
-        What it returns.
+        Return value of the coroutine.
 
     Notes
     -----
-    curio takes ``time.monotonic`` when a kernel is made, and has no setting for another
-    clock. With that one a time limit that stands for a deadline would pass as much
-    later as the machine was suspended.
+    A curio kernel takes ``time.monotonic`` when it is created, and has no setting for
+    another clock. With that clock, a timeout that implements a deadline would expire
+    late by the duration of the suspension.
     """
     with _kernel_clock_replaced():
         return curio.run(function, *args)
--- a/packages/core/src/plankspindle_core/supervisor.py
+++ b/packages/core/src/plankspindle_core/supervisor.py
@@ -1,4 +1,4 @@
-"""Tasks whose errors are kept, so that they stop the process or only themselves."""
+"""Supervision of tasks: which errors stop the process, and which are contained."""
 
 from __future__ import annotations
 
@@ -21,30 +21,31 @@
     from plankspindle_core.http.server_exchange import ServerExchange
 
 MAX_CONSECUTIVE_ERRORS = 20
-"""Contained errors of one kind without a success between, after which nothing serves.
+"""Consecutive contained errors of one function after which the process stops.
 
-A state that breaks all that comes is mended by a new process; a caller who breaks its
-own requests is not so alone under load that twenty come in a row.
+If a corrupted state makes every request fail, only a restart repairs it. A caller whose
+own requests fail does not cause a restart, since under load its requests alternate with
+those of other callers, so that twenty consecutive errors do not occur.
 """
 _INTERNAL_ERROR = 500
 _UNKNOWN = (header_names.OUTCOME, Outcome.UNKNOWN.value.encode())
 
 
 class Supervisor:
-    """Start tasks and keep the first error that must stop the process.
+    """Start tasks and record the first error that must stop the process.
 
     Attributes
     ----------
     error : Exception or None
-        A broken invariant, or an error that a lasting task did not expect.
+        A violated invariant, or an unexpected error of a background task.
     contained_errors : int
-        Unexpected errors that ended only what one request, message or probe did.
+        Unexpected errors that ended only one request, message or probe.
 
     Notes
     -----
-    A lasting task that ends leaves the process without what it did, so that its error
-    stops the process. What serves one request ends with that request: otherwise one
-    fault cuts off all requests of the process, dozens under load.
+    The process cannot work without its background tasks, so an error of one stops the
+    process. An error while a request is handled ends only that request: otherwise one
+    fault would abort all requests of the process, dozens under load.
     """
 
     def __init__(self) -> None:
@@ -53,7 +54,7 @@
         self._consecutive_errors_by_name: dict[str, int] = {}
 
     async def spawn(self, function: Callable[..., Awaitable[None]], *args: Any) -> Any:
-        """Start a lasting task.
+        """Start a background task that runs as long as the process.
 
         Parameters
         ----------
@@ -72,7 +73,7 @@
     async def _guard(
         self, function: Callable[..., Awaitable[None]], *args: Any
     ) -> None:
-        """Run a coroutine function, keeping the error it ends with."""
+        """Run a coroutine function and record the error that it raises."""
         try:
             await function(*args)
         except Exception as error:
@@ -81,24 +82,26 @@
     async def contain(
         self, function: Callable[..., Awaitable[None]], *args: Any
     ) -> bool:
-        """Run a coroutine function of whose errors only broken invariants are kept.
+        """Run a coroutine function whose unexpected errors are logged and contained.
+
+        Only a violated invariant, or too many consecutive errors, stop the process.
 
         Parameters
         ----------
         function : callable
-            Coroutine function that serves one request, message or probe.
+            Coroutine function that handles one request, message or probe.
         *args : object
             Its arguments.
 
         Returns
         -------
         bool
-            False if it ended with an error that it did not expect, which is logged.
+            False if it raised an unexpected error, which is logged.
 
         Raises
         ------
         CallerDisconnectedError
-            If the caller is gone.
+            If the caller has disconnected.
         """
         try:
             await function(*args)
@@ -133,7 +136,7 @@
         handle: Callable[[ServerExchange], Awaitable[None]],
         source: ServerExchange,
     ) -> None:
-        """Handle one request; after an unexpected error nobody knows whether it ran.
+        """Handle one request; after an unexpected error, answer with outcome unknown.
 
         Parameters
         ----------
@@ -152,11 +155,11 @@
             await source.answer(status=_INTERNAL_ERROR, headers=[_UNKNOWN])
 
     def raise_if_failed(self) -> None:
-        """Raise the error that was kept, if there is one."""
+        """Raise the recorded error, if there is one."""
         if self.error is not None:
             raise self.error
 
 
 def _name_of(function: Callable[..., Awaitable[None]]) -> str:
-    """Name a coroutine function without printing what it is bound to."""
+    """Return the name of a coroutine function, without the repr of its instance."""
     return getattr(function, "__qualname__", "") or type(function).__name__
--- a/packages/core/src/plankspindle_core/time_limit.py
+++ b/packages/core/src/plankspindle_core/time_limit.py
@@ -1,4 +1,4 @@
-"""Limits of time that may stand inside one another."""
+"""Timeouts that can be nested safely."""
 
 from __future__ import annotations
 
@@ -18,19 +18,20 @@
 
 
 class TimeLimit:
-    """An asynchronous context that raises :class:`curio.TaskTimeout` when it is late.
+    """An asynchronous context that raises :class:`curio.TaskTimeout` on expiry.
 
     Parameters
     ----------
     seconds : float
-        Time that it may take.
+        Timeout in seconds.
 
     Notes
     -----
-    A curio task that is ready to run when an inner limit passes learns of it at its
-    next wait. If the loop was busy until an outer limit had passed, too, curio finds no
-    limit that the end belongs to and raises ``UncaughtTimeoutError``. The outer limit
-    has passed then, so that is what is raised here: otherwise a busy loop of some 50 ms
+    A curio task that is ready to run when an inner timeout expires receives it at its
+    next wait. If the event loop was blocked until an outer timeout had expired as well,
+    curio finds no timeout that the expiry belongs to and raises
+    ``UncaughtTimeoutError``. Since the outer timeout has expired by then, this context
+    raises ``TaskTimeout`` instead. Without this, an event loop blocked for about 50 ms
     ended the process.
     """
 
@@ -40,7 +41,7 @@
         self._deadline = 0.0
 
     async def __aenter__(self) -> TimeLimit:
-        """Begin."""
+        """Start the timeout."""
         self._deadline = monotonic() + self._seconds
         await self._limit.__aenter__()
         return self
@@ -51,12 +52,12 @@
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """End; an end of time that no limit was found for is this one's if it is late.
+        """Stop the timeout; an uncaught expiry is its own if its deadline has passed.
 
         Raises
         ------
         TaskTimeout
-            If the time is over.
+            If the timeout has expired.
         """
         try:
             await self._limit.__aexit__(kind, error, traceback)
@@ -75,12 +76,12 @@
 async def within(
     seconds: float, function: Callable[..., Awaitable[Any]], *args: Any
 ) -> Any:
-    """Call a coroutine function within a limit of time.
+    """Call a coroutine function with a timeout.
 
     Parameters
     ----------
     seconds : float
-        Time that it may take.
+        Timeout in seconds.
     function : callable
         Coroutine function.
     *args : object
@@ -89,7 +90,7 @@
     Raises
     ------
     TaskTimeout
-        If the time is over before it has returned.
+        If the function has not returned in time.
     """
     async with TimeLimit(seconds):
         return await function(*args)
--- a/packages/core/src/plankspindle_core/token_bucket.py
+++ b/packages/core/src/plankspindle_core/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket without I/O."""
+"""A token bucket rate limiter without I/O."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 @define(kw_only=True)
 class TokenBucket:
-    """Bound on how often something may be done.
+    """Limit the rate of an action.
 
     Parameters
     ----------
     per_s : float
-        Times allowed each second on average.
+        Tokens added per second.
     burst : float
-        Times allowed at once.
+        Capacity of the bucket, in tokens.
     refused : int
-        Times that were not allowed.
+        Number of calls of ``take`` that found no token.
     """
 
     per_s: float
@@ -26,12 +26,12 @@
     _filled_at: float = 0.0
 
     def take(self, now: float) -> bool:
-        """Use one time; False if it is not allowed.
+        """Take one token; return False if there is none.
 
         Parameters
         ----------
         now : float
-            Monotonic seconds.
+            Monotonic seconds; if earlier than at the last call, nothing is refilled.
         """
         if self._tokens is None:
             self._tokens = self.burst
--- a/packages/core/tests/configuration/test_workspace.py
+++ b/packages/core/tests/configuration/test_workspace.py
@@ -14,7 +14,7 @@
 KEY = "ymh2rrytapjsujqurtyi"
 
 
-def test_a_configuration_carries_digests_and_no_keys() -> None:
+def test_configuration_contains_digests_and_no_keys() -> None:
     depot = build_workspace(
         KEY,
         priority_class="gold",
@@ -36,7 +36,7 @@
         ({"home_regions": ["vienna"]}, "workspaces.depot.home_regions"),
     ],
 )
-def test_what_is_not_declared_is_a_problem(
+def test_undeclared_reference_is_a_problem(
     fields: dict[str, object], problem: str
 ) -> None:
     depot = build_workspace(KEY, **fields)
@@ -44,7 +44,7 @@
     assert [each for each in problems if each.startswith(problem)]
 
 
-def test_a_key_belongs_to_one_workspace_or_caller() -> None:
+def test_key_of_two_workspaces_or_callers_is_a_problem() -> None:
     by_name = {"depot": build_workspace(KEY), "yard": build_workspace(KEY)}
     problems = build_configuration(workspaces_by_name=by_name).problems()
     assert problems == [
@@ -57,7 +57,7 @@
     ]
 
 
-def test_a_workspace_is_not_named_like_a_caller() -> None:
+def test_workspace_with_the_name_of_a_caller_is_a_problem() -> None:
     by_name = {"dealer": build_workspace(KEY)}
     problems = build_configuration(workspaces_by_name=by_name).problems()
     assert problems == ["workspaces.dealer: a caller has the same name"]
@@ -67,7 +67,7 @@
     "line",
     ["rate_per_s: -1", "burst: -1", "key_sha256s: [plain]", "api_keys: [plain]"],
 )
-def test_yaml_that_is_wrong_gets_a_clear_error(line: str) -> None:
+def test_invalid_workspace_in_yaml_is_reported_with_its_key(line: str) -> None:
     text = (
         "failure_domains: {ba-1: {region: bratislava}}\n"
         "priority_classes: [gold]\n"
--- a/packages/core/tests/http/test_server.py
+++ b/packages/core/tests/http/test_server.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP listener and connection, over loopback in one kernel."""
+"""Tests of the HTTP listener and client connection, over loopback in one kernel."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
     return received
 
 
-def test_requests_on_one_connection_are_answered_in_order() -> None:
+def test_pipelined_requests_are_answered_in_order() -> None:
     requests = b"".join(
         b"GET /%d HTTP/1.1\r\nhost: a\r\n%s\r\n" % (number, close)
         for number, close in ((1, b""), (2, b""), (3, b"connection: close\r\n"))
@@ -99,7 +99,7 @@
     ],
     ids=["two-framings", "two-lengths", "no-host", "long-header", "garbage"],
 )
-def test_what_breaks_the_protocol_is_refused_and_closed(
+def test_protocol_violation_is_rejected_and_the_connection_closed(
     request_bytes: bytes, status: bytes
 ) -> None:
     answer = run_with_server(
@@ -108,21 +108,21 @@
     assert answer.startswith(b"HTTP/1.1 " + status)
 
 
-def test_a_head_that_does_not_arrive_in_time_is_closed() -> None:
+def test_connection_is_closed_if_the_request_head_times_out() -> None:
     answer = run_with_server(
         lambda endpoint: send_raw(endpoint, b"GET / HT"), header_timeout_s=0.1
     )
     assert answer == b""
 
 
-def test_a_body_that_is_too_long_is_refused() -> None:
+def test_too_long_body_is_rejected() -> None:
     async def use(endpoint: Endpoint) -> Any:
         return await fetch(endpoint, method="POST", body=b"x" * 2_000, timeout_s=5.0)
 
     assert run_with_server(use).unwrap().status == 413
 
 
-def test_one_connection_too_many_is_closed() -> None:
+def test_connection_beyond_the_limit_is_closed() -> None:
     async def use(endpoint: Endpoint) -> Any:
         kept = ClientConnection(endpoint=endpoint)
         await kept.start(timeout_s=1.0)
@@ -137,7 +137,7 @@
     assert isinstance(refused.unwrap_err(), ConnectionLost)
 
 
-def test_an_answer_that_is_aborted_is_seen_as_lost() -> None:
+def test_aborted_answer_is_a_lost_connection() -> None:
     async def abort(source: ServerExchange) -> None:
         await source.read_body(max_bytes=0)
         await source.send_head(status=200, headers=[])
@@ -151,7 +151,7 @@
     assert isinstance(lost.unwrap_err(), ConnectionLost)
 
 
-def test_a_server_that_does_not_answer_times_out() -> None:
+def test_unresponsive_server_times_out() -> None:
     async def hang(source: ServerExchange) -> None:
         await curio.sleep(60)
 
@@ -161,14 +161,14 @@
     assert run_with_server(use, handler=hang).unwrap_err() == TimedOut(0.2)
 
 
-def test_nobody_listening_is_a_failed_connection() -> None:
+def test_closed_port_is_a_failed_connection() -> None:
     async def use() -> Any:
         return await fetch(Endpoint(loopback_host(6, 1), 9), timeout_s=1.0)
 
     assert isinstance(curio.run(use).unwrap_err(), ConnectFailed)
 
 
-def test_a_connection_with_stray_bytes_is_not_reused() -> None:
+def test_connection_with_unsolicited_bytes_is_not_reused() -> None:
     async def stray(source: ServerExchange) -> None:
         await source.read_body(max_bytes=0)
         await source.answer(status=200, body=b"mine")
@@ -192,14 +192,14 @@
     assert run_with_server(use, handler=stray) == (False, b"mine")
 
 
-def test_a_connection_that_hangs_is_given_up_in_time() -> None:
+def test_connect_times_out_if_the_accept_queue_is_full() -> None:
     async def use() -> tuple[bool, bool]:
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         endpoint = Endpoint(loopback_host(6, 1), next(_PORTS))
         listener.bind((endpoint.host, endpoint.port))
         listener.listen(0)
         hung = [ClientConnection(endpoint=endpoint) for _ in range(4)]
-        # The queue of the listener is full after two, so that the rest must wait.
+        # The accept queue is full after two connections; further ones must wait.
         async with curio.timeout_after(5.0):
             ends = [await each.start(timeout_s=0.05) for each in hung]
         for each in hung:
@@ -211,7 +211,7 @@
 
 
 class _ResetClient:
-    """A connection that was reset before it was taken."""
+    """A connection that was reset before it was accepted."""
 
     def setsockopt(self, *_: int) -> None:
         raise OSError(22, "Invalid argument")
@@ -221,7 +221,7 @@
 
 
 class _ListenerWithReset:
-    """Gives a connection that was reset first, and then those of a real listener."""
+    """Returns a connection that was reset first, then those of a real listener."""
 
     def __init__(self, listener: Any) -> None:
         self._listener = listener
@@ -238,7 +238,7 @@
         await self._listener.close()
 
 
-def test_a_connection_that_was_reset_already_does_not_end_accepting() -> None:
+def test_connection_reset_before_accept_does_not_stop_the_listener() -> None:
     endpoint = Endpoint(loopback_host(6, 1), next(_PORTS))
 
     async def run() -> int:
--- a/packages/core/tests/http/test_silent_connection.py
+++ b/packages/core/tests/http/test_unresponsive_server.py
@@ -1,4 +1,4 @@
-"""Tests of connections whose other side falls silent."""
+"""Tests that a connection to a server that disappears without a reset is ended."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 _PORTS = count(18_900)
 MOST_S = 3.0
-"""Longest time to notice it, without a reset and without a request, in seconds."""
+"""Longest time to detect it without a reset and without a request, in seconds."""
 
 
 @pytest.fixture
 def options() -> dict[int, int]:
-    """Give the TCP options of a connection that was made."""
+    """Return the TCP options of an established connection."""
     endpoint = Endpoint(loopback_host(7, 9), next(_PORTS))
 
     async def handle(source: ServerExchange) -> None:
@@ -56,17 +56,17 @@
     return curio.run(run)  # type: ignore[no-any-return]
 
 
-def test_a_connection_at_rest_is_probed(options: dict[int, int]) -> None:
+def test_idle_connection_is_probed_by_tcp_keepalive(options: dict[int, int]) -> None:
     assert options[-1] == 1
     probes = options[socket.TCP_KEEPCNT] * options[socket.TCP_KEEPINTVL]
     assert 0 < options[socket.TCP_KEEPIDLE] + probes <= MOST_S
 
 
-def test_bytes_that_nobody_acknowledges_end_the_connection(
+def test_unacknowledged_bytes_end_the_connection(
     options: dict[int, int],
 ) -> None:
     assert 0 < options[socket.TCP_USER_TIMEOUT] <= 1_000 * MOST_S
 
 
-def test_small_writes_do_not_wait_for_one_another(options: dict[int, int]) -> None:
+def test_nagles_algorithm_is_disabled(options: dict[int, int]) -> None:
     assert options[socket.TCP_NODELAY] != 0
--- a/packages/core/tests/logs/test_key_value_destination.py
+++ b/packages/core/tests/logs/test_key_value_destination.py
@@ -19,7 +19,7 @@
 from plankspindle_core.logs.line_rendering import render_line
 
 
-def test_an_event_is_one_line_whatever_its_values_hold() -> None:
+def test_event_is_one_line_whatever_its_values_contain() -> None:
     fields = {"detail": 'two\nlines and a "quote"', "version": 7, "odd key": "x"}
     line = render_line(event="adopted", wall=0.0, fields=fields)
     assert line == (
@@ -28,8 +28,9 @@
     )
 
 
-def test_events_reach_the_stream_until_logging_is_stopped() -> None:
-    # What other tests logged before any logging was started comes at its first start.
+def test_events_are_written_until_logging_is_stopped() -> None:
+    # eliot buffers events until the first destination is added. Those of other tests
+    # are written to this first destination and discarded.
     stop_logging(start_logging(stream=io.StringIO()))
     stream = io.StringIO()
     destination = start_logging(stream=stream)
@@ -47,7 +48,7 @@
         st.from_regex(r"[a-z][a-z_]{0,8}", fullmatch=True), st.text(min_size=1)
     )
 )
-def test_a_line_is_read_back_as_it_was_written(fields: dict[str, str]) -> None:
+def test_parsed_line_equals_the_rendered_fields(fields: dict[str, str]) -> None:
     fields = {key: each for key, each in fields.items() if key not in {"time", "event"}}
     line = "12.5 node | " + render_line(event="e", wall=1.5, fields=fields)
     parsed = parse_line(line)
@@ -57,12 +58,12 @@
     assert parsed == fields
 
 
-def test_lines_of_other_programs_are_no_events() -> None:
+def test_lines_of_other_programs_are_not_events() -> None:
     assert parse_line("Traceback (most recent call last):") is None
     assert parse_line("time=5 something else") is None
 
 
-def test_a_flood_of_one_event_is_bounded_counted_and_hides_no_other() -> None:
+def test_flood_of_one_event_is_limited_and_counted_without_suppressing_others() -> None:
     stream = io.StringIO()
     sink = StreamSink(stream=stream)
     destination = KeyValueDestination(sink=sink, vm="a", clock=lambda: 7.0)
@@ -78,13 +79,13 @@
     assert dropped == 2 * BURST_LINES
     assert sum(" event=flood" in line for line in lines) == BURST_LINES
     assert sum(" event=important" in line for line in lines) == 1
-    told = [line for line in lines if "event=log_lines_dropped" in line]
-    assert len(told) == 1
-    assert f"lines={dropped} by_event=flood:{dropped}" in told[0]
+    reports = [line for line in lines if "event=log_lines_dropped" in line]
+    assert len(reports) == 1
+    assert f"lines={dropped} by_event=flood:{dropped}" in reports[0]
     assert all(" vm=a" in line for line in lines)
 
 
-def test_an_event_may_be_told_later_than_it_happened() -> None:
+def test_event_can_be_logged_with_an_earlier_time() -> None:
     stream = io.StringIO()
     destination = start_logging(stream=stream)
     log_event("earlier", at=1.25)
--- a/packages/core/tests/logs/test_line_writer.py
+++ b/packages/core/tests/logs/test_line_writer.py
@@ -1,4 +1,4 @@
-"""Tests of lines whose reader is never waited for."""
+"""Tests that writing log lines never blocks."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
             os.close(descriptor)
 
 
-def test_a_reader_that_stands_still_costs_bounded_memory_and_dropped_lines(
+def test_stalled_reader_causes_dropped_lines_and_bounded_memory(
     pipe: tuple[int, int],
 ) -> None:
     _, descriptor = pipe
@@ -41,14 +41,14 @@
             writer.flush()
         done.set()
 
-    # Were one write to wait for the reader, the thread would never end.
+    # If one write blocked on the reader, the thread would never finish.
     threading.Thread(target=write, daemon=True).start()
     assert done.wait(60.0)
     assert writer.pending_bytes <= 10_000
     assert writer.dropped > MANY / 2
 
 
-def test_a_reader_that_goes_on_gets_whole_lines_in_order(pipe: tuple[int, int]) -> None:
+def test_reader_gets_complete_lines_in_order(pipe: tuple[int, int]) -> None:
     reader, descriptor = pipe
     writer = LineWriter(descriptor=descriptor)
     lines = [f"{number} {LINE}" for number in range(1_000)]
@@ -64,7 +64,7 @@
     assert read.decode().splitlines() == lines
 
 
-def test_every_write_holds_whole_lines_but_of_lines_that_are_too_long(
+def test_every_write_contains_complete_lines_except_of_too_long_ones(
     pipe: tuple[int, int],
 ) -> None:
     reader, descriptor = pipe
@@ -83,7 +83,7 @@
     assert writer.pending_bytes == 0
 
 
-def test_a_log_without_reader_stops_nothing(pipe: tuple[int, int]) -> None:
+def test_closed_log_pipe_raises_no_error(pipe: tuple[int, int]) -> None:
     reader, descriptor = pipe
     os.close(reader)
     writer = LineWriter(descriptor=descriptor)
--- a/packages/core/tests/settings/test_structure.py
+++ b/packages/core/tests/settings/test_structure.py
@@ -1,4 +1,4 @@
-"""Tests of settings and configurations: each mistake is one clear line."""
+"""Tests that each error in settings and configurations is reported as one line."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
         ({"secrets": {"peer_keys": ["xy"]}}, "secrets.peer_keys[0]: write at least"),
     ],
 )
-def test_a_mistake_in_settings_is_named_by_its_key(
+def test_invalid_setting_is_reported_with_its_key(
     changes: dict[str, object], line: str
 ) -> None:
     problems = parse_settings(settings_text(**changes)).unwrap_err().problems
@@ -44,30 +44,30 @@
     assert problems[0].startswith(line)
 
 
-def test_a_missing_key_is_named() -> None:
+def test_missing_key_is_reported() -> None:
     text = yaml.safe_dump({"vm": "a"})
     problems = parse_settings(text).unwrap_err().problems
     assert any("required key 'platform' is missing" in line for line in problems)
 
 
-def test_a_key_that_stands_twice_is_refused() -> None:
+def test_duplicate_key_is_rejected() -> None:
     problems = parse_settings("vm: a\nvm: b\n").unwrap_err().problems
-    assert "key 'vm' stands twice, line 2" in problems[0]
+    assert "duplicate key 'vm', line 2" in problems[0]
 
 
-def test_two_listeners_on_one_address_are_refused() -> None:
+def test_two_listeners_on_one_address_are_rejected() -> None:
     same = {"caller": "127.0.0.1:1", "operator": "127.0.0.1:1", "peer": "127.0.0.1:3"}
     problems = parse_settings(settings_text(listen=same)).unwrap_err().problems
     assert problems[0].startswith("listen.operator: 127.0.0.1:1 is already")
 
 
-def test_an_operator_listener_off_loopback_needs_a_token() -> None:
+def test_operator_listener_outside_loopback_requires_a_token() -> None:
     wide = {"caller": "10.0.0.1:1", "operator": "10.0.0.1:2", "peer": "10.0.0.1:3"}
     text = settings_text(listen=wide)
     assert "set a token" in parse_settings(text).unwrap_err().problems[0]
 
 
-def test_a_configuration_survives_both_forms() -> None:
+def test_configuration_round_trips_through_yaml_and_json() -> None:
     configuration = build_configuration()
     text = yaml.safe_dump(configuration_to_mapping(configuration))
     assert configuration_from_yaml(text).unwrap() == configuration
@@ -100,7 +100,7 @@
         ),
     ],
 )
-def test_a_mistake_in_a_configuration_is_named_by_its_key(
+def test_invalid_configuration_is_reported_with_its_key(
     section: str, changes: object, line: str
 ) -> None:
     mapping = configuration_to_mapping(build_configuration())
--- a/packages/core/tests/test_classes.py
+++ b/packages/core/tests/test_classes.py
@@ -1,4 +1,4 @@
-"""Tests of classes whose representation is worked out when it is asked for."""
+"""Tests of the ``attrs`` decorators without generated ``__repr__``."""
 
 from __future__ import annotations
 
@@ -29,21 +29,21 @@
     _secret: str = attrs.field(default="s", repr=False)
 
 
-def test_a_class_is_described_as_attrs_does() -> None:
+def test_repr_has_the_format_of_attrs() -> None:
     assert repr(Point(x=1)) == repr(_Plain(x=1)).replace("_Plain", "Point")
 
 
-def test_a_field_that_is_not_to_be_shown_is_left_out() -> None:
+def test_repr_omits_fields_with_repr_false() -> None:
     assert repr(Node()) == "Node(next=None)"
 
 
-def test_a_cycle_is_described() -> None:
+def test_repr_of_a_cycle_terminates() -> None:
     node = Node()
     node.next = node
     assert repr(node) == "Node(next=...)"
 
 
-def test_an_own_description_is_kept() -> None:
+def test_custom_repr_is_kept() -> None:
     @define
     class Own:
         def __repr__(self) -> str:
@@ -52,7 +52,7 @@
     assert repr(Own()) == "own"
 
 
-def test_values_are_equal_hashed_and_unchangeable() -> None:
+def test_frozen_instances_are_comparable_hashable_and_immutable() -> None:
     assert Point(x=1) == Point(x=1)
     assert len({Point(x=1), Point(x=1)}) == 1
     with pytest.raises(attrs.exceptions.FrozenInstanceError):
--- a/packages/core/tests/test_steady_clock.py
+++ b/packages/core/tests/test_steady_clock.py
@@ -1,4 +1,4 @@
-"""Tests of the clock that counts suspensions, and of the timers that follow it."""
+"""Tests of the clock that includes suspensions, and of the timers that use it."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 )
 
 
-def test_it_counts_suspensions() -> None:
+def test_clock_includes_suspensions() -> None:
     now = time.clock_gettime(time.CLOCK_BOOTTIME)
     assert abs(steady_clock.monotonic() - now) < 1.0
 
 
 async def sleep_through_suspension(suspended: list[float]) -> str:
-    """Begin a long sleep within a limit; the machine is suspended meanwhile."""
+    """Start a long sleep with a timeout; the machine is suspended meanwhile."""
     task = await curio.spawn(sleep_with_limit)
     await curio.sleep(0.05)
     suspended[0] = SUSPENDED_S
@@ -45,29 +45,31 @@
     try:
         await curio.timeout_after(LIMIT_S, curio.sleep, 10 * SUSPENDED_S)
     except curio.TaskTimeout:
-        return "limited"
+        return "timed out"
     return "slept"
 
 
-def test_a_limit_that_passed_in_a_suspension_ends_at_once(
+def test_timeout_that_expired_during_a_suspension_fires_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     suspended = [0.0]
-    steady = steady_clock.monotonic
-    monkeypatch.setattr(steady_clock, "monotonic", lambda: steady() + suspended[0])
+    real_monotonic = steady_clock.monotonic
+    monkeypatch.setattr(
+        steady_clock, "monotonic", lambda: real_monotonic() + suspended[0]
+    )
     began = time.monotonic()
-    assert steady_clock.run(sleep_through_suspension, suspended) == "limited"
+    assert steady_clock.run(sleep_through_suspension, suspended) == "timed out"
     assert time.monotonic() - began < SOON_S
 
 
-def test_other_kernels_keep_their_clock() -> None:
+def test_other_kernels_keep_the_default_clock() -> None:
     before = curio.kernel.time
     assert steady_clock.run(curio.sleep, 0) is not None
     assert curio.kernel.time is before
 
 
 def other_clocks_in(path: Path) -> list[str]:
-    """Name the clocks that a module reads and that stand still in a suspension."""
+    """Return the clocks used in a module that exclude suspensions."""
     tree = ast.parse(path.read_text(encoding="utf-8"))
     found = []
     for node in ast.walk(tree):
@@ -81,7 +83,7 @@
     return found
 
 
-def test_nothing_else_of_the_product_reads_a_clock_that_stands_still() -> None:
+def test_no_other_product_module_reads_a_clock_that_excludes_suspensions() -> None:
     modules = [path for root in PRODUCT for path in root.rglob("*.py")]
     assert len(modules) > 100
     reading = {path.name: other_clocks_in(path) for path in modules}
--- a/packages/core/tests/test_supervisor.py
+++ b/packages/core/tests/test_supervisor.py
@@ -1,4 +1,4 @@
-"""Errors that end one thing, and errors that end the process."""
+"""Tests of which errors are contained and which stop the process."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         raise ZeroDivisionError
 
 
-def test_errors_with_successes_between_end_nothing_else() -> None:
+def test_errors_with_successes_between_them_are_contained() -> None:
     supervisor = Supervisor()
 
     async def run() -> None:
@@ -34,7 +34,7 @@
     supervisor.raise_if_failed()
 
 
-def test_a_state_in_which_nothing_works_any_more_stops_the_process() -> None:
+def test_consecutive_errors_stop_the_process() -> None:
     supervisor = Supervisor()
 
     async def run() -> None:
@@ -49,7 +49,7 @@
 
 
 class Unprintable:
-    """What does work, and must not be printed each time: it may hold a whole node."""
+    """Owner of a method; its repr is expensive, as it may contain a whole node."""
 
     def __repr__(self) -> str:
         raise AssertionError("it was printed")
@@ -58,5 +58,5 @@
         return None
 
 
-def test_nothing_is_printed_of_what_works() -> None:
+def test_successful_calls_do_not_compute_the_repr_of_the_instance() -> None:
     assert curio.run(Supervisor().contain, Unprintable().work)
--- a/packages/core/tests/test_time_limit.py
+++ b/packages/core/tests/test_time_limit.py
@@ -1,4 +1,4 @@
-"""Limits inside one another, while the loop is busy."""
+"""Tests of nested timeouts while the event loop is blocked."""
 
 from __future__ import annotations
 
@@ -20,88 +20,94 @@
 
 INNER_S = 0.2
 OUTER_S = 0.25
-BUSY_S = 0.07
-"""Time that the loop is busy, twice: past the inner limit, and past the outer one."""
-OUTER_LEFT_S = 5.0
+BLOCKED_S = 0.07
+"""Duration of each of two blockings: past the inner timeout, and past the outer one."""
+LONG_TIMEOUT_S = 5.0
 PACKAGES = Path(plankspindle_core.__file__).parents[3]
-BEFORE_INNER_S = 0.16
+UNBLOCKED_S = 0.16
 
 
-async def limited(came: curio.Event, rest: Callable[[], Awaitable[None]]) -> str:
-    """Leave an inner limit in time, and go on inside the outer one."""
+async def wait_with_outer_timeout(
+    released: curio.Event, next_wait: Callable[[], Awaitable[None]]
+) -> str:
+    """Leave an inner timeout in time, and continue inside the outer one."""
     try:
         async with TimeLimit(OUTER_S):
-            await within(INNER_S, came.wait)
-            await rest()
+            await within(INNER_S, released.wait)
+            await next_wait()
     except curio.TaskTimeout:
         return "outer"
     return "none"
 
 
-async def run_busy(rest: Callable[[], Awaitable[None]]) -> str:
-    came, busy = curio.Event(), curio.Event()
+async def run_with_blocked_loop(next_wait: Callable[[], Awaitable[None]]) -> str:
+    released, blocked = curio.Event(), curio.Event()
 
-    async def keep_busy() -> None:
-        await busy.wait()
-        time.sleep(BUSY_S)
+    async def block_loop() -> None:
+        await blocked.wait()
+        time.sleep(BLOCKED_S)
 
-    task = await curio.spawn(limited, came, rest)
-    other = await curio.spawn(keep_busy)
-    await curio.sleep(BEFORE_INNER_S)
-    await busy.set()
-    await came.set()
-    time.sleep(BUSY_S)
+    task = await curio.spawn(wait_with_outer_timeout, released, next_wait)
+    other = await curio.spawn(block_loop)
+    await curio.sleep(UNBLOCKED_S)
+    await blocked.set()
+    await released.set()
+    time.sleep(BLOCKED_S)
     await other.join()
-    ended: str = await task.join()
-    return ended
+    outcome: str = await task.join()
+    return outcome
 
 
 async def wait() -> None:
     await curio.sleep(1.0)
 
 
-async def wait_in_a_limit() -> None:
-    await within(OUTER_LEFT_S, curio.sleep, 1.0)
+async def wait_with_timeout() -> None:
+    await within(LONG_TIMEOUT_S, curio.sleep, 1.0)
 
 
-async def wait_in_two_limits() -> None:
-    await within(OUTER_LEFT_S, within, OUTER_LEFT_S, curio.sleep, 1.0)
+async def wait_with_nested_timeouts() -> None:
+    await within(LONG_TIMEOUT_S, within, LONG_TIMEOUT_S, curio.sleep, 1.0)
 
 
-@pytest.mark.parametrize("rest", [wait, wait_in_a_limit, wait_in_two_limits])
-def test_the_outer_limit_ends_what_is_late(rest: Callable[[], Awaitable[None]]) -> None:
-    assert curio.run(run_busy, rest) == "outer"
+@pytest.mark.parametrize(
+    "next_wait", [wait, wait_with_timeout, wait_with_nested_timeouts]
+)
+def test_outer_timeout_ends_the_task_if_the_loop_was_blocked(
+    next_wait: Callable[[], Awaitable[None]],
+) -> None:
+    assert curio.run(run_with_blocked_loop, next_wait) == "outer"
 
 
-def test_an_inner_limit_ends_only_its_own_part() -> None:
+def test_inner_timeout_ends_only_the_inner_call() -> None:
     async def run() -> list[Any]:
         seen: list[Any] = []
-        async with TimeLimit(OUTER_LEFT_S):
+        async with TimeLimit(LONG_TIMEOUT_S):
             try:
                 await within(0.05, curio.sleep, 1.0)
             except curio.TaskTimeout:
                 seen.append("inner")
-            seen.append(await within(1.0, wait_and_give, 7))
+            seen.append(await within(1.0, wait_and_return, 7))
         return seen
 
     assert curio.run(run) == ["inner", 7]
 
 
-async def wait_and_give(value: int) -> int:
+async def wait_and_return(value: int) -> int:
     await curio.sleep(0.05)
     return value
 
 
-def test_an_end_of_time_that_belongs_to_no_limit_is_not_taken_for_ones_own() -> None:
+def test_foreign_timeout_before_the_deadline_stays_uncaught() -> None:
     async def run() -> None:
-        async with TimeLimit(OUTER_LEFT_S):
+        async with TimeLimit(LONG_TIMEOUT_S):
             raise curio.TaskTimeout(0.0)
 
     with pytest.raises(curio.UncaughtTimeoutError):
         curio.run(run)
 
 
-def test_nothing_else_uses_the_limits_of_the_event_loop() -> None:
+def test_no_other_module_uses_the_timeouts_of_curio() -> None:
     users = [
         path.name
         for package in (*PACKAGES.glob("*/src"), PACKAGES.parent / "platform")
--- a/packages/core/tests/test_token_bucket.py
+++ b/packages/core/tests/test_token_bucket.py
@@ -15,7 +15,7 @@
     burst=st.floats(1.0, 20.0),
     gaps=st.lists(st.floats(0.0, 2.0), max_size=100),
 )
-def test_no_stretch_of_time_holds_more_than_burst_and_rate_allow(
+def test_no_interval_holds_more_than_burst_and_rate_allow(
     per_s: float, burst: float, gaps: list[float]
 ) -> None:
     bucket = TokenBucket(per_s=per_s, burst=burst)
@@ -32,7 +32,7 @@
     assert len(taken) + bucket.refused == len(gaps)
 
 
-def test_a_clock_that_goes_back_refills_nothing() -> None:
+def test_clock_that_goes_backwards_refills_nothing() -> None:
     bucket = TokenBucket(per_s=1.0, burst=1.0)
     assert bucket.take(10.0)
     assert not bucket.take(5.0)
