--- a/packages/testkit/src/plankspindle_testkit/bench/__init__.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/__init__.py
@@ -1,3 +1,3 @@
-"""Benchmarks: real daemons on loopback, and the policy under modelled load."""
+"""Benchmarks of real daemons on loopback, and of policies under simulated load."""
 
 from __future__ import annotations
--- a/packages/testkit/src/plankspindle_testkit/bench/control_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/control_bench.py
@@ -1,4 +1,4 @@
-"""Nine real daemons in six failure domains: time to force, platform calls, cost."""
+"""Nine real daemons in six failure domains: latency of changes, and idle costs."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 def run_control_bench() -> None:
-    """Print how fast changes are in force and what control costs."""
+    """Print the time until changes are in force, and the cost of control when idle."""
     places = _places()
     with tempfile.TemporaryDirectory() as folder:
         processes = Processes(folder=Path(folder))
@@ -113,7 +113,7 @@
         seconds.append(time.perf_counter() - began)
     print_table(
         f"Nine daemons in six failure domains: {CHANGES} changes, from accepted to in"
-        " force at every one (polling of the states included)",
+        " force at every daemon (polling of the states included)",
         ("median s", "worst s"),
         [[f"{quantile(seconds, 0.5):.2f}", f"{max(seconds):.2f}"]],
     )
@@ -140,7 +140,7 @@
             ]
         )
     print_table(
-        f"Control of nine quiet daemons over {IDLE_S:g} s (no upstream answers)",
+        f"Control of nine idle daemons over {IDLE_S:g} s (no upstream answers)",
         ("VM", "% of a core", "bytes/s sent", "reads/s", "writes/s", "resident MiB"),
         rows,
     )
--- a/packages/testkit/src/plankspindle_testkit/bench/detection_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/detection_bench.py
@@ -1,4 +1,4 @@
-"""How soon all entry VMs know of a death, and at what cost, by the size of a fleet."""
+"""Time until all entry VMs detect a failed one, and message rate, by fleet size."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 SETTLED_S = 4.0
 MAX_DETECTION_S = 60.0
 IDLE_S = 10.0
-"""Time in which messages are counted while nobody dies, in seconds."""
+"""Time for which messages are counted without a failure, in seconds."""
 
 
 def run_detection_bench() -> None:
-    """Print seconds until every VM takes a dead one for dead, and messages sent."""
+    """Print the seconds until every VM detects a failed one, and the message rate."""
     rows = []
     for vms in SIZES:
         for loss in LOSSES:
@@ -34,12 +34,12 @@
                     f"{median(each[1] for each in runs):.1f}",
                 ]
             )
-    columns = ("entry VMs", "lost", "median s", "longest s", "messages/s and VM")
-    print_table(f"Death known to all, {len(SEEDS)} seeds", columns, rows)
+    columns = ("entry VMs", "lost", "median s", "longest s", "messages per s and VM")
+    print_table(f"Failure detected by all VMs, {len(SEEDS)} seeds", columns, rows)
 
 
 def _measure(vms: int, loss: float, seed: int) -> tuple[float, float]:
-    """Give the seconds until all know, and the messages a second and VM before."""
+    """Return the seconds until all VMs detect it, and messages per second and VM."""
     fleet = MembershipFleet(fleet=Fleet(vms=vms, upstreams=0), random=Random(seed))
     fleet.run(SETTLED_S)
     fleet.loss_share = loss
--- a/packages/testkit/src/plankspindle_testkit/bench/drain_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/drain_bench.py
@@ -1,4 +1,4 @@
-"""Benchmark of drain time: expected durations known, or ignored."""
+"""Benchmark of the drain time, with expected durations known or ignored."""
 
 from __future__ import annotations
 
@@ -25,16 +25,21 @@
 
 
 def run_drain_bench() -> None:
-    """Print how long an upstream that leaves at a planned time still runs work."""
+    """Print how long an upstream still runs requests after its planned leave."""
     rows = []
-    for name, knows in (("durations known", True), ("durations ignored", False)):
-        overruns, cut = zip(*(_drain(seed, knows) for seed in SEEDS), strict=True)
+    for name, knows_durations in (
+        ("durations known", True),
+        ("durations ignored", False),
+    ):
+        overruns, late_requests = zip(
+            *(_drain(seed, knows_durations) for seed in SEEDS), strict=True
+        )
         rows.append(
             [
                 name,
                 f"{quantile(overruns, 0.5):.1f}",
                 f"{max(overruns):.1f}",
-                f"{sum(cut) / len(cut):.2f}",
+                f"{sum(late_requests) / len(late_requests):.2f}",
             ]
         )
     print_table(
@@ -46,11 +51,11 @@
 
 
 def _drain(seed: int, knows_durations: bool) -> tuple[float, int]:
-    """Give the time past the planned leave until the upstream is empty."""
+    """Return the overrun in seconds, and the number of requests that cause it."""
     random = Random(seed)
     dispatcher = build_dispatcher(slots_by_upstream={"u0": 12, "u1": 12, "u2": 12})
     running: list[tuple[float, Ticket, str]] = []
-    now, number, past = 0.0, 0, 0
+    now, number, late_count = 0.0, 0, 0
     last_end = LEAVES_AT_S
     while now < LEAVES_AT_S:
         now += random.expovariate(RATE_PER_S)
@@ -71,9 +76,9 @@
             if isinstance(effect, d.Assign):
                 running.append((now + took, ticket, effect.upstream))
                 if effect.upstream == "u0" and now + took > LEAVES_AT_S:
-                    past += 1
+                    late_count += 1
                     last_end = max(last_end, now + took)
-    return last_end - LEAVES_AT_S, past
+    return last_end - LEAVES_AT_S, late_count
 
 
 def _announce(dispatcher: Dispatcher, now: float) -> None:
--- a/packages/testkit/src/plankspindle_testkit/bench/headroom_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/headroom_bench.py
@@ -1,4 +1,4 @@
-"""A region fails at 70 percent load everywhere: grants against lagging load reports."""
+"""Failure of a region at 70 percent load: grants against lagging load reports."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 @define(kw_only=True)
 class _Region:
-    """Slots, a queue and counts of one region that lives."""
+    """Slots, queue and counters of one remaining region."""
 
     running: int = 0
     queue: deque[_Job] = field(factory=deque)
@@ -46,7 +46,7 @@
     reports: deque[tuple[float, int]] = field(factory=deque)
 
     def reported(self, now: float) -> int:
-        """Give the load as it was ``REPORT_LAG_S`` ago."""
+        """Return the load as of ``REPORT_LAG_S`` ago."""
         while len(self.reports) > 1 and self.reports[1][0] <= now - REPORT_LAG_S:
             self.reports.popleft()
         return self.reports[0][1] if self.reports else 0
@@ -62,17 +62,17 @@
 
 @define(kw_only=True)
 class HeadroomModel:
-    """Three regions, of which one loses its upstreams.
+    """Discrete-event model of three regions, of which one loses its upstreams.
 
     Parameters
     ----------
     seed : int
         Seed of arrivals and service times.
     uses_grants : bool
-        Whether requests of the lost region move under grants; else they go to the
-        region whose lagging report is the lowest.
+        Whether requests of the failed region are moved under grants; otherwise they are
+        sent to the region with the lowest load in its lagging report.
     queue_limit : int
-        Longest queue of a region; what finds it full is rejected.
+        Longest queue of a region; requests that find it full are rejected.
     """
 
     seed: int
@@ -86,7 +86,7 @@
     _numbers: count[int] = field(factory=count)
 
     def run(self) -> None:
-        """Run to the end."""
+        """Run the model until no event is left."""
         random = Random(self.seed)
         self._regions = {name: _Region() for name in REMAINING_REGIONS}
         self._grant_tables = {
@@ -121,19 +121,19 @@
                 self._request_grant(name, region, now)
 
     def _request_grant(self, name: str, region: _Region, now: float) -> None:
-        book = self._grant_tables[name]
-        wanted = book.take_demand(service="s", region=name, now=now)
-        if wanted == 0 or region.queue:
+        table = self._grant_tables[name]
+        demand = table.take_demand(service="s", region=name, now=now)
+        if demand == 0 or region.queue:
             return
         request = HeadroomRequest(
             sender=FAILED_REGION,
             request_id=next(self._numbers) + 1,
             service="s",
-            count=min(wanted, 64),
+            count=min(demand, 64),
             duration_ms=int(GRANT_S * 1000),
             incarnation=1,
         )
-        book.record_request(request, region=name, endpoint=Endpoint("::1", 1), now=now)
+        table.record_request(request, region=name, endpoint=Endpoint("::1", 1), now=now)
         granted = region.ledger.grant(
             request_id=request.request_id,
             requested=request.count,
@@ -151,7 +151,7 @@
                 duration_ms=request.duration_ms,
                 holder_incarnation=1,
             )
-            book.accept_grant(grant, now + 2 * REGION_DELAY_S)
+            table.accept_grant(grant, now + 2 * REGION_DELAY_S)
 
     def _arrive(self, job: _Job, now: float, random: Random) -> None:
         counted = now >= FAILURE_AT_S
@@ -162,8 +162,8 @@
         if len(region.queue) >= self.queue_limit:
             return
         region.queue.append(job)
-        wanted = region.running + len(region.queue)
-        region.max_demand = max(region.max_demand, wanted)
+        demand = region.running + len(region.queue)
+        region.max_demand = max(region.max_demand, demand)
         self._serve(region, now, random)
 
     def _choose_target(self, job: _Job, now: float) -> bool:
@@ -174,13 +174,13 @@
             job.region = min(REMAINING_REGIONS, key=lambda name: loads[name])
             return True
         for name in REMAINING_REGIONS:
-            held = self._grant_tables[name].acquire(service="s", region=name, now=now)
-            if held is None:
+            grant = self._grant_tables[name].acquire(service="s", region=name, now=now)
+            if grant is None:
                 continue
-            if not self._regions[name].ledger.begin(held.request_id, now):
-                self._grant_tables[name].release(held)
+            if not self._regions[name].ledger.begin(grant.request_id, now):
+                self._grant_tables[name].release(grant)
                 continue
-            job.grant = held
+            job.grant = grant
             job.region = name
             return True
         return False
@@ -205,19 +205,19 @@
 
     @property
     def worst_load(self) -> float:
-        """Most requests that ran or waited at once in a region, over its slots."""
+        """Largest demand (running and queued requests) of a region over its slots."""
         return max(each.max_demand for each in self._regions.values()) / SLOTS
 
 
 def run_headroom_bench() -> None:
-    """Print goodput and overload of both ways."""
+    """Print goodput and overload with grants and with lagging reports."""
     rows = []
-    ways = (
+    schemes = (
         ("grants", True, QUEUE_LIMIT),
         ("lagging reports, same queue", False, QUEUE_LIMIT),
         ("lagging reports, unbounded queue", False, NO_LIMIT),
     )
-    for name, uses_grants, queue_limit in ways:
+    for name, uses_grants, queue_limit in schemes:
         models = [
             HeadroomModel(seed=seed, uses_grants=uses_grants, queue_limit=queue_limit)
             for seed in SEEDS
@@ -235,13 +235,13 @@
             ]
         )
     print_table(
-        "A region of three fails at 70 percent load everywhere; 72 slots a region,"
-        f" 50 ms a request, reports lag {REPORT_LAG_S:g} s, 5 seeds",
+        "A region of three fails at 70 percent load everywhere; 72 slots per region,"
+        f" 50 ms per request, reports lag {REPORT_LAG_S:g} s, 5 seeds",
         (
-            "way",
+            "scheme",
             "callers of the other regions in time %",
-            "callers of the lost region in time %",
-            "most wanted at once, over slots",
+            "callers of the failed region in time %",
+            "largest demand over slots",
         ),
         rows,
     )
--- a/packages/testkit/src/plankspindle_testkit/bench/limit_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/limit_bench.py
@@ -1,4 +1,4 @@
-"""Ways to keep an upstream within a limit over all entry VMs, on the same load."""
+"""Schemes that keep an upstream within a fleet-wide limit, under the same load."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
 
 
 class Scheme(Enum):
-    """Who may send how much to the upstream."""
+    """How the limit of the upstream is divided among the VMs."""
 
-    STATIC = "each VM its part of the limit"
-    SENDERS = "eight VMs an eighth each, by the VMs that one hears"
-    LEASES = "tokens of leased shares"
+    STATIC = "each VM has its part of the limit"
+    SENDERS = "eight VMs with an eighth each, chosen from the reachable VMs"
+    LEASES = "tokens from leased shares"
 
 
 @define(kw_only=True)
 class _Bucket:
-    """Requests that one VM may send, one at a time."""
+    """Rate limiter of one VM without burst."""
 
     per_s: float
     ready_at: float = 0.0
@@ -50,27 +50,27 @@
 
 @define(kw_only=True)
 class _Buckets:
-    """VMs that keep to a part each, without a message."""
+    """VMs with a fixed part of the limit each, which exchange no messages."""
 
     names: list[str]
-    way: Scheme
+    scheme: Scheme
     sent_at: list[float] = Factory(list)
     _buckets: dict[str, _Bucket] = Factory(dict)
 
     def set_partitions(self, parts: list[list[str]]) -> None:
-        """Take parts of the fleet that hear one another."""
+        """Set the partitions of the fleet; VMs reach those of their own partition."""
         for part in parts:
             ranked = sorted(
                 part, key=lambda name: stable_hash(f"{name} {INCARNATION_ID}")
             )
             for rank, name in enumerate(ranked):
                 per_s = LIMIT_PER_S / len(self.names)
-                if self.way is Scheme.SENDERS:
+                if self.scheme is Scheme.SENDERS:
                     per_s = LIMIT_PER_S / SENDERS if rank < SENDERS else 0.0
                 self._buckets.setdefault(name, _Bucket(per_s=per_s)).per_s = per_s
 
     def run(self, now: float, seconds: float, random: Random) -> float:
-        """Let time pass with requests at random VMs, and give its end."""
+        """Send requests at random VMs for some seconds, and return the final time."""
         for _ in range(round(seconds / STEP_S)):
             now += STEP_S
             for _ in range(round(WANTED_PER_S * STEP_S)):
@@ -80,38 +80,38 @@
 
 
 def run_limit_bench() -> None:
-    """Print what each way uses of a limit, and passes of its bound."""
-    rows = [_measure(size, way) for size in SIZES for way in Scheme]
+    """Print for each scheme how much of the limit it uses and how far it exceeds it."""
+    rows = [_measure(size, scheme) for size in SIZES for scheme in Scheme]
     print_table(
-        f"An upstream that gets {WANTED_PER_S:g} requests a second and names a limit "
-        f"of {LIMIT_PER_S:g}",
+        f"An upstream with a demand of {WANTED_PER_S:g} requests/s and a limit of "
+        f"{LIMIT_PER_S:g}",
         [
             "VMs",
-            "way",
+            "scheme",
             "used of the limit",
-            "the same, cut in two halves",
-            "most in 4 s, of the bound",
-            "messages a VM and s",
+            "the same, partitioned in two halves",
+            "maximum in 4 s over the bound",
+            "messages per VM and s",
         ],
         rows,
     )
 
 
-def _measure(size: int, way: Scheme) -> list[str]:
-    if way is Scheme.LEASES:
+def _measure(size: int, scheme: Scheme) -> list[str]:
+    if scheme is Scheme.LEASES:
         sent_at, messages, began_at = _run_leases(size)
     else:
-        sent_at, messages, began_at = _run_buckets(size, way)
+        sent_at, messages, began_at = _run_buckets(size, scheme)
     cut_at = began_at + UNPARTITIONED_S
-    calm = sum(began_at <= at < cut_at for at in sent_at)
-    cut = sum(at >= cut_at for at in sent_at)
-    most = max_in_window(sent_at, WINDOW_S) / max_allowed_requests(LIMIT_PER_S)
+    unpartitioned = sum(began_at <= at < cut_at for at in sent_at)
+    partitioned = sum(at >= cut_at for at in sent_at)
+    max_share = max_in_window(sent_at, WINDOW_S) / max_allowed_requests(LIMIT_PER_S)
     return [
         str(size),
-        way.value,
-        f"{calm / UNPARTITIONED_S / LIMIT_PER_S:.2f}",
-        f"{cut / PARTITIONED_S / LIMIT_PER_S:.2f}",
-        f"{most:.2f}",
+        scheme.value,
+        f"{unpartitioned / UNPARTITIONED_S / LIMIT_PER_S:.2f}",
+        f"{partitioned / PARTITIONED_S / LIMIT_PER_S:.2f}",
+        f"{max_share:.2f}",
         f"{messages / size / (UNPARTITIONED_S + PARTITIONED_S):.1f}",
     ]
 
@@ -138,9 +138,9 @@
     return arrived, fleet.sent_by_kind.total() - sent, began_at
 
 
-def _run_buckets(size: int, way: Scheme) -> tuple[list[float], int, float]:
+def _run_buckets(size: int, scheme: Scheme) -> tuple[list[float], int, float]:
     names = [f"vm-{number}" for number in range(size)]
-    buckets, random = _Buckets(names=names, way=way), Random(2)
+    buckets, random = _Buckets(names=names, scheme=scheme), Random(2)
     buckets.set_partitions([names])
     began_at = buckets.run(0.0, SETTLE_S, random)
     buckets.sent_at.clear()
--- a/packages/testkit/src/plankspindle_testkit/bench/load_generator.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/load_generator.py
@@ -1,4 +1,7 @@
-"""Closed-loop HTTP load: ``python -m plankspindle_testkit.bench.load_generator``."""
+"""Closed-loop load generator.
+
+Run it as ``python -m plankspindle_testkit.bench.load_generator``.
+"""
 
 from __future__ import annotations
 
@@ -24,13 +27,20 @@
     Parameters
     ----------
     endpoint : Endpoint
-        Server.
+        Server that requests are sent to.
     method, target : str
         Request line.
     connections : int
-        Connections used at once.
+        Concurrent connections.
     requests : int
-        Requests sent, all connections together.
+        Requests to send, over all connections.
+
+    Attributes
+    ----------
+    seconds : list of float
+        Duration of each request, in seconds.
+    statuses : Counter of int
+        Number of answers by status; zero for a lost connection.
     """
 
     endpoint: Endpoint
@@ -43,7 +53,7 @@
     _left: int = field(init=False)
 
     async def run(self) -> float:
-        """Send all requests and give the time it took, in seconds."""
+        """Send all requests and return the total duration in seconds."""
         self._left = self.requests
         began = time.perf_counter()
         async with curio.TaskGroup() as group:
--- a/packages/testkit/src/plankspindle_testkit/bench/log_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/log_bench.py
@@ -1,4 +1,4 @@
-"""Benchmark of the log: what it costs a request, with and without."""
+"""Benchmark of the cost of request traces in the log."""
 
 from __future__ import annotations
 
@@ -36,16 +36,16 @@
 
 TRACES = 5_000
 RUNNING = 1_000
-"""Requests at once whose memory is measured."""
+"""Number of concurrent requests whose memory is measured."""
 RATES_PER_S = (67, 18)
-"""Requests a second and entry VM at the registry and at the render farm."""
+"""Requests per second and entry VM of the registry and of the render farm."""
 
 
 def run_log_bench() -> None:
-    """Print processor time and memory of the log beside those of a whole request."""
-    whole_us = _whole_request_us()
+    """Print processor time and memory of a trace, compared with a complete request."""
+    request_us = _request_us()
     rows = [
-        _row(name, _trace_us(make), whole_us)
+        _row(name, _trace_us(make), request_us)
         for name, make in (
             ("served, most not logged", _serve),
             ("rejected, all steps logged", _reject),
@@ -53,24 +53,24 @@
         )
     ]
     print_table(
-        f"Log of a request beside a whole one, which takes {whole_us:.0f} us",
-        ("request", "us", "part of a whole one", "of a core at 67 /s", "at 18 /s"),
+        f"Trace of a request, compared with a complete one of {request_us:.0f} us",
+        ("request", "us", "part of a request", "of a core at 67 /s", "at 18 /s"),
         rows,
     )
     print_table(
-        "Memory of the steps of a running request",
-        ("bytes a request",),
+        "Memory of the trace of a running request",
+        ("bytes per request",),
         [[f"{_bytes_per_trace():.0f}"]],
     )
 
 
-def _row(name: str, story_us: float, whole_us: float) -> list[str]:
-    loads = [f"{story_us * rate / 1e4:.2f} %" for rate in RATES_PER_S]
-    return [name, f"{story_us:.1f}", f"{100 * story_us / whole_us:.1f} %", *loads]
+def _row(name: str, trace_us: float, request_us: float) -> list[str]:
+    loads = [f"{trace_us * rate / 1e4:.2f} %" for rate in RATES_PER_S]
+    return [name, f"{trace_us:.1f}", f"{100 * trace_us / request_us:.1f} %", *loads]
 
 
-def _whole_request_us() -> float:
-    """Processor time of a real daemon for a request over a kept connection."""
+def _request_us() -> float:
+    """Return a daemon's processor time for a request on a kept-alive connection."""
     with tempfile.TemporaryDirectory() as folder:
         processes = Processes(folder=Path(folder))
         try:
@@ -92,7 +92,7 @@
 
 
 def _trace_us(make: Callable[[RequestTraceLog], RequestTrace]) -> float:
-    """Processor time of a story, its lines written to a file, bounds lifted."""
+    """Return the processor time of a trace, written to a file without rate limits."""
     metrics = RequestMetrics()
     with Path(os.devnull).open("wb") as sink:
         destination = KeyValueDestination(sink=LineWriter(descriptor=sink.fileno()))
@@ -101,12 +101,12 @@
         began = time.process_time()
         for _ in range(TRACES):
             if make is not _serve:
-                # A bucket that was never used is full, so all steps are logged.
+                # A new token bucket is full, so all steps are logged.
                 log = RequestTraceLog(vm="a")
                 destination._buckets_by_event.clear()
-            story = make(log)
-            metrics.record_request(story, 1.0)
-            log.log_completed(story, 1.0)
+            trace = make(log)
+            metrics.record_request(trace, 1.0)
+            log.log_completed(trace, 1.0)
             destination.flush(1.0)
         used_s = time.process_time() - began
         eliot.remove_destination(destination)
@@ -114,7 +114,7 @@
 
 
 def _begin(log: RequestTraceLog) -> RequestTrace:
-    story = log.start_trace(b"9c41d07be2a35f68", now=0.0, wall=1e9)
+    trace = log.start_trace(b"9c41d07be2a35f68", now=0.0, wall=1e9)
     routed = Routed(
         service="registry",
         operation="plates",
@@ -126,8 +126,8 @@
         version=7,
         version_age_ms=60_000,
     )
-    story.record(routed, 0.0)
-    return story
+    trace.record(routed, 0.0)
+    return trace
 
 
 def _record_attempt(trace: RequestTrace, *, came: str, ran: Executed) -> None:
@@ -158,14 +158,14 @@
 
 
 def _serve(log: RequestTraceLog) -> RequestTrace:
-    story = _begin(log)
-    _record_attempt(story, came="status 200", ran=Executed.YES)
-    story.complete(Completion.SERVED, status=200)
-    return story
+    trace = _begin(log)
+    _record_attempt(trace, came="status 200", ran=Executed.YES)
+    trace.complete(Completion.SERVED, status=200)
+    return trace
 
 
 def _reject(log: RequestTraceLog) -> RequestTrace:
-    story = _begin(log)
+    trace = _begin(log)
     rejected = Rejected(
         reason="busy",
         retry_after_ms=400,
@@ -175,23 +175,23 @@
         usual_ms=200,
         left_ms=2_400,
     )
-    story.record(rejected, 0.1)
-    story.complete(Completion.NOT_RUN, status=503, reason="busy", retry_after_s=0.4)
-    return story
+    trace.record(rejected, 0.1)
+    trace.complete(Completion.NOT_RUN, status=503, reason="busy", retry_after_s=0.4)
+    return trace
 
 
 def _lose(log: RequestTraceLog) -> RequestTrace:
-    story = _begin(log)
-    _record_attempt(story, came="connection lost: reset", ran=Executed.MAYBE)
-    story.complete(Completion.UNKNOWN, status=502, reason="upstream-lost")
-    return story
+    trace = _begin(log)
+    _record_attempt(trace, came="connection lost: reset", ran=Executed.MAYBE)
+    trace.complete(Completion.UNKNOWN, status=502, reason="upstream-lost")
+    return trace
 
 
 def _bytes_per_trace() -> float:
     log = RequestTraceLog(vm="a")
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    stories = [_serve(log) for _ in range(RUNNING)]
+    traces = [_serve(log) for _ in range(RUNNING)]
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return (after - before) / len(stories)
+    return (after - before) / len(traces)
--- a/packages/testkit/src/plankspindle_testkit/bench/lookup_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/lookup_bench.py
@@ -1,4 +1,4 @@
-"""Benchmark of the block table and of look-ups at the size of two years from now."""
+"""Benchmark of the block table and of lookups in a fleet of two years from now."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def build_blocks(count: int) -> dict[str, str]:
-    """Build distinct /20 blocks, each with another site than its neighbour."""
+    """Build distinct /20 blocks; neighbouring blocks have different sites."""
     first = 16 << 24
     return {
         f"{ip_address(first + (number << HOST_BITS))}/20": f"site-{number % SITES}"
@@ -36,18 +36,18 @@
 
 
 def run_lookup_bench() -> None:
-    """Print memory and time of the table and of whole look-ups."""
+    """Print memory of the block table, and times of table accesses and lookups."""
     rows = [_measure(count) for count in BLOCK_COUNTS]
     print_table(
-        f"Look-up: {SITES} sites, {VMS} entry VMs in {DOMAINS} failure domains",
+        f"Lookup: {SITES} sites, {VMS} entry VMs in {DOMAINS} failure domains",
         (
             "client blocks",
             "build s",
-            "bytes a block",
+            "bytes per block",
             "table p50 us",
             "table p99 us",
-            "look-up p50 us",
-            "look-up p99 us",
+            "lookup p50 us",
+            "lookup p99 us",
         ),
         rows,
     )
--- a/packages/testkit/src/plankspindle_testkit/bench/median_time.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/median_time.py
@@ -1,4 +1,4 @@
-"""The median processor time of a piece of work."""
+"""Median processor time of a function."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def median_ms(function: Callable[[], object]) -> float:
-    """Run a function a few times, and give the median in milliseconds."""
+    """Run a function ``REPEATS`` times; return the median in milliseconds."""
     times = []
     for _ in range(REPEATS):
         began = time.process_time()
--- a/packages/testkit/src/plankspindle_testkit/bench/policy_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/policy_bench.py
@@ -1,4 +1,4 @@
-"""Benchmarks of the policy: priority against FIFO, choice against blind choice."""
+"""Benchmarks of the dispatcher against FIFO queues and load-oblivious balancing."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def run_priority_bench() -> None:
-    """Print latency and goodput by load, by class against FIFO."""
+    """Print latency and goodput by load, for priority classes and for FIFO."""
     capacity = sum(each.slots for each in EVEN) / SERVICE_S
     rows = []
     for factor in LOAD_FACTORS:
@@ -47,7 +47,7 @@
             model = PolicyModel(upstreams=EVEN, policy=policy, load=load)
             rows.append(_priority_row(f"{factor:g}x", name, model.run()))
     print_table(
-        "Priority: 36 slots, 50 ms a request, 1 s each, classes 20/30/50 percent;"
+        "Priority: 36 slots, 50 ms per request, 1 s each, classes 20/30/50 percent;"
         " in time means answered before the deadline",
         (
             "load",
@@ -87,7 +87,7 @@
 
 
 def run_balancing_bench() -> None:
-    """Print latency and goodput by choice of upstream."""
+    """Print latency and goodput by balancing policy."""
     rows = []
     capacity = sum(each.slots / (SERVICE_S * each.slowness) for each in UNEVEN)
     for factor in (0.5, 0.8, 0.95):
@@ -107,7 +107,7 @@
             model = PolicyModel(upstreams=UNEVEN, policy=policy, load=load)
             rows.append(_balancing_row(f"{factor:g}x", name, model.run()))
     print_table(
-        "Balancing: 4 upstreams of 9 slots, 0.7, 0.9, 1 and 3 times 50 ms a request",
+        "Balancing: 4 upstreams of 9 slots, 0.7, 0.9, 1 and 3 times 50 ms per request",
         ("load", "policy", "p50 ms", "p99 ms", "in time %"),
         rows,
     )
--- a/packages/testkit/src/plankspindle_testkit/bench/policy_model.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/policy_model.py
@@ -28,11 +28,11 @@
     Parameters
     ----------
     name : str
-        Its name.
+        Name of the upstream.
     slots : int
-        Requests it may run at once.
+        Requests that it may run at once.
     slowness : float
-        Factor on service times; 1 is average.
+        Factor of service times; 1 is average.
     """
 
     name: str
@@ -47,13 +47,13 @@
     Parameters
     ----------
     rate_per_s : float
-        Requests a second, all classes.
+        Requests per second of all classes.
     share_by_rank : tuple of float
         Share of each class.
     service_s : float
         Mean service time in seconds; lognormal with sigma 0.5.
     timeout_s : float
-        Time that each request is given, in seconds.
+        Time from the arrival of a request to its deadline, in seconds.
     duration_s : float
         Length of the run.
     seed : int
@@ -70,16 +70,16 @@
 
 @frozen(kw_only=True)
 class RequestResult:
-    """What became of one request.
+    """Result of one request.
 
     Parameters
     ----------
     rank : int
-        Its class.
+        Rank of its priority class, 0 first.
     latency_s : float, optional
-        Time to its answer; None if it was rejected.
+        Time from arrival to answer, in seconds; None if it was rejected.
     in_time : bool
-        Whether the answer came before the deadline.
+        Whether it was answered before the deadline.
     """
 
     rank: int
@@ -108,24 +108,24 @@
     cancels_at_deadline: bool
 
     def arrive(self, ticket: Ticket, now: float) -> list[Start | Reject]:
-        """Take a new request."""
+        """Handle a new request."""
 
     def complete(
         self, ticket: Ticket, upstream: str, took_s: float, now: float
     ) -> list[Start | Reject]:
-        """Take the end of a request."""
+        """Handle the completion of a request."""
 
     def tick(self, now: float) -> list[Start | Reject]:
-        """Let time pass."""
+        """Advance the time."""
 
 
 class DispatcherPolicy:
-    """The daemon's own dispatcher.
+    """The daemon's dispatcher.
 
     Parameters
     ----------
     upstreams : list of ModelUpstream
-        What it dispatches to.
+        Upstreams to dispatch to.
     queue_limit : int
         Longest queue.
     """
@@ -139,13 +139,13 @@
         )
 
     def arrive(self, ticket: Ticket, now: float) -> list[Start | Reject]:
-        """Take a new request."""
+        """Handle a new request."""
         return self._handle(d.RequestArrived(ticket), now)
 
     def complete(
         self, ticket: Ticket, upstream: str, took_s: float, now: float
     ) -> list[Start | Reject]:
-        """Take the end of a request."""
+        """Handle the completion of a request."""
         in_time = now < ticket.deadline
         ended = d.AttemptCompleted(
             ticket=ticket,
@@ -159,7 +159,7 @@
         return self._handle(ended, now)
 
     def tick(self, now: float) -> list[Start | Reject]:
-        """Let time pass."""
+        """Advance the time."""
         return self._handle(d.TimePassed(), now)
 
     def _handle(self, event: d.DispatchEvent, now: float) -> list[Start | Reject]:
@@ -182,14 +182,14 @@
 
 
 class FifoPolicy:
-    """Baseline: one queue, first in, first out, whatever class or deadline.
+    """Baseline: one FIFO queue, regardless of classes and deadlines.
 
     Parameters
     ----------
     upstreams : list of ModelUpstream
-        What it dispatches to; the least loaded is taken.
+        Upstreams to dispatch to; that with the most free slots is chosen.
     queue_limit : int
-        Longest queue; a full one rejects.
+        Longest queue; requests that find it full are rejected.
     """
 
     cancels_at_deadline = False
@@ -200,7 +200,7 @@
         self._queue_limit = queue_limit
 
     def arrive(self, ticket: Ticket, now: float) -> list[Start | Reject]:
-        """Take a new request."""
+        """Handle a new request."""
         if len(self._queue) >= self._queue_limit:
             return [Reject(ticket)]
         self._queue.append(ticket)
@@ -209,12 +209,12 @@
     def complete(
         self, ticket: Ticket, upstream: str, took_s: float, now: float
     ) -> list[Start | Reject]:
-        """Take the end of a request."""
+        """Handle the completion of a request."""
         self._free_by_upstream[upstream] += 1
         return self._serve()
 
     def tick(self, now: float) -> list[Start | Reject]:
-        """Let time pass."""
+        """Advance the time."""
         return []
 
     def _serve(self) -> list[Start | Reject]:
@@ -234,9 +234,9 @@
     Parameters
     ----------
     upstreams : list of ModelUpstream
-        What it dispatches to.
+        Upstreams to dispatch to.
     random : Random, optional
-        Source of random choices; round robin without it.
+        Source of random choices; round robin if not given.
     """
 
     cancels_at_deadline = False
@@ -253,7 +253,7 @@
         self._turn = count()
 
     def arrive(self, ticket: Ticket, now: float) -> list[Start | Reject]:
-        """Take a new request."""
+        """Handle a new request."""
         if self._random is not None:
             name = self._random.choice(self._names)
         else:
@@ -264,12 +264,12 @@
     def complete(
         self, ticket: Ticket, upstream: str, took_s: float, now: float
     ) -> list[Start | Reject]:
-        """Take the end of a request."""
+        """Handle the completion of a request."""
         self._free_by_upstream[upstream] += 1
         return self._serve(upstream)
 
     def tick(self, now: float) -> list[Start | Reject]:
-        """Let time pass."""
+        """Advance the time."""
         return []
 
     def _serve(self, name: str) -> list[Start | Reject]:
@@ -282,16 +282,16 @@
 
 @define(kw_only=True)
 class PolicyModel:
-    """One run of a policy under a load.
+    """Simulation of a policy under a load.
 
     Parameters
     ----------
     upstreams : list of ModelUpstream
         The upstreams.
     policy : Policy
-        What decides.
+        Policy that dispatches the requests.
     load : Load
-        What arrives.
+        Arrivals and service times.
     """
 
     upstreams: list[ModelUpstream]
@@ -304,7 +304,7 @@
     _started_at: dict[int, float] = field(factory=dict)
 
     def run(self) -> list[RequestResult]:
-        """Run to the end and give the outcome of every request."""
+        """Run until no event is left, and return the result of every request."""
         random = Random(self.load.seed)
         self._schedule_arrivals(random)
         slowness = {each.name: each.slowness for each in self.upstreams}
--- a/packages/testkit/src/plankspindle_testkit/bench/proxy_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/proxy_bench.py
@@ -1,4 +1,4 @@
-"""Benchmarks of a real daemon on loopback: overhead, look-ups, a large download."""
+"""Benchmarks of a real daemon on loopback: overhead, lookups, a large download."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 def start_proxy(processes: Processes) -> None:
-    """Start a daemon before an upstream stand-in that answers at once."""
+    """Start a daemon with an upstream stand-in that answers at once."""
     processes.start_platform(PLATFORM, [PLACE])
     processes.start_module(
         "upstream",
@@ -76,7 +76,7 @@
         ("direct", UPSTREAM, "GET", PLATES),
         ("through, kept-alive connection", PLACE.caller, "GET", SERVICES + PLATES),
         ("through, new connection", PLACE.caller, "POST", SERVICES + TRANSFERS),
-        ("look-up", PLACE.caller, "GET", "/v1/lookup?service=registry"),
+        ("lookup", PLACE.caller, "GET", "/v1/lookup?service=registry"),
         ("request id", PLACE.caller, "POST", "/v1/request-ids"),
     ]
     for connections in (1, CONNECTIONS):
@@ -93,7 +93,7 @@
 def load_endpoint(
     endpoint: Endpoint, method: str, target: str, connections: int
 ) -> dict[str, Any]:
-    """Send requests from another process, and give their times and statuses."""
+    """Send requests from another process; return their durations and statuses."""
     module = "plankspindle_testkit.bench.load_generator"
     options = ["--method", method, "--connections", str(connections)]
     options += ["--requests", str(REQUESTS), str(endpoint), target]
@@ -134,7 +134,7 @@
     took = time.perf_counter() - began
     print_table(
         "Download of 2 GiB through one daemon",
-        ("MiB/s", "resident before MiB", "most resident MiB"),
+        ("MiB/s", "resident before MiB", "largest resident MiB"),
         [[f"{2048 / took:.0f}", f"{before / 1024:.0f}", f"{worst / 1024:.0f}"]],
     )
 
--- a/packages/testkit/src/plankspindle_testkit/bench/quota_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/quota_bench.py
@@ -1,4 +1,4 @@
-"""Ways to keep quotas over a fleet, on the same loads: what they refuse and send."""
+"""Schemes of fleet-wide quotas under the same loads: rejections and messages."""
 
 from __future__ import annotations
 
@@ -29,16 +29,16 @@
 
 
 class Scheme(Enum):
-    """Where the shares of the VMs go."""
+    """Which VMs hold the shares of the quotas."""
 
-    STATIC = "each VM keeps its own"
+    STATIC = "each VM keeps its own share"
     FLEET = "one holder for all regions"
-    REGIONS = "a holder in each region"
+    REGIONS = "one holder per region"
 
 
 @define(kw_only=True)
 class _Load:
-    """Requests of many workspaces, the first of them hot if wanted."""
+    """Requests of many workspaces at random VMs."""
 
     fleet: QuotaFleet
     demand_by_workspace: dict[str, float]
@@ -52,43 +52,45 @@
     def __call__(self, now: float) -> None:
         del now
         for workspace, per_s in self.demand_by_workspace.items():
-            wanted = per_s / 10
-            number = int(wanted) + (self.random.random() < wanted % 1)
+            expected = per_s / 10
+            number = int(expected) + (self.random.random() < expected % 1)
             self.sent += number
             for _ in range(number):
                 self.fleet.receive_request(self.random.choice(self.names), workspace)
 
 
 def run_quota_bench() -> None:
-    """Print what each way refuses below and beyond quotas, and its messages."""
+    """Print rejections below and above quotas, and message rates, by scheme."""
     rows = [
-        _measure(size, way, is_hot=is_hot)
+        _measure(size, scheme, is_hot=is_hot)
         for size in SIZES
         for is_hot in (False, True)
-        for way in Scheme
+        for scheme in Scheme
     ]
     print_table(
-        "Quotas of 76 workspaces at 1.6 of their use",
+        "Quotas of 76 workspaces at 1.6 of their demand",
         [
             "VMs",
             "load",
-            "way",
-            "refused, percent",
+            "scheme",
+            "rejected, percent",
             "of workspaces below their quota",
-            "most in 5 s, of the bound",
-            "messages a request",
-            "claims and leases a VM and s",
-            "us a VM and s at rest",
+            "maximum in 5 s over the bound",
+            "messages per request",
+            "claims and leases per VM and s",
+            "us per VM and s when idle",
         ],
         rows,
     )
 
 
-def _measure(size: int, way: Scheme, *, is_hot: bool) -> list[str]:
-    use = {f"w{rank}": LARGEST_PER_S / (rank + 1) ** SKEW for rank in range(WORKSPACES)}
+def _measure(size: int, scheme: Scheme, *, is_hot: bool) -> list[str]:
+    demand = {
+        f"w{rank}": LARGEST_PER_S / (rank + 1) ** SKEW for rank in range(WORKSPACES)
+    }
     rates = {
         name: max(MIN_RATE_PER_S, round(QUOTA_PER_DEMAND * per_s))
-        for name, per_s in use.items()
+        for name, per_s in demand.items()
     }
     fleet = QuotaFleet(
         random=Random(1),
@@ -96,21 +98,23 @@
             name: build_workspace(rate_per_s=rate, burst=rate)
             for name, rate in rates.items()
         },
-        regions=REGIONS[:1] if way is Scheme.FLEET else REGIONS,
+        regions=REGIONS[:1] if scheme is Scheme.FLEET else REGIONS,
     )
     fleet.add_vms(size)
-    if way is Scheme.STATIC:
+    if scheme is Scheme.STATIC:
         fleet.partition(lambda one, other: False)
     fleet.run(SETTLE_S)
-    at_rest, rest_us = dict(fleet.sent_by_kind), _idle_us(fleet, size)
-    claims = sum(fleet.sent_by_kind.values()) - sum(at_rest.values())
+    at_idle_start, idle_us = dict(fleet.sent_by_kind), _idle_us(fleet, size)
+    claims = sum(fleet.sent_by_kind.values()) - sum(at_idle_start.values())
     if is_hot:
-        use["w0"] *= HOT_FACTOR
-    load = _Load(fleet=fleet, demand_by_workspace=use, random=Random(2))
+        demand["w0"] *= HOT_FACTOR
+    load = _Load(fleet=fleet, demand_by_workspace=demand, random=Random(2))
     fleet.run(LOAD_S, load)
     refused = {name: len(at) for name, at in fleet.refused_at_by_workspace.items()}
     below = sum(number for name, number in refused.items() if name != "w0")
-    asks = fleet.sent_by_kind["TokenRequest"] + fleet.sent_by_kind["TokenGrant"]
+    token_messages = (
+        fleet.sent_by_kind["TokenRequest"] + fleet.sent_by_kind["TokenGrant"]
+    )
     fullest = max(
         fleet.max_admitted(name, WINDOW_S)
         / ((rate * WINDOW_S + rate) * OVERAGE + SLACK)
@@ -118,19 +122,19 @@
     )
     return [
         str(size),
-        f"one at {HOT_FACTOR:g} of its use" if is_hot else "calm",
-        way.value,
+        f"one at {HOT_FACTOR:g} of its demand" if is_hot else "normal",
+        scheme.value,
         f"{100 * sum(refused.values()) / load.sent:.2f}",
         f"{100 * below / load.sent:.2f}",
         f"{fullest:.2f}",
-        f"{asks / load.sent:.2f}",
+        f"{token_messages / load.sent:.2f}",
         f"{claims / size / WINDOW_S:.1f}",
-        f"{rest_us:.0f}",
+        f"{idle_us:.0f}",
     ]
 
 
 def _idle_us(fleet: QuotaFleet, size: int) -> float:
-    """Let a window pass without requests, and give its processor time."""
+    """Return the processor time without requests, in us per VM and second."""
     began = time.process_time()
     fleet.run(WINDOW_S)
     return (time.process_time() - began) / size / WINDOW_S * 1e6
--- a/packages/testkit/src/plankspindle_testkit/bench/sharing_slopes.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/sharing_slopes.py
@@ -1,4 +1,4 @@
-"""Costs of reads of the platform that entry VMs share, by the size of a domain."""
+"""Processor time of shared platform reads, by the size of a failure domain."""
 
 from __future__ import annotations
 
@@ -28,40 +28,40 @@
     for number in range(232)
 )
 READ_INTERVAL_S = 100.0
-"""Time between two reads, in which a VM comes to share them."""
+"""Time between two reads, in seconds; long enough for a VM to start sharing them."""
 KEY = b"k" * 16
 
 
 def broadcast_ms(members: int) -> float:
-    """Read a list of 232 upstreams and tell all members of the domain."""
+    """Read a list of 232 upstreams and send it to all members of the domain."""
     reads = _build_reads("vm-0000", members)
     sealer = FrameSealer(keys=[KEY])
     versions = iter(range(2, 10**6))
 
-    def tell() -> None:
+    def broadcast() -> None:
         for sent in _read_list(reads, version=next(versions)):
             sealer.seal(encode(sent.message))
 
-    return median_ms(tell)
+    return median_ms(broadcast)
 
 
 def receive_ms(members: int) -> float:
-    """Take what a reader tells."""
+    """Receive and apply the update of a reader."""
     reader = _build_reads("vm-0000", members)
     reads = _build_reads("vm-0001", members)
     sealer = FrameSealer(keys=[KEY])
     frame = sealer.seal(encode(_read_list(reader, version=2)[0].message))
 
-    def hear() -> None:
-        news = sealer.open(frame).and_then(decode).unwrap()
-        assert isinstance(news, ListNews)
-        reads.apply_update(news, READ_INTERVAL_S)
+    def receive() -> None:
+        update = sealer.open(frame).and_then(decode).unwrap()
+        assert isinstance(update, ListNews)
+        reads.apply_update(update, READ_INTERVAL_S)
 
-    return median_ms(hear)
+    return median_ms(receive)
 
 
 def _build_reads(vm: str, members: int) -> SharedReads:
-    """Build one of a domain's entry VMs, after its first read of the list."""
+    """Build the shared reads of one entry VM, after its first read of the list."""
     names = [f"vm-{number:04}" for number in range(members)]
     reads = SharedReads(group=build_reader_group(vm, names), period_s=1.0)
     _read_list(reads, version=1)
--- a/packages/testkit/src/plankspindle_testkit/bench/shift_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/shift_bench.py
@@ -1,4 +1,4 @@
-"""The moved share of requests against the cap, over many seeds."""
+"""Benchmark of the moved share of requests against its cap, over many seeds."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 REQUESTS = 5_000
 CAP_PERCENT = 20.0
 SKEWS = {
-    "400 callers alike": [1.0] * 400,
-    "25 callers alike": [1.0] * 25,
-    "one caller half of the traffic": [24.0, *[1.0] * 24],
+    "400 equal callers": [1.0] * 400,
+    "25 equal callers": [1.0] * 25,
+    "one caller with half of the traffic": [24.0, *[1.0] * 24],
 }
 
 
 def run_shift_bench() -> None:
-    """Print the moved share at the end and the most at any moment."""
+    """Print the final and the largest moved share, by distribution of callers."""
     rows = []
     for name, weights in SKEWS.items():
         runs = [_run(Random(seed), weights) for seed in SEEDS]
@@ -32,13 +32,13 @@
                 f"{quantile(shares, 0.0):.1f}",
                 f"{quantile(shares, 0.5):.1f}",
                 f"{max(shares):.2f}",
-                f"{max(most for _, most in runs):.2f}",
+                f"{max(largest for _, largest in runs):.2f}",
             ]
         )
     print_table(
         f"Moved share under a cap of {CAP_PERCENT:g} percent, {len(SEEDS)} seeds of"
         f" {REQUESTS} requests",
-        ("callers", "least %", "median %", "most %", "most at any moment %"),
+        ("callers", "smallest %", "median %", "largest %", "largest at any time %"),
         rows,
     )
 
@@ -55,11 +55,11 @@
     meter.apply_shifts({"shift": shift}, 0.0)
     salt = random.random()
     callers = [f"caller-{salt}-{number}" for number in range(len(weights))]
-    moved, most = 0, 0.0
+    moved, max_share = 0, 0.0
     for total, caller in enumerate(random.choices(callers, weights, k=REQUESTS), 1):
         chosen = meter.choose(service="s", caller_key=caller, now=0.0)
         if isinstance(chosen, Move):
             meter.record_move(service="s", move=chosen)
             moved += 1
-        most = max(most, 100 * moved / total)
-    return 100 * moved / REQUESTS, most
+        max_share = max(max_share, 100 * moved / total)
+    return 100 * moved / REQUESTS, max_share
--- a/packages/testkit/src/plankspindle_testkit/bench/size_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/size_bench.py
@@ -1,4 +1,4 @@
-"""Processor time of one entry VM that serves nobody, by the size of the fleet."""
+"""Processor time of an entry VM without requests, by the size of the fleet."""
 
 from __future__ import annotations
 
@@ -32,16 +32,16 @@
 
 @frozen(kw_only=True)
 class Operation:
-    """One piece of the work of an entry VM.
+    """A periodic operation of an entry VM.
 
     Parameters
     ----------
     name : str
-        What is done.
+        Description of the operation.
     per_s : str
-        How often, a second.
+        How often it runs per second.
     measure : callable
-        Gives the milliseconds of one piece in a fleet.
+        Returns the processor time of one run in a fleet, in milliseconds.
     """
 
     name: str
@@ -50,17 +50,21 @@
 
 
 def run_size_bench() -> None:
-    """Print the processor time of each piece of work at each size."""
+    """Print the processor time of each operation at each fleet size."""
     rows = [
-        [work.name, work.per_s, *(f"{work.measure(each):.3f}" for each in FLEETS)]
-        for work in OPERATIONS
+        [
+            operation.name,
+            operation.per_s,
+            *(f"{operation.measure(each):.3f}" for each in FLEETS),
+        ]
+        for operation in OPERATIONS
     ]
     sizes = [f"{each.vms} VMs, {each.upstreams} upstreams" for each in FLEETS]
-    print_table("Milliseconds of one piece", ("work", "a second", *sizes), rows)
+    print_table("Milliseconds per run", ("operation", "per second", *sizes), rows)
 
 
 def ticks_per_second_ms(fleet: Fleet) -> float:
-    """Let one second pass at an entry VM at rest."""
+    """Run the ticks of one second on an idle entry VM."""
     node = build_fleet_node(fleet, now=START_S)
     steps = iter(range(10**6))
 
@@ -73,18 +77,18 @@
 
 
 def receive_heartbeat_ms(fleet: Fleet) -> float:
-    """Open, decode and take a heartbeat."""
+    """Verify, decode and handle a heartbeat."""
     node = build_fleet_node(fleet, now=START_S)
     sealer = FrameSealer(keys=[b"k" * 16])
     frames = [
         sealer.seal(encode(fleet.heartbeat(1, sequence=number + 2)))
         for number in range(600)
     ]
-    rest = iter(frames)
+    remaining = iter(frames)
 
     def receive() -> None:
         for _ in range(100):
-            heartbeat = sealer.open(next(rest)).and_then(decode).unwrap()
+            heartbeat = sealer.open(next(remaining)).and_then(decode).unwrap()
             event = HeartbeatReceived(heartbeat)  # type: ignore[arg-type]
             node.handle_membership(event, now=START_S, wall=WALL_TIME_S)
 
@@ -92,14 +96,14 @@
 
 
 def build_heartbeat_ms(fleet: Fleet) -> float:
-    """Make a heartbeat, and encode and seal it."""
+    """Build, encode and sign a heartbeat."""
     node = build_fleet_node(fleet, now=START_S)
     sealer = FrameSealer(keys=[b"k" * 16])
     return median_ms(lambda: sealer.seal(encode(node.heartbeat(now=START_S))))
 
 
 def apply_list_ms(fleet: Fleet) -> float:
-    """Take the platform's list again, unchanged."""
+    """Apply the platform's list again, unchanged."""
     node = build_fleet_node(fleet, now=START_S)
     listed = tuple(fleet.live_list())
     return median_ms(
@@ -110,10 +114,10 @@
 
 
 def apply_list_change_ms(fleet: Fleet) -> float:
-    """Take the platform's list after one upstream went or came."""
+    """Apply the platform's list after one upstream was removed or added."""
     node = build_fleet_node(fleet, now=START_S)
-    whole = tuple(fleet.live_list())
-    lists = iter((whole[1:], whole) * 10)
+    complete_list = tuple(fleet.live_list())
+    lists = iter((complete_list[1:], complete_list) * 10)
     return median_ms(
         lambda: node.handle_membership(
             LiveListRead(next(lists)), now=START_S, wall=WALL_TIME_S
@@ -121,17 +125,17 @@
     )
 
 
-def watch_ms(fleet: Fleet) -> float:
-    """Compare what is believed with what was believed before."""
+def compare_status_ms(fleet: Fleet) -> float:
+    """Compare the observed status with that of the previous run."""
     node = build_fleet_node(fleet, now=START_S)
-    watch = StatusMonitor()
+    monitor = StatusMonitor()
     calls = BoundedCalls(timeout_s=0.5)
-    watch.observe(node, calls, START_S)
-    return median_ms(lambda: watch.observe(node, calls, START_S))
+    monitor.observe(node, calls, START_S)
+    return median_ms(lambda: monitor.observe(node, calls, START_S))
 
 
 def start_ms(fleet: Fleet) -> float:
-    """Hear all others and read the list for the first time, once."""
+    """Receive all heartbeats and read the list for the first time, once."""
     listed = tuple(fleet.live_list())
     heartbeats = [fleet.heartbeat(each, sequence=1) for each in range(1, fleet.vms)]
     began = time.process_time()
@@ -148,17 +152,19 @@
 OPERATIONS = (
     Operation(name="a second of ticks", per_s="1", measure=ticks_per_second_ms),
     Operation(
-        name="heartbeat taken",
+        name="heartbeat received",
         per_s="up to 25, 15 at 195",
         measure=receive_heartbeat_ms,
     ),
-    Operation(name="heartbeat made", per_s="1 to 2", measure=build_heartbeat_ms),
-    Operation(name="list taken, unchanged", per_s="up to 1", measure=apply_list_ms),
+    Operation(name="heartbeat built", per_s="1 to 2", measure=build_heartbeat_ms),
+    Operation(name="list applied, unchanged", per_s="up to 1", measure=apply_list_ms),
     Operation(
-        name="list taken, changed", per_s="up to 1", measure=apply_list_change_ms
+        name="list applied, changed", per_s="up to 1", measure=apply_list_change_ms
     ),
-    Operation(name="beliefs compared", per_s="4, 0.9 at 195", measure=watch_ms),
     Operation(
-        name="members and list learned at a start", per_s="once", measure=start_ms
+        name="observed status compared",
+        per_s="4, 0.9 at 195",
+        measure=compare_status_ms,
     ),
+    Operation(name="heartbeats and list at a start", per_s="once", measure=start_ms),
 )
--- a/packages/testkit/src/plankspindle_testkit/bench/slope.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/slope.py
@@ -1,4 +1,4 @@
-"""A cost that is measured at some sizes."""
+"""A cost that is measured at several sizes."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 @frozen(kw_only=True)
 class Slope:
-    """A cost at some sizes.
+    """A cost as a function of a size.
 
     Parameters
     ----------
     name, unit : str
-        What is measured, in which unit.
+        Description and unit of the cost.
     sizes : tuple of int
-        Sizes.
+        Sizes at which it is measured.
     measure : callable
-        Gives the cost at a size.
+        Returns the cost at a size.
     """
 
     name: str
--- a/packages/testkit/src/plankspindle_testkit/bench/slopes_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/slopes_bench.py
@@ -1,4 +1,4 @@
-"""Slopes of processor time and memory, from which docs/CAPACITY.md is worked out."""
+"""Processor time and memory as linear functions of sizes, for docs/CAPACITY.md."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 def run_slopes_bench() -> None:
-    """Print a row for each slope: values, linear fit, worst error of the fit."""
+    """Print for each cost its values, the linear fit and the worst error of the fit."""
     rows = []
     for slope in SLOPES:
         values = [slope.measure(size) for size in slope.sizes]
@@ -78,7 +78,7 @@
 
 
 def _build_reported_node(upstreams: int) -> Node:
-    """Build a node whose upstreams any entry VM may use, spread over three domains."""
+    """Build a node with slot sharing by reports and upstreams in three domains."""
     node = TrialVm.start(_place(0), seeds=[], random=Random(1), now=0.0).node
     domains = ("ba-1", "ba-2", "ke-1")
     configuration = build_configuration(
@@ -93,7 +93,7 @@
 
 
 def _place_request_ms(upstreams: int) -> float:
-    """Place one request by its affinity key and take its end."""
+    """Place one request by its affinity key and handle its completion."""
     node = _build_reported_node(upstreams)
     numbers = iter(range(10**6))
 
@@ -108,19 +108,19 @@
 
 
 def _ranking_kib(upstreams: int) -> float:
-    """Remember the order of the upstreams for one affinity key."""
+    """Cache the ranking of the upstreams for one affinity key."""
     node = _build_reported_node(upstreams)
     keys = 50
     tracemalloc.start()
     for number in range(keys):
         _serve_one(node, build_ticket(number, affinity=f"k{number}"))
-    held = tracemalloc.get_traced_memory()[0]
+    allocated = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return held / 1024 / keys
+    return allocated / 1024 / keys
 
 
 def _reorder_ms(upstreams: int) -> float:
-    """Take an upstream in and another out, with 400 keys remembered."""
+    """Add an upstream and remove another, with the rankings of 400 keys cached."""
     node = _build_reported_node(upstreams)
     placement = node.dispatchers_by_service["registry"].placement
     assert placement is not None
@@ -140,7 +140,7 @@
 
 
 def _build_node(members: int, upstreams: int = 60) -> Node:
-    """Build a node that has heard all members of its failure domain."""
+    """Build a node that has received heartbeats of all members of its domain."""
     places = [_place(number) for number in range(members)]
     node = TrialVm.start(places[0], seeds=[], random=Random(1), now=0.0).node
     configuration = build_configuration(
@@ -171,7 +171,7 @@
 
 
 def _heartbeat_ms(members: int) -> float:
-    """Receive one heartbeat: open, decode, decide."""
+    """Verify, decode and handle one heartbeat."""
     node = _build_node(members)
     sealer = FrameSealer(keys=[b"k" * 16])
     sender = TrialVm.start(_place(1), seeds=[], random=Random("vm-0001"), now=0.0)
@@ -179,11 +179,11 @@
     frames = [
         sealer.seal(encode(evolve(first, sequence=number + 2))) for number in range(200)
     ]
-    rest = iter(frames * REPEATS)
+    remaining = iter(frames * REPEATS)
 
     def receive() -> None:
         for _ in range(100):
-            heartbeat = sealer.open(next(rest)).and_then(decode).unwrap()
+            heartbeat = sealer.open(next(remaining)).and_then(decode).unwrap()
             assert isinstance(heartbeat, Heartbeat)
             event = membership.HeartbeatReceived(heartbeat)
             node.handle_membership(event, now=0.3, wall=WALL)
@@ -205,7 +205,7 @@
 
 
 def _dispatch_ms(upstreams: int) -> float:
-    """Assign one request and take its end."""
+    """Dispatch one request and handle its completion."""
     node = _build_node(1, upstreams)
     node.tick(now=3.0, wall=WALL)
     numbers = iter(range(10**6))
@@ -224,7 +224,7 @@
 
 
 def _adopt_ms(blocks: int) -> float:
-    """Decode a version, build its table and put it in force."""
+    """Decode a version, build its block table and put it in force."""
     content = encode_configuration(_configuration(blocks))
     versions = iter(range(1, 100))
     node = _build_node(1)
@@ -250,14 +250,14 @@
     tracemalloc.start()
     decoded = decode_configuration(content).unwrap()
     table = BlockTable(site_by_prefix=decoded.site_by_prefix)
-    held = tracemalloc.get_traced_memory()[0]
+    allocated = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     assert table.blocks == blocks
-    return held / 1024**2
+    return allocated / 1024**2
 
 
 def _list_ms(vms: int) -> float:
-    """Read the platform's list of entry VMs and take it."""
+    """Parse the platform's list of entry VMs and apply it."""
     node = _build_node(1)
     document = {
         "vms": [
@@ -283,7 +283,7 @@
 
 
 def _digests_ms(senders: int) -> float:
-    """Add up the load of all failure domains for a plan."""
+    """Sum up the load of a service from the digests, as for a plan."""
     node = _build_node(1)
     node.tick(now=3.0, wall=WALL)
     digest = node.digest_exchange.own_digest(
@@ -324,25 +324,25 @@
         measure=_place_request_ms,
     ),
     Slope(
-        name="order of the upstreams for a key, by upstreams",
+        name="ranking of the upstreams for a key, by upstreams",
         unit="KiB",
         sizes=(24, 100, 200, 400),
         measure=_ranking_kib,
     ),
     Slope(
-        name="upstream that comes and one that goes, 400 keys remembered, by upstreams",
+        name="upstream added and one removed, 400 rankings cached, by upstreams",
         unit="ms",
         sizes=(24, 100, 200, 400),
         measure=_reorder_ms,
     ),
     Slope(
-        name="list of 232 read and told, by members of the domain",
+        name="list of 232 read and broadcast, by members of the domain",
         unit="ms",
         sizes=(8, 16, 32),
         measure=broadcast_ms,
     ),
     Slope(
-        name="reader's word heard, by members of the domain",
+        name="update of a reader received, by members of the domain",
         unit="ms",
         sizes=(8, 16, 32),
         measure=receive_ms,
@@ -372,13 +372,13 @@
         measure=_configuration_mib,
     ),
     Slope(
-        name="list of VMs read and taken, by VMs",
+        name="list of VMs read and applied, by VMs",
         unit="ms",
         sizes=(100, 500, 1_000, 2_000),
         measure=_list_ms,
     ),
     Slope(
-        name="load added up for a plan, by senders",
+        name="load summed up for a plan, by senders",
         unit="ms",
         sizes=(100, 1_000, 4_500),
         measure=_digests_ms,
--- a/packages/testkit/src/plankspindle_testkit/bench/spread_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/spread_bench.py
@@ -1,4 +1,4 @@
-"""How a new version spreads: rounds, messages and misses by way, with dead nodes."""
+"""Propagation of a version with dead nodes: rounds, messages, misses by strategy."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 
 
 def run_spread_bench() -> None:
-    """Print a row for each way, size and share of dead nodes."""
+    """Print a row for each strategy, size and share of dead nodes."""
     rows = []
     for size in SIZES:
         for dead_share in DEAD_SHARES:
-            for name, way in _strategies():
-                rows.append(_row(size, dead_share, name, way))
+            for name, strategy in _strategies():
+                rows.append(_row(size, dead_share, name, strategy))
     print_table(
-        "Spreading of a version from one node over 20 seeds; dead nodes are not known"
-        " to be dead; 200 bytes a message",
+        "Propagation of a version from one node over 20 seeds; dead nodes are not known"
+        " to be dead; 200 bytes per message",
         (
             "nodes",
             "dead %",
-            "way",
+            "strategy",
             "live nodes missed (mean)",
             "complete runs",
             "rounds (mean)",
-            "messages a node",
+            "messages per node",
             "most bytes sent by a node",
         ),
         rows,
@@ -84,14 +84,14 @@
     return members[1:] if int(me) == 0 else []
 
 
-def _row(size: int, dead_share: float, name: str, way: Strategy) -> list[str]:
-    missed, rounds, messages, most = [], [], [], 0
+def _row(size: int, dead_share: float, name: str, strategy: Strategy) -> list[str]:
+    missed, rounds, messages, max_sent = [], [], [], 0
     for seed in SEEDS:
-        result = _spread(size, dead_share, way, Random(seed))
+        result = _spread(size, dead_share, strategy, Random(seed))
         missed.append(result[0])
         rounds.append(result[1])
         messages.append(result[2])
-        most = max(most, result[3])
+        max_sent = max(max_sent, result[3])
     count = len(missed)
     return [
         str(size),
@@ -101,27 +101,27 @@
         f"{missed.count(0)} of {count}",
         f"{sum(rounds) / count:.1f}",
         f"{sum(messages) / count / size:.2f}",
-        str(most * MESSAGE_BYTES),
+        str(max_sent * MESSAGE_BYTES),
     ]
 
 
 def _spread(
-    size: int, dead_share: float, way: Strategy, random: Random
+    size: int, dead_share: float, strategy: Strategy, random: Random
 ) -> tuple[int, int, int, int]:
-    """Give live nodes missed, rounds, messages, and most messages of one node."""
+    """Return missed live nodes, rounds, messages, and the most messages of one node."""
     members = [f"{number:05}" for number in range(size)]
     dead = set(random.sample(members[1:], int(size * dead_share)))
     informed = {members[0]}
     fresh = [members[0]]
-    messages = most = rounds = 0
+    messages = max_sent = rounds = 0
     while fresh and rounds < MAX_ROUNDS:
         reached = set()
         for node in fresh:
-            targets = way(node, members, random)
+            targets = strategy(node, members, random)
             messages += len(targets)
-            most = max(most, len(targets))
+            max_sent = max(max_sent, len(targets))
             reached.update(targets)
         fresh = sorted(reached - informed - dead)
         informed.update(fresh)
         rounds += bool(fresh)
-    return size - len(dead) - len(informed), rounds, messages, most
+    return size - len(dead) - len(informed), rounds, messages, max_sent
--- a/packages/testkit/src/plankspindle_testkit/bench/table.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/table.py
@@ -9,7 +9,7 @@
 
 
 def quantile(values: Sequence[float], share: float) -> float:
-    """Give the value below which a share of the values lies.
+    """Return the value below which a share of the values lies.
 
     Parameters
     ----------
