--- a/packages/core/src/plankspindle_core/configuration/service.py
+++ b/packages/core/src/plankspindle_core/configuration/service.py
@@ -84,6 +84,6 @@
 
     @property
     def longest_timeout_ms(self) -> int:
-        """Longest timeout of all operations of this service, in milliseconds."""
+        """Longest timeout of any request of this service, in milliseconds."""
         undeclared = default_operation("GET").timeout_ms
         return max([undeclared, *(each.timeout_ms for each in self.operations)])
--- a/packages/core/src/plankspindle_core/process_start.py
+++ b/packages/core/src/plankspindle_core/process_start.py
@@ -1,4 +1,4 @@
-"""Start time of this process."""
+"""Approximate start time of this process."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import Final
 
 PROCESS_STARTED_AT: Final = time.clock_gettime(time.CLOCK_BOOTTIME)
-"""Start time in seconds on the clock of :mod:`plankspindle_core.steady_clock`.
+"""Import time of this module, in seconds of :mod:`plankspindle_core.steady_clock`.
 
 Entry points import this module before any other, since the other imports take up to a
 second on a small machine.
