--- a/tests/fleet/builders.py
+++ b/tests/fleet/builders.py
@@ -1,4 +1,4 @@
-"""Documents of the platform, made up for tests."""
+"""Builders of the platform's documents and rows for tests."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 BOOT = Path(__file__).with_name("boot.yaml")
 CONTACT_S = 4.0
-"""Time after a disturbance from which the bounds hold, in ``boot.yaml``."""
+"""Time after a disturbance from which the bounds apply, as in ``boot.yaml``."""
 
 
 def build_boot(monkeypatch: Any, path: Path = BOOT) -> BootSettings:
@@ -24,7 +24,7 @@
 
 
 def build_operator_document(**fields: Any) -> dict[str, Any]:
-    """Build what an operator writes: one host, one service, one route."""
+    """Build an operator's document with one host, two services and one route."""
     document = {
         "config_version": "00000007",
         "services": [
@@ -60,19 +60,19 @@
 
 
 def build_row(key: str, version: int, document: Any) -> StoredRow:
-    """Build a row; a document that is None stands for a dropped one."""
+    """Build a row; a document of None stands for a removed row."""
     value = None if document is None else json.dumps(document).encode()
     return StoredRow(key=key, version=version, value=value)
 
 
 def build_rows(*rows: StoredRow, version: int) -> RowSnapshot:
-    """Build an answer of the store."""
+    """Build a parsed answer of the store."""
     return RowSnapshot(rows=rows, version=version)
 
 
 def wire_row(row: StoredRow) -> dict[str, Any]:
-    """Give a row as the store sends it."""
-    sent: dict[str, Any] = {"tls_key": row.key, "schema_version": row.version}
+    """Return a row as the store sends it."""
+    fields_sent: dict[str, Any] = {"tls_key": row.key, "schema_version": row.version}
     if row.value is None:
-        return {**sent, "tombstone": True}
-    return {**sent, "value": base64.b64encode(row.value).decode()}
+        return {**fields_sent, "tombstone": True}
+    return {**fields_sent, "value": base64.b64encode(row.value).decode()}
--- a/tests/fleet/fleet_vm.py
+++ b/tests/fleet/fleet_vm.py
@@ -1,4 +1,4 @@
-"""What of a daemon follows the fleet's platform, in one process with others."""
+"""The parts of a daemon that follow the fleet's platform, several in one process."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
     from plankspindle_platform.boot_settings import BootSettings
 
 MAX_POLLS = 400
-"""Looks at the VMs before a test gives up waiting, 0.05 s each."""
+"""Polls, 0.05 s apart, after which a wait for a condition fails."""
 
 
 @define(kw_only=True)
 class FleetVm:
-    """What of a daemon follows the platform."""
+    """One entry VM: the parts of a daemon that follow the platform."""
 
     node: Node
     platform: StorePlatform
@@ -82,7 +82,7 @@
 def build_vm(
     number: int, store: Endpoint, boot: BootSettings, **timing: int
 ) -> FleetVm:
-    """Build a VM; timing that is not given follows from the platform's bounds."""
+    """Build a VM; times that are not given follow from the platform's bounds."""
     host = loopback_host(8, number + 1)
     settings = evolve(
         boot.daemon,
@@ -100,7 +100,7 @@
     random, supervisor = Random(number), Supervisor()
     node = make_node(settings, random, all_domains=True, lists_upstreams=True)
     platform = StorePlatform(settings=settings)
-    watched = RowStore(endpoint=store, calls=platform.calls)
+    operator_store = RowStore(endpoint=store, calls=platform.calls)
     peers = PeerLink(
         endpoint=settings.listen.peer,
         sealer=FrameSealer(keys=[b"k" * 16]),
@@ -120,7 +120,7 @@
     effects.on_list_update = lists.apply_update
     configurations = ConfigurationFollower(
         node=node,
-        reader=OperatorReader(store=watched, boot=boot),
+        reader=OperatorReader(store=operator_store, boot=boot),
         effects=effects,
         period_s=0.05,
         all_read=True,
@@ -137,9 +137,9 @@
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Wait until something holds; fail if it never does."""
+    """Wait until a condition holds; fail if it does not within 20 s."""
     for _ in range(MAX_POLLS):
         if condition():
             return
         await curio.sleep(0.05)
-    raise AssertionError("it never held")
+    raise AssertionError("the condition did not hold in time")
--- a/tests/fleet/store_stand_in.py
+++ b/tests/fleet/store_stand_in.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's store, with its conditions and its faults."""
+"""In-memory stand-in of the platform's store, with conditional writes and faults."""
 
 from __future__ import annotations
 
@@ -34,19 +34,20 @@
 
 
 class StoreStandIn:
-    """Rows in memory with the store's conditions, and answers that are lost.
+    """Rows in memory with conditional writes, and answers that may be lost.
 
     Attributes
     ----------
     requested_waits_ms : list of int
-        Waits that callers of the feed asked for.
+        Wait times of the long polls that were received.
     honours_waits : bool
-        Whether the feed waits for a change as it is asked to.
+        Whether the feed waits for a change as requested.
     rejects_writes : bool
         Whether transactions get 429.
     is_unresponsive : bool
-        Whether calls that come or wait get no answer, then or later; their connections
-        stay open.
+        Whether new and waiting calls never get an answer; their connections stay open.
+    vm_replaced_before_write : str or None
+        Entry VM whose row changes just before each transaction.
     """
 
     def __init__(self) -> None:
@@ -70,7 +71,7 @@
         path, _, query = source.target.partition("?")
         connection = source._socket
         self._connections.add(connection)
-        lost = self.is_unresponsive or connection in self._silenced
+        is_lost = self.is_unresponsive or connection in self._silenced
         if self.delays_answers:
             await curio.sleep(1.0)
         if path == "/rows-tx":
@@ -78,7 +79,7 @@
         else:
             fields = {key: each[0] for key, each in parse_qs(query).items()}
             status, answer = await self._read(path, fields)
-        if self.is_unresponsive or lost or connection in self._silenced:
+        if self.is_unresponsive or is_lost or connection in self._silenced:
             await curio.Event().wait()
         if self.drops_answers:
             source.abort()
@@ -86,7 +87,7 @@
         await source.answer(status=status, body=json.dumps(answer).encode())
 
     def silence_connections(self) -> None:
-        """Answer nothing more on the connections that there are; new ones work."""
+        """Stop answering on all present connections; new ones work."""
         self._silenced |= self._connections
 
     def _transact(self, change: dict[str, Any]) -> tuple[int, Any]:
@@ -103,10 +104,10 @@
                 return 412, {"rows": [row]}
         self.version += 1
         for put in change["puts"]:
-            place = (put["table"], put["tls_key"])
-            self.rows_by_key[place] = (self.version, put["value"])
-        for drop in change["remove"]:
-            self.rows_by_key.pop((drop["table"], drop["tls_key"]), None)
+            row_key = (put["table"], put["tls_key"])
+            self.rows_by_key[row_key] = (self.version, put["value"])
+        for removal in change["remove"]:
+            self.rows_by_key.pop((removal["table"], removal["tls_key"]), None)
         return 200, {"schema_version": self.version}
 
     async def _read(self, path: str, fields: dict[str, str]) -> tuple[int, Any]:
@@ -126,7 +127,7 @@
         return 200, {**page, "schema_version": self.version}
 
     async def _wait(self, fields: dict[str, str]) -> None:
-        """Wait for a change of a table, as long as the caller wants."""
+        """Wait for a change of a table, at most as long as requested."""
         self.requested_waits_ms.append(int(fields["wait_ms"]))
         wait_s = int(fields["wait_ms"]) / 1000 if self.honours_waits else 0.0
         end = monotonic() + wait_s
--- a/tests/fleet/test_after_outage.py
+++ b/tests/fleet/test_after_outage.py
@@ -1,15 +1,14 @@
-"""An incident: changes in force late after an outage of the platform.
-
-Seen: a route that was moved 0.8 s after the platform's return ran at its old service
-for a further 4.4 s, at all nine entry VMs; 4 s after the return is the latest.
-How: each VM asks the platform for changes and waits up to 5 s for one, and 1 s more for
-the answer. The platform fell silent. The first wait was given up after 6 s, and the
-next, asked while the platform was still silent, 6 s later again: neither is ever
-answered, and the return in between was noticed by nothing.
-Cause: the wait was sized by the bound on a change after the disturbance is over, added
-to the time that a disturbance lasts on; but a change that is made at the return is held
-to the time alone. And a read after a failure waited for changes like any other.
-Proof: the logs' times of both waits, 5 s and 1 s apart in all VMs, and these tests.
+"""Changes must take effect in time after an outage of the platform.
+
+These tests guard against configurations that take effect too late. A route that was
+moved 0.8 s after an outage went to its old service for another 4.4 s on all nine entry
+VMs; the latest is 4 s after the outage. Each VM waited up to 5 s for a change in a long
+poll, and 1 s more for the answer. The first long poll timed out after 6 s, and the
+next, begun while the platform was still unresponsive, 6 s after that; neither was
+answered, and nothing noticed that the platform was back. Two causes: the long-poll time
+was the bound on a change plus the time after a disturbance, while a change made at the
+end of the outage has only the latter; and the read after a failed one waited for
+changes as well.
 """
 
 from __future__ import annotations
@@ -39,20 +38,20 @@
 
     from plankspindle_core.endpoint import Endpoint
 
-AWAY_S = 0.5
-NOTHING = b'{"expected_revision":[],"puts":[],"remove":[]}'
-RETURN_S = 1.9
-"""Time after which entries that lapsed in an outage are back, a little under 2 s."""
+OUTAGE_S = 0.5
+EMPTY_TRANSACTION = b'{"expected_revision":[],"puts":[],"remove":[]}'
+RELISTED_AFTER_S = 1.9
+"""Time after an outage in which expired entries are listed again, just below 2 s."""
 NAMES = frozenset(f"i-{number}" for number in range(4))
-MORE_PATHS = [build_path(), build_path(name="r2", path_prefix="/vins/")]
+TWO_PATHS = [build_path(), build_path(name="r2", path_prefix="/vins/")]
 
 
 def run_vm(
     monkeypatch: pytest.MonkeyPatch,
     names: frozenset[str],
-    use: Callable[[StoreStandIn, FleetVm], Awaitable[Any]],
+    scenario: Callable[[StoreStandIn, FleetVm], Awaitable[Any]],
 ) -> Any:
-    """Run a VM that knows some upstreams and waits for changes, and then a test."""
+    """Run a scenario with a VM that knows some upstreams and waits for changes."""
 
     async def with_vm(store: StoreStandIn, endpoint: Endpoint) -> Any:
         store.honours_waits = True
@@ -64,39 +63,43 @@
         try:
             await wait_until(lambda: vm.routes() == 1 and vm.upstreams() == names)
             await wait_until(lambda: len(store.requested_waits_ms) >= 2)
-            return await use(store, vm)
+            return await scenario(store, vm)
         finally:
             await vm.close()
 
     return run_with_store(with_vm)
 
 
-def seconds_until_known(
+def measure_recovery_s(
     monkeypatch: pytest.MonkeyPatch,
     change: Callable[[StoreStandIn], None],
-    holds: Callable[[FleetVm], bool],
+    condition: Callable[[FleetVm], bool],
     *,
-    away_s: float = AWAY_S,
+    outage_s: float = OUTAGE_S,
 ) -> Any:
-    """Let a VM wait for changes, lose that wait, and make a change afterwards."""
+    """Return the seconds from the end of an outage until a VM knows a change.
 
-    async def use(store: StoreStandIn, vm: FleetVm) -> float:
+    The outage begins while the VM waits for changes in a long poll; the change is made
+    at its end.
+    """
+
+    async def scenario(store: StoreStandIn, vm: FleetVm) -> float:
         store.is_unresponsive = True
-        await curio.sleep(away_s)
+        await curio.sleep(outage_s)
         store.is_unresponsive = False
-        back_at = monotonic()
+        recovered_at = monotonic()
         change(store)
-        await wait_until(lambda: holds(vm))
-        return monotonic() - back_at
+        await wait_until(lambda: condition(vm))
+        return monotonic() - recovered_at
 
-    return run_vm(monkeypatch, frozenset({"i-1"}), use)
+    return run_vm(monkeypatch, frozenset({"i-1"}), scenario)
 
 
 def move_route(store: StoreStandIn) -> None:
     store.put(
         "op",
         "config",
-        build_operator_document(hosts=[{"host": "desk.example", "paths": MORE_PATHS}]),
+        build_operator_document(hosts=[{"host": "desk.example", "paths": TWO_PATHS}]),
     )
 
 
@@ -104,161 +107,162 @@
     store.put("servers", "i-2", SERVER_DOCUMENT)
 
 
-@pytest.mark.parametrize("away_s", [AWAY_S, 5.0])
-def test_a_configuration_made_after_an_outage_is_in_force_in_time(
-    monkeypatch: pytest.MonkeyPatch, away_s: float
+@pytest.mark.parametrize("outage_s", [OUTAGE_S, 5.0])
+def test_configuration_changed_after_outage_takes_effect_in_time(
+    monkeypatch: pytest.MonkeyPatch, outage_s: float
 ) -> None:
-    took_s = seconds_until_known(
-        monkeypatch, move_route, lambda vm: vm.routes() == 2, away_s=away_s
+    took_s = measure_recovery_s(
+        monkeypatch, move_route, lambda vm: vm.routes() == 2, outage_s=outage_s
     )
     assert took_s < CONTACT_S
 
 
 @pytest.mark.parametrize(
-    ("change", "holds"),
+    ("change", "condition"),
     [
         (move_route, lambda vm: vm.routes() == 2),
         (add_upstream, lambda vm: vm.upstreams() == {"i-1", "i-2"}),
     ],
 )
-def test_a_change_made_when_all_connections_fall_silent_is_known_in_time(
+def test_change_is_known_in_time_when_all_connections_become_unresponsive(
     monkeypatch: pytest.MonkeyPatch,
     change: Callable[[StoreStandIn], None],
-    holds: Callable[[FleetVm], bool],
+    condition: Callable[[FleetVm], bool],
 ) -> None:
-    def change_silently(store: StoreStandIn) -> None:
+    def change_unnoticed(store: StoreStandIn) -> None:
         store.silence_connections()
         change(store)
 
-    took_s = seconds_until_known(monkeypatch, change_silently, holds, away_s=0.0)
+    took_s = measure_recovery_s(monkeypatch, change_unnoticed, condition, outage_s=0.0)
     assert took_s < CONTACT_S
 
 
-def test_upstreams_that_go_when_all_connections_fall_silent_are_left_in_time(
+def test_upstreams_removed_while_connections_are_unresponsive_are_dropped_in_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """More than a quarter missing after a failed read looks like an outage.
+    """A VM can't tell its own unresponsive connections from an outage of the platform.
 
-    What lapsed in one would be back soon, so it is kept for a while; but nothing tells
-    a silence of this VM's connections from the platform's, and here they are gone.
+    If more than a quarter of the entries is missing after a failed read, they are kept
+    for a while, as entries that expired in an outage are listed again soon. Here the
+    upstreams are really gone.
     """
 
-    async def use(store: StoreStandIn, vm: FleetVm) -> float:
+    async def scenario(store: StoreStandIn, vm: FleetVm) -> float:
         store.silence_connections()
-        fell_silent_at = monotonic()
+        unresponsive_at = monotonic()
         for name in ("i-0", "i-1"):
             store.remove("servers", name)
         await wait_until(lambda: vm.upstreams() == {"i-2", "i-3"})
-        return monotonic() - fell_silent_at
+        return monotonic() - unresponsive_at
 
-    assert run_vm(monkeypatch, NAMES, use) < CONTACT_S
+    assert run_vm(monkeypatch, NAMES, scenario) < CONTACT_S
 
 
-def test_nothing_is_waited_for_while_the_platform_is_away(
+def test_reads_during_outage_do_not_wait_for_changes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A wait that is given up inside an outage is not followed by another one."""
+    """A long poll that times out during an outage is not followed by another one."""
 
-    async def use(store: StoreStandIn, vm: FleetVm) -> list[int]:
+    async def scenario(store: StoreStandIn, vm: FleetVm) -> list[int]:
         store.is_unresponsive = True
-        asked = len(store.requested_waits_ms)
+        poll_count = len(store.requested_waits_ms)
         await curio.sleep(CONTACT_S)
-        return store.requested_waits_ms[asked:]
+        return store.requested_waits_ms[poll_count:]
 
-    waited = run_vm(monkeypatch, frozenset(), use)
-    assert waited
-    assert set(waited) == {0}
+    waits_ms = run_vm(monkeypatch, frozenset(), scenario)
+    assert waits_ms
+    assert set(waits_ms) == {0}
 
 
-def test_an_upstream_listed_after_an_outage_is_known_in_time(
+def test_upstream_listed_after_outage_is_known_in_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    took_s = seconds_until_known(
+    took_s = measure_recovery_s(
         monkeypatch, add_upstream, lambda vm: vm.upstreams() == {"i-1", "i-2"}
     )
     assert took_s < CONTACT_S
 
 
-@pytest.mark.parametrize("away_s", [3.8, 4.5, 6.0])
-def test_upstreams_whose_entries_lapsed_in_an_outage_stay_until_they_are_back(
-    monkeypatch: pytest.MonkeyPatch, away_s: float
+@pytest.mark.parametrize("outage_s", [3.8, 4.5, 6.0])
+def test_upstreams_expired_during_outage_stay_until_listed_again(
+    monkeypatch: pytest.MonkeyPatch, outage_s: float
 ) -> None:
-    """They are back 2 s after the platform at the latest, and are used meanwhile."""
-    least = NAMES
+    """They are listed again at most 2 s after the outage, and are used meanwhile."""
+    always_listed = NAMES
 
-    async def look(vm: FleetVm, for_s: float) -> None:
-        nonlocal least
+    async def observe(vm: FleetVm, for_s: float) -> None:
+        nonlocal always_listed
         ends_at = monotonic() + for_s
         while monotonic() < ends_at:
-            least = least & vm.upstreams()
+            always_listed = always_listed & vm.upstreams()
             await curio.sleep(0.02)
 
-    async def use(store: StoreStandIn, vm: FleetVm) -> None:
+    async def scenario(store: StoreStandIn, vm: FleetVm) -> None:
         store.is_unresponsive = True
-        await look(vm, away_s / 2)
+        await observe(vm, outage_s / 2)
         for name in NAMES:
             store.remove("servers", name)
-        await look(vm, away_s / 2)
+        await observe(vm, outage_s / 2)
         store.is_unresponsive = False
-        await look(vm, RETURN_S)
+        await observe(vm, RELISTED_AFTER_S)
         for name in NAMES:
             store.put("servers", name, SERVER_DOCUMENT)
-        await look(vm, CONTACT_S)
+        await observe(vm, CONTACT_S)
 
-    run_vm(monkeypatch, NAMES, use)
-    assert least == NAMES
+    run_vm(monkeypatch, NAMES, scenario)
+    assert always_listed == NAMES
 
 
-def test_entry_rows_that_fall_due_in_a_lost_wait_put_nothing_off(
+def test_due_read_of_entry_vms_does_not_delay_server_changes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """They are read over a connection of their own, which rested for half a minute."""
+    """Entry VMs are read over another connection, idle for half a minute between."""
 
-    async def use(store: StoreStandIn, vm: FleetVm) -> float:
-        # Rests longer than a connection is trusted, as between two readings.
+    async def scenario(store: StoreStandIn, vm: FleetVm) -> float:
+        # Longer than a connection may be idle, as between two reads of the table.
         await curio.sleep(1.5)
-        await until_asked_again(store)
+        await wait_for_new_long_polls(store)
         store.silence_connections()
-        fell_silent_at = monotonic()
-        vm.platform.entry_vms._read_due_at = fell_silent_at + 0.5
+        unresponsive_at = monotonic()
+        vm.platform.entry_vms._read_due_at = unresponsive_at + 0.5
         add_upstream(store)
         await wait_until(lambda: vm.upstreams() == {"i-1", "i-2"})
-        return monotonic() - fell_silent_at
+        return monotonic() - unresponsive_at
 
-    assert run_vm(monkeypatch, frozenset({"i-1"}), use) < CONTACT_S
+    assert run_vm(monkeypatch, frozenset({"i-1"}), scenario) < CONTACT_S
 
 
-async def until_asked_again(store: StoreStandIn) -> None:
-    """Wait until a VM has just begun to wait for changes of list and configuration."""
-    asked = len(store.requested_waits_ms)
-    while len(store.requested_waits_ms) < asked + 2:
+async def wait_for_new_long_polls(store: StoreStandIn) -> None:
+    """Wait until a VM has just begun its long polls for list and configuration."""
+    poll_count = len(store.requested_waits_ms)
+    while len(store.requested_waits_ms) < poll_count + 2:
         await curio.sleep(0.01)
 
 
-def test_writes_that_are_turned_away_say_nothing_of_the_list(
+def test_rejected_writes_do_not_count_as_outage_of_list(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Their failure over a new connection must not count as an outage of the list."""
+    """Failed writes over a new connection must not count as an outage of the list."""
 
     async def write(vm: FleetVm) -> None:
         while True:
             for _ in range(2):
-                await vm.platform._store.call("POST", "/rows-tx", NOTHING)
+                await vm.platform._store.call("POST", "/rows-tx", EMPTY_TRANSACTION)
             await vm.platform.read_row("k")
             await curio.sleep(0.1)
 
-    async def use(store: StoreStandIn, vm: FleetVm) -> float:
+    async def scenario(store: StoreStandIn, vm: FleetVm) -> float:
         store.rejects_writes = True
         writer = await curio.spawn(write, vm, daemon=True)
         await curio.sleep(0.5)
         try:
             store.silence_connections()
-            fell_silent_at = monotonic()
+            unresponsive_at = monotonic()
             for name in ("i-0", "i-1"):
                 store.remove("servers", name)
             await wait_until(lambda: vm.upstreams() == {"i-2", "i-3"})
-            return monotonic() - fell_silent_at
+            return monotonic() - unresponsive_at
         finally:
             await writer.cancel()
 
-    assert run_vm(monkeypatch, NAMES, use) < CONTACT_S
+    assert run_vm(monkeypatch, NAMES, scenario) < CONTACT_S
--- a/tests/fleet/test_boot_settings.py
+++ b/tests/fleet/test_boot_settings.py
@@ -25,13 +25,15 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-MOST_PAUSE = 1.2
-"""Part of a pause that it may last, since pauses are spread by chance."""
+MAX_PAUSE_FACTOR = 1.2
+"""Longest retry pause as a multiple of its nominal length; pauses have jitter."""
 READ_MS = 250
-"""Time for the read itself, and for what a busy loop adds, in milliseconds."""
+"""Time for the read itself and for delays of a busy event loop, in milliseconds."""
 
 
-def test_the_settings_become_those_of_a_daemon(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_settings_file_is_translated_to_daemon_settings(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     boot = build_boot(monkeypatch)
     daemon = boot.daemon
     assert (daemon.vm, daemon.failure_domain) == ("edge-a-1", "zone-a")
@@ -42,12 +44,12 @@
     assert boot.region_by_zone == {"zone-a": "region-1", "zone-b": "region-2"}
 
 
-def test_all_work_ends_within_the_grace(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_shutdown_ends_within_grace_period(monkeypatch: pytest.MonkeyPatch) -> None:
     timing = build_boot(monkeypatch).daemon.timing
     assert timing.linger_ms < timing.leave_ms < 6_000
 
 
-def test_a_missing_field_is_named(
+def test_error_names_missing_field(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     path = tmp_path / "boot.yaml"
@@ -57,7 +59,7 @@
 
 
 @pytest.mark.parametrize("wrong", ["null", "6", "[]", "{}", ".inf", '"6"'])
-def test_a_field_of_another_kind_is_an_error_value(
+def test_field_of_wrong_type_is_returned_as_error(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path, wrong: str
 ) -> None:
     path = tmp_path / "boot.yaml"
@@ -66,7 +68,7 @@
     assert read_daemon_settings(path).is_err()
 
 
-def test_times_have_units() -> None:
+def test_durations_need_a_unit() -> None:
     assert parse_seconds("2.5s") == 2.5
     assert parse_milliseconds("1500ms") == 1500
     with pytest.raises(ValueError, match="not a time"):
@@ -74,22 +76,22 @@
 
 
 @pytest.mark.parametrize("contact", ["2500ms", "3000ms", "4000ms", "6s"])
-def test_a_call_that_was_lost_is_made_again_before_the_bounds_apply(
+def test_lost_long_poll_is_repeated_before_bounds_apply_again(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path, contact: str
 ) -> None:
-    """A change made at the end of an outage is due ``contact`` after it, not later."""
+    """A change made at the end of an outage must take effect ``contact`` after it."""
     path = tmp_path / "boot.yaml"
     path.write_text(BOOT.read_text().replace("4000ms", contact))
     timing = build_boot(monkeypatch, path).daemon.timing
-    given_up_ms = timing.watch_ms + timing.platform_timeout_ms
-    trial_lost_ms = timing.platform_timeout_ms + 1_000 * MAX_OPEN_S
-    asked_again_ms = (
-        max(given_up_ms, trial_lost_ms) + 1_000 * MOST_PAUSE * RETRY_PAUSE_S
+    timed_out_ms = timing.watch_ms + timing.platform_timeout_ms
+    probe_lost_ms = timing.platform_timeout_ms + 1_000 * MAX_OPEN_S
+    repeated_ms = (
+        max(timed_out_ms, probe_lost_ms) + 1_000 * MAX_PAUSE_FACTOR * RETRY_PAUSE_S
     )
-    assert asked_again_ms + READ_MS <= parse_milliseconds(contact)
+    assert repeated_ms + READ_MS <= parse_milliseconds(contact)
 
 
-def test_a_reader_that_falls_silent_is_replaced_before_the_bounds_apply(
+def test_unresponsive_shared_reader_is_replaced_within_bounds(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     boot = build_boot(monkeypatch)
@@ -101,7 +103,7 @@
         assert 0 < replaced_ms < 0.8 * parse_milliseconds(bounds[name])
 
 
-def test_without_bounds_on_changes_every_vm_reads_for_itself(
+def test_reads_are_not_shared_without_change_bounds(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     path = tmp_path / "boot.yaml"
@@ -112,7 +114,7 @@
     assert build_boot(monkeypatch, path).daemon.timing.shared_read_ms == 0
 
 
-def test_bounds_that_are_not_in_force_leave_a_short_wait(
+def test_long_poll_is_short_without_contact_bound(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     path = tmp_path / "boot.yaml"
@@ -120,7 +122,7 @@
     assert build_boot(monkeypatch, path).daemon.timing.watch_ms == DEFAULT_LONG_POLL_MS
 
 
-def test_what_is_gone_is_left_when_the_bounds_hold_again(
+def test_recovery_time_is_contact_bound(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     timing = build_boot(monkeypatch).daemon.timing
@@ -128,7 +130,7 @@
 
 
 @pytest.mark.parametrize(("strict", "max_age_ms"), [("false", 0), ("true", 5000)])
-def test_bounds_of_quotas_and_revocation_are_taken(
+def test_quota_slack_and_key_age_follow_from_bounds(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path, strict: str, max_age_ms: int
 ) -> None:
     bounds = f'    quota_slack: 20\n    revoke: "5000ms"\n    strict_revoke: {strict}\n'
--- a/tests/fleet/test_early_signals.py
+++ b/tests/fleet/test_early_signals.py
@@ -1,4 +1,4 @@
-"""A signal that comes while a process still imports what it needs."""
+"""Signals that are received while a process still imports its modules."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 ROOT = Path(__file__).parents[2]
 
-STRIKE = """
+SIGHUP_ON_IMPORT = """
 import os, runpy, signal, sys
 
 class Strikes:
@@ -21,18 +21,18 @@
 sys.meta_path.insert(0, Strikes())
 sys.path.insert(0, "platform")
 """
-ON_PLATFORM = 'runpy.run_module("plankspindle_platform", run_name="__main__")'
-ON_ITS_OWN = """
+PLATFORM_DAEMON = 'runpy.run_module("plankspindle_platform", run_name="__main__")'
+PLAIN_DAEMON = """
 from plankspindle_daemon.console.entry_point import main
 sys.argv = ["plankspindled", "check", "/nowhere"]
 main()
 """
 
 
-@pytest.mark.parametrize("start", [ON_PLATFORM, ON_ITS_OWN])
-def test_sighup_does_not_end_a_process_that_starts(start: str) -> None:
+@pytest.mark.parametrize("start", [PLATFORM_DAEMON, PLAIN_DAEMON])
+def test_sighup_during_imports_does_not_end_process(start: str) -> None:
     ended = subprocess.run(
-        [sys.executable, "-c", STRIKE + start],
+        [sys.executable, "-c", SIGHUP_ON_IMPORT + start],
         env={"PLANKSPINDLE_BOOT": "/nowhere"},
         cwd=ROOT,
         capture_output=True,
--- a/tests/fleet/test_operator_reader.py
+++ b/tests/fleet/test_operator_reader.py
@@ -1,4 +1,4 @@
-"""Tests of versions read from the operator's table."""
+"""Tests of reading configuration versions from the operator's table."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
 
 
 class FakeStore:
-    """Answers that were laid ready, in order."""
+    """Returns prepared answers in order."""
 
     def __init__(self, *answers: Any) -> None:
         self.answers = list(answers)
-        self.asked: list[str] = []
+        self.calls: list[str] = []
 
     async def get_rows(self, table: str) -> Any:
-        self.asked.append("all")
+        self.calls.append("all")
         return self.answers.pop(0)
 
-    async def feed(self, table: str, *, after: int, wait_s: float) -> Any:
-        self.asked.append(f"after {after}")
+    async def wait_for_changes(self, table: str, *, after: int, wait_s: float) -> Any:
+        self.calls.append(f"after {after}")
         return self.answers.pop(0)
 
 
@@ -52,7 +52,7 @@
     return run_to_completion(reader.read_newer(version))
 
 
-def test_a_document_becomes_a_valid_configuration(
+def test_document_is_translated_to_valid_configuration(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     document = build_operator_document()
@@ -71,7 +71,7 @@
     assert (service.cold_requests_per_s, service.cold_ms) == (14.0, 3000)
 
 
-def test_the_lowest_priority_number_is_the_first_class(
+def test_lowest_priority_number_is_first_class(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     paths = [
@@ -86,7 +86,9 @@
     assert not configuration.routes_by_name["r2"].idempotent
 
 
-def test_a_split_becomes_parts(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_traffic_split_is_translated_to_service_parts(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     split = [{"service": "desk", "weight": 90}, {"service": "vault", "weight": 10}]
     path = build_path(traffic_split=split)
     hosts = [{"host": "h", "paths": [path]}]
@@ -100,7 +102,7 @@
     ]
 
 
-def test_changes_and_evacuations_are_one_ordered_history(
+def test_configurations_and_evacuations_form_one_ordered_history(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     document = build_operator_document()
@@ -123,7 +125,7 @@
     assert not third.configuration.drains_by_id
 
 
-def test_a_history_that_is_gone_is_read_whole(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_expired_history_leads_to_full_read(monkeypatch: pytest.MonkeyPatch) -> None:
     document = build_operator_document()
     reader = build_reader(
         monkeypatch,
@@ -135,7 +137,7 @@
     assert read(reader, 5).unwrap().head.version == 31
 
 
-def test_a_version_that_members_passed_on_is_not_taken_again(
+def test_version_known_from_other_vms_is_not_returned_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     document = build_operator_document()
@@ -154,7 +156,7 @@
         "text",
     ],
 )
-def test_an_unusable_document_leaves_the_version_in_force(
+def test_invalid_document_is_an_error(
     monkeypatch: pytest.MonkeyPatch, document: Any
 ) -> None:
     reader = build_reader(
@@ -163,7 +165,7 @@
     assert read(reader, 0).is_err()
 
 
-def test_a_store_that_does_not_answer_is_said(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unavailable_store_is_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
     reader = build_reader(monkeypatch, Err(PlatformUnavailable("down")))
     assert read(reader, 0).unwrap_err().detail == "down"
 
@@ -171,7 +173,7 @@
 KEY = "ymh2rrytapjsujqurtyi"
 
 
-def test_tenants_become_workspaces_without_their_keys(
+def test_tenants_are_translated_to_workspaces_without_plain_keys(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     boot = build_boot(monkeypatch)
@@ -199,7 +201,7 @@
     assert KEY.encode() not in encode_configuration(configuration)
 
 
-def test_a_key_that_two_tenants_name_is_the_later_ones(
+def test_key_of_two_tenants_belongs_to_later_tenant(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     tenants = [{"name": name, "api_keys": [KEY]} for name in ("one", "two")]
@@ -210,7 +212,7 @@
     assert len(configuration.workspaces_by_name["two"].key_sha256s) == 1
 
 
-def test_only_a_route_that_says_so_is_public(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_route_is_public_only_if_declared_so(monkeypatch: pytest.MonkeyPatch) -> None:
     paths = [build_path(), build_path(name="r2", path_prefix="/b/", public=True)]
     document = build_operator_document(hosts=[{"host": "h", "paths": paths}])
     configuration = translate_document(document, zones=[], boot=build_boot(monkeypatch))
--- a/tests/fleet/test_shared_reads.py
+++ b/tests/fleet/test_shared_reads.py
@@ -1,4 +1,4 @@
-"""Eight entry VMs of a failure domain that read a store for one another."""
+"""Tests of shared reads: one of eight entry VMs of a failure domain reads for all."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
 
 def run_fleet(
     monkeypatch: pytest.MonkeyPatch,
-    use: Callable[[StoreStandIn, list[FleetVm]], Awaitable[Any]],
+    scenario: Callable[[StoreStandIn, list[FleetVm]], Awaitable[Any]],
     **timing: int,
 ) -> Any:
-    """Run VMs until they share reads, then a test."""
+    """Run VMs until they share reads, then a scenario."""
     monkeypatch.setattr(shared_reads, "SETTLE_S", 0.5)
     boot = build_boot(monkeypatch)
     timing = {**TIMING, **timing}
@@ -53,7 +53,7 @@
             await wait_until(
                 lambda: roles(vms) == ["reader"] + ["follower"] * (VMS - 1)
             )
-            return await use(store, vms)
+            return await scenario(store, vms)
         finally:
             for vm in vms:
                 await vm.close()
@@ -66,10 +66,10 @@
     return [vm.node.shared_reads.role(now).value for vm in vms]
 
 
-def test_one_vm_reads_and_all_know_what_changes(
+def test_changes_read_by_one_vm_reach_all(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def use(store: StoreStandIn, vms: list[FleetVm]) -> tuple[int, int]:
+    async def scenario(store: StoreStandIn, vms: list[FleetVm]) -> tuple[int, int]:
         before = [vm.platform.calls.calls_by_kind.copy() for vm in vms]
         store.put("servers", "i-2", SERVER_DOCUMENT)
         await wait_until(lambda: all(vm.upstreams() == {"i-1", "i-2"} for vm in vms))
@@ -82,13 +82,13 @@
         ]
         return made[0], sum(made[1:])
 
-    reader, followers = run_fleet(monkeypatch, use)
+    reader, followers = run_fleet(monkeypatch, scenario)
     assert reader > 0
     assert followers < VMS - 1
 
 
-def test_a_configuration_reaches_all_vms(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def use(store: StoreStandIn, vms: list[FleetVm]) -> bool:
+def test_configuration_reaches_all_vms(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(store: StoreStandIn, vms: list[FleetVm]) -> bool:
         document = build_operator_document()
         path = document["hosts"][0]["paths"][0]
         more = [{**path, "name": f"n{n}", "path_prefix": f"/{n}/"} for n in range(40)]
@@ -97,13 +97,13 @@
         await wait_until(lambda: all(vm.routes() == 41 for vm in vms))
         return True
 
-    assert run_fleet(monkeypatch, use)
+    assert run_fleet(monkeypatch, scenario)
 
 
-def test_another_vm_reads_when_the_reader_falls_silent(
+def test_another_vm_becomes_reader_when_reader_stops(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def use(store: StoreStandIn, vms: list[FleetVm]) -> list[str]:
+    async def scenario(store: StoreStandIn, vms: list[FleetVm]) -> list[str]:
         first, *others = vms
         await first.close()
         first.tasks.clear()
@@ -112,70 +112,70 @@
         await wait_until(lambda: roles(others).count("reader") == 1)
         return roles(others)
 
-    assert run_fleet(monkeypatch, use)[0] == "reader"
+    assert run_fleet(monkeypatch, scenario)[0] == "reader"
 
 
-def test_a_vm_that_the_reader_cannot_reach_reads_for_itself(
+def test_vm_without_contact_to_reader_reads_for_itself(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def use(store: StoreStandIn, vms: list[FleetVm]) -> bool:
-        cut_off = vms[3]
+    async def scenario(store: StoreStandIn, vms: list[FleetVm]) -> bool:
+        isolated = vms[3]
 
-        async def lose(message: object, sender: Endpoint) -> None:
+        async def discard(message: object, sender: Endpoint) -> None:
             del message, sender
 
-        await cut_off.peers.close()
-        await cut_off.peers.start(lose)
+        await isolated.peers.close()
+        await isolated.peers.start(discard)
         store.put("servers", "i-2", SERVER_DOCUMENT)
         await wait_until(lambda: all(vm.upstreams() == {"i-1", "i-2"} for vm in vms))
         return True
 
-    assert run_fleet(monkeypatch, use)
+    assert run_fleet(monkeypatch, scenario)
 
 
-def test_followers_keep_missing_upstreams_no_longer_than_their_reader(
+def test_followers_retain_missing_upstreams_no_longer_than_reader(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The reader knows how long; each word of it must not begin the time anew."""
+    """An update from the reader must not restart the retention time of a follower."""
     names = {f"i-{number}" for number in range(1, 5)}
 
-    async def use(store: StoreStandIn, vms: list[FleetVm]) -> float:
+    async def scenario(store: StoreStandIn, vms: list[FleetVm]) -> float:
         for name in names:
             store.put("servers", name, SERVER_DOCUMENT)
         await wait_until(lambda: all(vm.upstreams() == names for vm in vms))
         store.silence_connections()
-        fell_silent_at = monotonic()
+        unresponsive_at = monotonic()
         for name in ("i-1", "i-2"):
             store.remove("servers", name)
         await wait_until(lambda: all(vm.upstreams() == {"i-3", "i-4"} for vm in vms))
-        return monotonic() - fell_silent_at
+        return monotonic() - unresponsive_at
 
-    assert run_fleet(monkeypatch, use) < CONTACT_S
+    assert run_fleet(monkeypatch, scenario) < CONTACT_S
 
 
-def test_a_change_is_known_in_time_when_all_connections_fall_silent(
+def test_change_is_known_in_time_when_all_connections_become_unresponsive(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Those of the followers, too, which rested while the reader read for them.
+    """This includes connections of followers, idle while the reader reads for them.
 
-    Waits are those of a site whose bounds hold again after 3 s.
+    Times are those of a site whose bounds apply again after 3 s.
     """
 
-    async def use(store: StoreStandIn, vms: list[FleetVm]) -> float:
+    async def scenario(store: StoreStandIn, vms: list[FleetVm]) -> float:
         await curio.sleep(2.0)
-        await until_read(store)
+        await wait_for_new_long_poll(store)
         store.silence_connections()
-        fell_silent_at = monotonic()
+        unresponsive_at = monotonic()
         store.put("servers", "i-2", SERVER_DOCUMENT)
         await wait_until(lambda: all(vm.upstreams() == {"i-1", "i-2"} for vm in vms))
-        return monotonic() - fell_silent_at
+        return monotonic() - unresponsive_at
 
-    took_s = run_fleet(monkeypatch, use, watch_ms=1_250, recovery_ms=3_000)
+    took_s = run_fleet(monkeypatch, scenario, watch_ms=1_250, recovery_ms=3_000)
     assert took_s < SHORT_CONTACT_S
 
 
-async def until_read(store: StoreStandIn) -> None:
-    """Wait until the reader has just asked for changes."""
-    asked = len(store.requested_waits_ms)
-    while len(store.requested_waits_ms) == asked:
+async def wait_for_new_long_poll(store: StoreStandIn) -> None:
+    """Wait until the reader has just begun a long poll."""
+    poll_count = len(store.requested_waits_ms)
+    while len(store.requested_waits_ms) == poll_count:
         await curio.sleep(0.01)
--- a/tests/fleet/test_values_from_store.py
+++ b/tests/fleet/test_values_from_store.py
@@ -1,4 +1,4 @@
-"""Whatever the store holds is a value or an error value, and ends no process."""
+"""Any content of the store is read as a value or an error, and never raises."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 if TYPE_CHECKING:
     from plankspindle_daemon.platform.live_list import ListedVm
 
-ODD = st.sampled_from(
+UNUSUAL_VALUES = st.sampled_from(
     [
         None,
         0,
@@ -56,20 +56,21 @@
 )
 
 
-def spoiled(document: Any) -> st.SearchStrategy[Any]:
-    """Give copies of a document with one part of it left out or replaced."""
+def with_one_change(document: Any) -> st.SearchStrategy[Any]:
+    """Generate copies of a document with one part removed or replaced."""
     replaced = [
-        st.tuples(st.just(path), ODD | st.just(...)) for path in places(document)
+        st.tuples(st.just(path), UNUSUAL_VALUES | st.just(...))
+        for path in paths_in(document)
     ]
     return st.one_of(replaced).map(lambda change: with_change(document, *change))
 
 
-def places(document: Any) -> list[tuple[Any, ...]]:
+def paths_in(document: Any) -> list[tuple[Any, ...]]:
     inner: list[tuple[Any, ...]] = []
     if isinstance(document, dict | list):
         keys = document if isinstance(document, dict) else range(len(document))
         for key in keys:
-            inner += [(key,), *((key, *rest) for rest in places(document[key]))]
+            inner += [(key,), *((key, *rest) for rest in paths_in(document[key]))]
     return inner
 
 
@@ -85,18 +86,18 @@
     return copy
 
 
-@given(document=spoiled(DOCUMENT))
-def test_any_document_is_a_version_or_an_error(document: Any) -> None:
+@given(document=with_one_change(DOCUMENT))
+def test_any_operator_document_is_a_version_or_an_error(document: Any) -> None:
     with pytest.MonkeyPatch.context() as monkeypatch:
         rows = build_rows(build_row("config", 5, document), version=5)
         found = read(build_reader(monkeypatch, Ok(rows)), 0)
     assert found.is_ok() or found.is_err()
 
 
-@given(document=spoiled(SERVER_DOCUMENT))
-def test_any_row_of_a_server_is_told_or_unreadable(document: Any) -> None:
+@given(document=with_one_change(SERVER_DOCUMENT))
+def test_any_server_row_is_sendable_or_unreadable(document: Any) -> None:
     found = parse_server_row(build_row("i-1", 5, document))
-    assert found.is_err() or is_told(found.unwrap())
+    assert found.is_err() or can_be_sent(found.unwrap())
 
 
 JSON = st.recursive(
@@ -108,19 +109,22 @@
 )
 
 
-@given(document=spoiled(SERVER_DOCUMENT) | JSON, other=st.sampled_from(["i-0", "i-9"]))
-def test_a_row_of_any_shape_costs_no_other_row(document: Any, other: str) -> None:
+@given(
+    document=with_one_change(SERVER_DOCUMENT) | JSON,
+    other=st.sampled_from(["i-0", "i-9"]),
+)
+def test_invalid_row_does_not_affect_other_rows(document: Any, other: str) -> None:
     rows = [build_row("i-1", 5, document), build_row(other, 6, SERVER_DOCUMENT)]
     translator = RowTranslator(table="servers", parse=parse_server_row)
     for _ in range(2):
         found = [translator.translate(row) for row in rows]
         assert found[1] is not None
-        assert is_told(found[1])
-        assert found[0] is None or is_told(found[0])
+        assert can_be_sent(found[1])
+        assert found[0] is None or can_be_sent(found[0])
 
 
 @pytest.mark.parametrize(
-    ("place", "value"),
+    ("path", "value"),
     [
         (("info", "service"), 7),
         (("info", "zone"), None),
@@ -138,14 +142,14 @@
         (("born",), 1 << 64),
     ],
 )
-def test_a_field_of_another_writer_names_no_upstream(
-    place: tuple[Any, ...], value: Any
+def test_server_row_with_invalid_field_is_unreadable(
+    path: tuple[Any, ...], value: Any
 ) -> None:
-    document = with_change({**SERVER_DOCUMENT, "born": 5}, place, value)
+    document = with_change({**SERVER_DOCUMENT, "born": 5}, path, value)
     assert parse_server_row(build_row("i-1", 5, document)).is_err()
 
 
-def test_the_start_of_a_server_numbers_its_life() -> None:
+def test_start_time_of_server_is_its_incarnation() -> None:
     row = build_row("i-1", 5, {**SERVER_DOCUMENT, "born": 1_700_000_000_000})
     assert parse_server_row(row).unwrap().incarnation == 1_700_000_000_000
     assert (
@@ -154,13 +158,13 @@
 
 
 @pytest.mark.parametrize("name", ["\ud800", "i-\udfff"])
-def test_a_name_that_is_no_text_is_unreadable(name: str) -> None:
+def test_name_that_is_not_utf8_is_unreadable(name: str) -> None:
     assert parse_server_row(build_row(name, 5, SERVER_DOCUMENT)).is_err()
 
 
-def is_told(listed: ListedVm) -> bool:
-    """Tell it to another VM; fails with what a reader would end with."""
-    news = ListNews(
+def can_be_sent(listed: ListedVm) -> bool:
+    """Encode an entry for another VM and decode it; raises if that VM would fail."""
+    update = ListNews(
         sender="a",
         bases=(1, 1),
         version=2,
@@ -170,10 +174,10 @@
         changed=(encode_upstream(listed, monotonic()),),
     )
     stable_hash(listed.name)
-    return decode(encode(news)).is_ok()
+    return decode(encode(update)).is_ok()
 
 
-def test_a_document_without_its_version_is_an_error(
+def test_document_without_version_is_an_error(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     document = build_operator_document()
@@ -183,7 +187,7 @@
 
 
 @pytest.mark.parametrize("time", ["infs", "nans", "1e400ms"])
-def test_a_time_without_end_is_unreadable(
+def test_infinite_duration_is_unreadable(
     monkeypatch: pytest.MonkeyPatch, time: str
 ) -> None:
     cold = {
