--- a/packages/core/src/plankspindle_core/configuration/service.py
+++ b/packages/core/src/plankspindle_core/configuration/service.py
@@ -31,7 +31,7 @@
 
     Parameters
     ----------
-    operations : list of MatrixOperation
+    operations : list of Operation
         Declared operations; the longest matching prefix wins.
     default_class : str, optional
         Priority class of callers without a key. Without it they get status 401.
--- a/packages/daemon/src/plankspindle_daemon/exchange/messages.py
+++ b/packages/daemon/src/plankspindle_daemon/exchange/messages.py
@@ -222,7 +222,7 @@
     ----------
     status : int
         Status code.
-    outcome : RequestResult
+    outcome : Outcome
         Whether the request was run, as far as it is known.
     reason : str
         Reason code.
--- a/packages/daemon/src/plankspindle_daemon/listeners/operator_listener.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/operator_listener.py
@@ -162,7 +162,7 @@
             await answer_json(source, 200, {"lifted": identity_text(identity)})
         else:
             advice = (
-                "no such request is quarantined; plankspindle quarantine lists them"
+                "no such request is held back; plankspindle quarantine lists them"
             )
             await answer_json(source, 404, {"error": advice})
 
--- a/packages/daemon/src/plankspindle_daemon/listeners/plan_service.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/plan_service.py
@@ -145,9 +145,9 @@
             )
             await answer_json(source, 409, {"error": text, "head": head.to_mapping()})
         case ConfirmationUnknown():
-            text = "no answer from the platform; confirm again to learn the outcome"
+            text = "no answer of the platform; confirm again to learn the outcome"
             await answer_json(source, 504, {"error": text})
         case NotPossible(detail=detail):
             await answer_json(
-                source, 503, {"error": f"the platform is unavailable: {detail}"}
+                source, 503, {"error": f"the platform is away: {detail}"}
             )
--- a/packages/daemon/src/plankspindle_daemon/listeners/request_resolver.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/request_resolver.py
@@ -36,7 +36,7 @@
     from plankspindle_core.http.server_exchange import ServerExchange
     from plankspindle_daemon.routes.route_table import RouteMatch
 
-KEYS_STALE = "API keys cannot be checked: no recent update from the platform"
+KEYS_STALE = "API keys cannot be checked: there is no word of the platform"
 NO_COMMON_HOME_REGION = "route and workspace have no home region in common"
 NO_CONFIGURATION = "no configuration is in force yet"
 EXPECTED_DURATION_SHARE = 0.5
--- a/packages/testkit/src/plankspindle_testkit/soak/guarantees.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/guarantees.py
@@ -38,7 +38,7 @@
         Where it was sent.
     is_idempotent : bool
         Whether it may run more than once.
-    outcome : RequestResult or None
+    outcome : Outcome or None
         What was told; None if no answer came.
     is_own_answer : bool
         Whether the answer belongs to the request and is whole.
--- a/packages/testkit/src/plankspindle_testkit/trial/ground_truth.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/ground_truth.py
@@ -21,7 +21,7 @@
 
     Parameters
     ----------
-    outcome : RequestResult or None
+    outcome : Outcome or None
         None if its connection was reset.
     at : float
         Seconds.
