--- a/packages/testkit/src/plankspindle_testkit/soak/__init__.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/__init__.py
@@ -1,3 +1,3 @@
-"""A soak: real daemons under faults from outside, and promises checked meanwhile."""
+"""Soak tests: real daemons under injected faults, with guarantees checked meanwhile."""
 
 from __future__ import annotations
--- a/packages/testkit/src/plankspindle_testkit/soak/__main__.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Run soaks: ``python -m plankspindle_testkit.soak``."""
+"""Command line of soaks: ``python -m plankspindle_testkit.soak``."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 REGRESSIONS = Path(__file__).with_name("regressions.yaml")
 FAULT_PERIOD_S = 40.0
-"""Time in which the faults of one seed begin, in seconds."""
+"""Period in which the faults of one seed begin, in seconds."""
 LARGE_VM_COUNT = 16
 
 
@@ -48,7 +48,7 @@
 )
 @click.option("--schedule", type=click.File("r"), help="Replay faults of a file.")
 @click.option("--shrink", is_flag=True, help="Leave out faults that aren't needed.")
-@click.option("--keep-going", is_flag=True, help="Go on after a broken promise.")
+@click.option("--keep-going", is_flag=True, help="Go on after a violation.")
 @click.option("--regressions", is_flag=True, help="Replay what ever failed.")
 @click.option(
     "--load",
@@ -69,7 +69,7 @@
     load: str | None,
     first_port: int,
 ) -> None:
-    """Soak real daemons with rising seeds until the time is spent or a promise breaks.
+    """Run soaks with rising seeds until the time is spent or a guarantee is violated.
 
     Only processes that it started are ended, also when it is interrupted.
     """
@@ -78,9 +78,11 @@
         vms, load = LARGE_VM_COUNT, LoadKind.WIDE.value
     end = time.monotonic() + 60 * minutes
     totals = _Totals()
-    drawn = _draw_schedules(seed, vms, seconds)
-    given = _read_schedules(seed, schedule, regressions=regressions)
-    for number, faults in drawn if given is None else given:
+    drawn_schedules = _draw_schedules(seed, vms, seconds)
+    given_schedules = _read_schedules(seed, schedule, regressions=regressions)
+    for number, faults in (
+        drawn_schedules if given_schedules is None else given_schedules
+    ):
         plan = SoakPlan(
             seed=number,
             vms=vms,
@@ -88,13 +90,13 @@
             first_port=first_port,
             load=draw_load(number) if load is None else LoadKind(load),
         )
-        verdict = _run(plan)
-        totals.add(verdict)
-        click.echo(_format_result(plan, verdict))
-        if verdict.violation is not None:
-            _report_violation(plan, verdict)
+        result = _run(plan)
+        totals.add(result)
+        click.echo(_format_result(plan, result))
+        if result.violation is not None:
+            _report_violation(plan, result)
             if shrink:
-                _report_minimized(plan, verdict)
+                _report_minimized(plan, result)
             if not keep_going:
                 break
         if time.monotonic() > end:
@@ -127,7 +129,7 @@
         self.outcomes += result.outcomes
 
     def text(self) -> str:
-        """Tell them on one line."""
+        """Return the sums on one line."""
         return (
             f"soaks={self.soaks} broken={self.broken} requests={self.requests}"
             f" checks={self.checks} drains_watched={self.drains_watched}"
@@ -154,7 +156,7 @@
 def _read_schedules(
     seed: int, schedule: click.File | None, *, regressions: bool
 ) -> list[tuple[int, list[SoakFault]]] | None:
-    """Give schedules that are read; None if they are to be drawn."""
+    """Return the schedules given by file or flag; None if they are to be drawn."""
     if schedule is not None:
         try:
             return [(seed, read_schedule(schedule.read()))]  # type: ignore[attr-defined]
@@ -166,7 +168,7 @@
 def _draw_schedules(
     seed: int, vms: int, seconds: float
 ) -> Iterator[tuple[int, list[SoakFault]]]:
-    """Draw schedules of a seed and those after it."""
+    """Draw the schedules of a seed and of all following seeds."""
     layout = Layout(vms=vms)
     for number in count(seed):
         yield (
@@ -181,7 +183,7 @@
 
 
 def load_regressions() -> list[tuple[int, list[SoakFault]]]:
-    """Read the schedules that ever failed."""
+    """Read the schedules that once violated a guarantee."""
     entries = yaml.safe_load(REGRESSIONS.read_text(encoding="utf-8")) or []
     return [
         (entry["seed"], [SoakFault(**fault) for fault in entry["faults"]])
@@ -190,30 +192,30 @@
 
 
 def _report_violation(plan: SoakPlan, result: SoakResult) -> None:
-    broken = result.violation
-    assert broken is not None
+    violation = result.violation
+    assert violation is not None
     path = result.folder / "schedule.jsonl"
     path.write_text(write_schedule(plan.faults), encoding="utf-8")
-    where = f"--seed {plan.seed} --vms {plan.vms} --load {plan.load.value}"
-    click.echo(f"broken: {broken.guarantee}: {broken.detail}")
+    options = f"--seed {plan.seed} --vms {plan.vms} --load {plan.load.value}"
+    click.echo(f"broken: {violation.guarantee}: {violation.detail}")
     click.echo(f"  logs: {result.folder}")
-    click.echo(f"  replay: {where} --minutes 0 --schedule {path}")
-    if broken.log_id:
+    click.echo(f"  replay: {options} --minutes 0 --schedule {path}")
+    if violation.log_id:
         logs = [str(each) for each in sorted(result.folder.glob("*-*.log"))]
-        told = CliRunner().invoke(operate, ["explain", broken.log_id, *logs])
-        click.echo(told.output)
+        explained = CliRunner().invoke(operate, ["explain", violation.log_id, *logs])
+        click.echo(explained.output)
 
 
 def _report_minimized(plan: SoakPlan, result: SoakResult) -> None:
-    """Leave out one fault after the other while the same promise breaks."""
+    """Print the faults that are needed for the same violation."""
     assert result.violation is not None
-    promise = result.violation.guarantee
+    guarantee = result.violation.guarantee
 
-    def breaks(faults: tuple[SoakFault, ...]) -> bool:
-        found = _run(evolve(plan, faults=faults)).violation
-        return found is not None and found.guarantee == promise
+    def violates(faults: tuple[SoakFault, ...]) -> bool:
+        violation = _run(evolve(plan, faults=faults)).violation
+        return violation is not None and violation.guarantee == guarantee
 
-    needed = minimize_faults(plan.faults, breaks)
+    needed = minimize_faults(plan.faults, violates)
     click.echo(f"needed, {len(needed)} of {len(plan.faults)} faults:")
     click.echo(write_schedule(needed))
 
--- a/packages/testkit/src/plankspindle_testkit/soak/answer_reading.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/answer_reading.py
@@ -1,4 +1,4 @@
-"""What an answer tells its caller."""
+"""Outcome, log id and identity of an answer."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 
 def read_outcome(answer: HttpAnswer) -> Outcome | None:
-    """Read the outcome; None if none is told."""
+    """Return the reported outcome; None if the answer has none."""
     text = find_header(answer.headers, header_names.OUTCOME)
     return None if text is None else Outcome(text.decode())
 
 
 def read_log_id(answer: HttpAnswer) -> str:
-    """Read the id by which logs tell of the request."""
+    """Return the id of the request in log lines; empty if the answer has none."""
     return (find_header(answer.headers, header_names.LOG_ID) or b"").decode()
 
 
 def answers_request(answer: HttpAnswer, mark: str) -> bool:
-    """Tell whether an answer names the request, or is a failure of the upstream."""
+    """Return whether an answer names the request, or is a failure of the upstream."""
     if answer.status >= 500:
         return True
     try:
--- a/packages/testkit/src/plankspindle_testkit/soak/drain_check.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/drain_check.py
@@ -1,4 +1,4 @@
-"""The promise that a drained upstream gets nothing new, held against each VM."""
+"""Check that no VM sends new requests to a drained upstream."""
 
 from __future__ import annotations
 
@@ -15,44 +15,44 @@
 
 
 def must_respect_drain(observations: Observations, vm: str, runs: DrainedRuns) -> bool:
-    """Tell whether a VM must have kept away from a drained upstream.
+    """Return whether a VM must have stopped using a drained upstream.
 
     Notes
     -----
-    Only what disturbed this VM, the link to the upstream or the platform excuses it:
-    what goes on elsewhere does not.
+    A VM is exempt only while itself, the link to the upstream or the platform is
+    disturbed; disturbances elsewhere don't count.
 
     Parameters
     ----------
     observations : Observations
-        What was disturbed when.
+        Times of disturbances.
     vm : str
         The VM.
     runs : DrainedRuns
-        When the upstream was looked at; after the bound on drains.
+        Period in which the upstream was observed, after the drain must be in effect.
     """
-    concerned = (vm, runs.upstream, PLATFORM)
+    targets = (vm, runs.upstream, PLATFORM)
     return not any(
-        observations.is_disturbed(each, runs.begin, runs.end) for each in concerned
+        observations.is_disturbed(each, runs.begin, runs.end) for each in targets
     )
 
 
 def check_drains(observations: Observations) -> Iterator[Violation]:
-    """Give each request that a VM passed on to a drained upstream.
+    """Yield a violation for each request that a VM sent to a drained upstream.
 
     Notes
     -----
-    A request counts once it is known at which VMs it was tried, and if none of them is
-    excused.
+    A request counts once all VMs that it was sent to are known, and only if none of
+    them is exempt.
     """
     vms_by_mark: dict[str, set[str]] = {
         mark: set() for runs in observations.drained_runs for mark in runs.marks
     }
     if not vms_by_mark:
         return
-    for told in observations.attempts:
-        if told.mark in vms_by_mark:
-            vms_by_mark[told.mark].add(told.vm)
+    for attempt in observations.attempts:
+        if attempt.mark in vms_by_mark:
+            vms_by_mark[attempt.mark].add(attempt.vm)
     for runs in observations.drained_runs:
         for mark in runs.marks:
             vms = vms_by_mark[mark]
--- a/packages/testkit/src/plankspindle_testkit/soak/fault_injector.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/fault_injector.py
@@ -1,4 +1,4 @@
-"""Carries out the faults of a soak, and ends them."""
+"""Injection of faults into daemons, stand-ins and links."""
 
 from __future__ import annotations
 
@@ -38,19 +38,20 @@
     from plankspindle_testkit.soak.soak_fault import SoakFault
 
 STOP_TIMEOUT_S = 25.0
-"""Longest planned stop: settings give it 10 s to linger and 10 s for what runs."""
+"""Timeout of a graceful stop: settings allow 10 s to linger and 10 s for running
+requests."""
 DISTURBED_AFTER_S = 6.0
-"""Time after a fault in which its VM is still taken as disturbed, in seconds."""
+"""Time after a fault for which its target still counts as disturbed, in seconds."""
 KILL_NOTICE_S = 1.0
-"""Time after the end of a killed process in which callers learn of it, in seconds."""
+"""Time after the exit of a killed process until callers notice it, in seconds."""
 START_TIMEOUT_S = 20.0
-"""Longest time until a started process handles signals, in seconds."""
+"""Maximum time until a started process handles signals, in seconds."""
 STUTTER_GAP_S = 0.4
 STUTTER_PAUSES = 4
 STUTTER_PAUSE_S = 0.09
 STUTTER_RUN_S = 0.005
-"""A stutter is a row of pauses between which a process runs for a moment only, as one
-does that has spent its share of a processor; then it runs freely for the gap.
+"""A stutter is a series of pauses between which a process runs only briefly, like one
+that has used up its CPU quota; after it the process runs freely for the gap.
 """
 PERIODS_MS = {"live_list_ms": 300, "configuration_ms": 200, "probe_ms": 300}
 STOP_TIMING_MS = {"linger_ms": 1_000, "leave_ms": 8_000}
@@ -63,18 +64,18 @@
 
 @define(kw_only=True)
 class FaultInjector:
-    """Strike daemons, stand-ins and links.
+    """Inject faults into daemons, stand-ins and links.
 
     Parameters
     ----------
     layout : Layout
-        What there is.
+        Addresses and link proxies.
     processes : Processes
-        The processes.
+        Running processes by name.
     observations : Observations
-        Where to note what was disturbed when.
+        Records the times of disturbances.
     operators : Operators
-        Who change the configuration.
+        Simulated operators.
     began_at : float
         Start of the soak, monotonic seconds.
     period_factor : float
@@ -83,7 +84,7 @@
     Attributes
     ----------
     stopping_vms : set of str
-        VMs whose process is being ended or started here.
+        VMs whose process is being stopped or started here.
     """
 
     layout: Layout
@@ -96,11 +97,11 @@
     stopping_vms: set[str] = field(factory=set)
 
     def now(self) -> float:
-        """Seconds of the soak."""
+        """Time since the start of the soak, in seconds."""
         return monotonic() - self.began_at
 
     async def inject(self, fault: SoakFault) -> None:
-        """Let one fault happen, wait for its length, and end it."""
+        """Inject one fault, wait for its duration, and end it."""
         self.faults_by_kind[fault.kind] += 1
         if fault.kind in VM_KINDS:
             await self._inject_vm_faults(fault.kind, fault.target, fault.for_s)
@@ -121,7 +122,7 @@
 
     @contextmanager
     def _allowing_cuts(self, vm: str, after_s: float) -> Iterator[None]:
-        """Note that connections of a VM's callers may close without an answer."""
+        """Record that connections of callers of a VM may close without an answer."""
         span = Span(self.now())
         self.observations.allowed_cuts_by_vm.setdefault(vm, []).append(span)
         try:
@@ -206,7 +207,7 @@
                     await self.start_vm(name)
 
     async def _send_sighup(self, process: subprocess.Popen[bytes]) -> None:
-        """Ask for the settings to be read again, once the interpreter is up."""
+        """Send SIGHUP once the process handles it."""
         end = self.now() + START_TIMEOUT_S
         while not handles_signal(process.pid, signal.SIGHUP) and self.now() < end:
             if process.poll() is not None:
@@ -220,7 +221,7 @@
         process.send_signal(signal.SIGCONT)
 
     async def _stutter(self, process: subprocess.Popen[bytes], for_s: float) -> None:
-        """Pause a process for short times again and again; no excuse for anything."""
+        """Pause a process briefly and repeatedly; this excuses no violation."""
         end = self.now() + for_s
         while self.now() < end and process.poll() is None:
             for _ in range(STUTTER_PAUSES):
@@ -229,7 +230,7 @@
             await sleep(STUTTER_GAP_S)
 
     async def _kill(self, *names: str) -> None:
-        """Kill processes at one moment and wait for their ends."""
+        """Kill processes at the same time and wait for their exits."""
         with ExitStack() as cuts:
             for name in names:
                 cuts.enter_context(self._allowing_cuts(name, KILL_NOTICE_S))
@@ -240,22 +241,22 @@
                     self.record_exit(name, status)
 
     def record_exit(self, name: str, status: int) -> None:
-        """Note a process that ended by itself."""
+        """Record a process that exited by itself."""
         last = (self.processes.read_log(name).splitlines() or [""])[-1]
         self.observations.unexpected_exits.append((name, status, last))
 
     async def _stop_gracefully(self, name: str) -> None:
         process = self.processes.process_by_name[name]
-        follows = handles_signal(process.pid, signal.SIGTERM)
+        handles_sigterm = handles_signal(process.pid, signal.SIGTERM)
         process.send_signal(signal.SIGTERM)
         try:
             status = await run_in_thread(process.wait, STOP_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self.observations.unexpected_exits.append(
-                (name, 0, f"runs on {STOP_TIMEOUT_S} s after its stop")
+                (name, 0, f"still runs {STOP_TIMEOUT_S} s after SIGTERM")
             )
             return
-        if status == -signal.SIGTERM and not follows:
+        if status == -signal.SIGTERM and not handles_sigterm:
             return
         if status != 0:
             self.record_exit(name, status)
@@ -266,12 +267,12 @@
             self.observations.cut_off_by_stop.append((name, cut_off))
 
     async def _restart_all(self) -> None:
-        struck = [each.name for each in self.layout.places]
-        struck = [name for name in struck if name not in self.stopping_vms]
-        self.stopping_vms |= set(struck)
-        with self._disturbing(struck):
-            await self._kill(*struck)
-            for name in struck:
+        names = [each.name for each in self.layout.places]
+        names = [name for name in names if name not in self.stopping_vms]
+        self.stopping_vms |= set(names)
+        with self._disturbing(names):
+            await self._kill(*names)
+            for name in names:
                 await self.start_vm(name)
 
     async def _inject_upstream_fault(self, kind: str, name: str, for_s: float) -> None:
--- a/packages/testkit/src/plankspindle_testkit/soak/fault_minimizer.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/fault_minimizer.py
@@ -1,4 +1,4 @@
-"""Leaves out the faults of a soak that are not needed to break a promise."""
+"""Removal of faults that a violation does not need."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 def minimize_faults(
     faults: Sequence[SoakFault], violates: Callable[[tuple[SoakFault, ...]], bool]
 ) -> list[SoakFault]:
-    """Leave out one fault after the other while the same promise breaks.
+    """Leave out one fault after the other while the same guarantee is violated.
 
     Parameters
     ----------
     faults : sequence of SoakFault
-        Faults that break it.
+        Faults that lead to a violation.
     violates : callable
-        Plays faults and tells whether they break the same promise.
+        Runs a soak with some faults and returns whether the same guarantee is violated.
 
     Returns
     -------
     list of SoakFault
-        Those needed. Real processes differ from run to run: one that was left out
-        may have been needed for the promise to break often.
+        The needed faults. Real processes differ from run to run: a fault that was left
+        out may still make the violation more frequent.
     """
     needed = list(faults)
     for fault in faults:
--- a/packages/testkit/src/plankspindle_testkit/soak/guarantees.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/guarantees.py
@@ -1,4 +1,4 @@
-"""Promises, held against what callers, upstreams and operators saw."""
+"""Guarantees, checked against what callers, upstreams and operators observed."""
 
 from __future__ import annotations
 
@@ -17,36 +17,36 @@
     from collections.abc import Mapping
 
 MAX_LATE_S = 1.0
-"""Time beyond its deadline within which a caller must have an answer, in seconds."""
+"""Time after the deadline within which a caller must have an answer, in seconds."""
 MIN_SERVED_SHARE = 0.9
-"""Part of the reads that must be served once all faults are over."""
+"""Share of the reads that must be served once all faults are over."""
 MAX_RESIDENT_KB = 200_000
 MAX_DESCRIPTORS = 400
 
 
 @frozen(kw_only=True)
 class AttemptRecord:
-    """What a caller learned of one try.
+    """One attempt of a request as its caller observed it.
 
     Parameters
     ----------
     mark : str
-        Shared by the tries of one request.
+        Identifies the request; shared by its attempts.
     log_id : str
-        Id by which logs tell of the try; empty if no answer came.
+        Id of the attempt in log lines; empty without an answer.
     vm : str
-        Where it was sent.
+        VM that it was sent to.
     is_idempotent : bool
-        Whether it may run more than once.
-    outcome : RequestResult or None
-        What was told; None if no answer came.
+        Whether the request may run more than once.
+    outcome : Outcome or None
+        Reported outcome; None without an answer.
     is_own_answer : bool
-        Whether the answer belongs to the request and is whole.
+        Whether the answer belongs to the request and is complete.
     sent_at, completed_at, deadline : float
-        Seconds of the soak.
+        Seconds since the start of the soak.
     is_cut_off : bool
-        Whether its connection closed without a whole answer after all of the request
-        was sent on it.
+        Whether its connection closed without a complete answer after the request was
+        sent completely.
     """
 
     mark: str
@@ -63,16 +63,16 @@
 
 @frozen(kw_only=True)
 class Violation:
-    """A broken promise.
+    """A violated guarantee.
 
     Parameters
     ----------
     guarantee : str
-        Its name.
+        Name of the guarantee.
     detail : str
-        What was seen.
+        What was observed.
     log_id : str
-        A request to be explained; empty if there is none.
+        Log id of a request for ``explain``; empty if there is none.
     """
 
     guarantee: str
@@ -82,34 +82,34 @@
 
 @define
 class Span:
-    """A time in which something was disturbed.
+    """Period of a disturbance.
 
     Parameters
     ----------
     begin, end : float
-        Seconds of the soak; without an end it lasts still.
+        Seconds since the start of the soak; the end is infinite while it lasts.
     """
 
     begin: float
     end: float = math.inf
 
     def overlaps(self, begin: float, end: float) -> bool:
-        """Tell whether it meets another time."""
+        """Return whether it overlaps another period."""
         return self.begin <= end and begin <= self.end
 
 
 @frozen(kw_only=True)
 class DrainedRuns:
-    """What a drained upstream began from one look at it to the next.
+    """Requests that a drained upstream started between two polls.
 
     Parameters
     ----------
     upstream : str
         The upstream.
     begin, end : float
-        Times of the looks, seconds of the soak.
+        Times of the polls, seconds since the start of the soak.
     marks : tuple of str
-        Marks of the requests that it began to run.
+        Marks of the requests that it started.
     """
 
     upstream: str
@@ -120,35 +120,35 @@
 
 @define(kw_only=True)
 class Observations:
-    """What was seen so far.
+    """Everything observed so far.
 
     Attributes
     ----------
-    attempts : list of Told
-        What callers learned.
+    attempts : list of AttemptRecord
+        Attempts of all callers.
     runs_by_mark : Counter of str
-        Executions at all upstreams.
+        Runs at all upstreams.
     disturbances_by_target : dict of str to list of Span
-        Times in which a VM, an upstream, their links or the platform were disturbed.
+        Periods in which a VM, an upstream, their links or the platform was disturbed.
     allowed_cuts_by_vm : dict of str to list of Span
-        Times in which a fault may have closed connections of callers of a VM.
+        Periods in which a fault may have closed connections of callers of a VM.
     versions_by_incarnation : dict of (str, int) to list of int
-        Versions in force that each life of a process showed, in order.
+        Versions in force that each incarnation of a VM showed, in order.
     unexpected_exits : list of (str, int, str)
-        Processes that ended by themselves: VM, status, last line of the log.
+        Processes that exited by themselves: VM, status, last line of the log.
     unexpected_errors : list of (str, str)
-        Errors that no code expected: VM, line of the log.
+        Unexpected errors: VM, line of the log.
     cut_off_by_stop : list of (str, int)
-        Requests that a planned stop cut off.
+        Number of requests that a graceful stop of a VM cut off.
     drained_runs : list of DrainedRuns
-        Runs that a drained upstream began after the bound.
+        Runs that a drained upstream started after the drain must be in effect.
     drains_watched : int
-        Drains during which some VM of the upstream's failure domain, which would use
-        it, was undisturbed after the bound.
+        Drains that were in effect while some VM of the upstream's failure domain, which
+        would use it otherwise, was undisturbed.
     in_flight_marks : set of str
-        Requests of which a try may be on its way.
+        Requests with an attempt that may be in flight.
     is_recovering : bool
-        Whether the faults are over, so that requests that take long stay away, too.
+        Whether the faults are over; callers then send no slow requests.
     """
 
     attempts: list[AttemptRecord] = Factory(list)
@@ -166,13 +166,13 @@
     checks: int = 0
 
     def is_disturbed(self, name: str, begin: float, end: float) -> bool:
-        """Tell whether a VM, an upstream or the platform was disturbed at some time."""
+        """Return whether a VM, an upstream or the platform was disturbed meanwhile."""
         spans = self.disturbances_by_target.get(name, ())
         return any(each.overlaps(begin, end) for each in spans)
 
 
 def check_all(observations: Observations) -> Iterator[Violation]:
-    """Give every promise that is broken by what was seen so far."""
+    """Yield all violations in what was observed so far."""
     observations.checks += 1
     yield from _at_most_once(observations)
     yield from _not_run_did_not_run(observations)
@@ -188,49 +188,55 @@
 
 
 def _at_most_once(observations: Observations) -> Iterator[Violation]:
-    for told in observations.attempts:
-        runs = observations.runs_by_mark[told.mark]
-        if not told.is_idempotent and runs > 1:
-            detail = f"{told.mark} ran {runs} times"
-            yield Violation(guarantee="at most once", detail=detail, log_id=told.log_id)
+    for attempt in observations.attempts:
+        runs = observations.runs_by_mark[attempt.mark]
+        if not attempt.is_idempotent and runs > 1:
+            detail = f"{attempt.mark} ran {runs} times"
+            yield Violation(
+                guarantee="at most once", detail=detail, log_id=attempt.log_id
+            )
 
 
 def _not_run_did_not_run(observations: Observations) -> Iterator[Violation]:
-    doubtful = {
+    possibly_run = {
         each.mark
         for each in observations.attempts
         if each.outcome is not Outcome.NOT_RUN
     }
-    for told in observations.attempts:
+    for attempt in observations.attempts:
         settled = (
-            told.mark not in doubtful and told.mark not in observations.in_flight_marks
+            attempt.mark not in possibly_run
+            and attempt.mark not in observations.in_flight_marks
         )
-        if settled and observations.runs_by_mark[told.mark]:
-            detail = f"{told.mark} was told not-run at each try, but ran"
+        if settled and observations.runs_by_mark[attempt.mark]:
+            detail = f"{attempt.mark} ran although each attempt returned not-run"
             yield Violation(
-                guarantee="not-run is true", detail=detail, log_id=told.log_id
+                guarantee="not-run is true", detail=detail, log_id=attempt.log_id
             )
 
 
 def _answers_match(observations: Observations) -> Iterator[Violation]:
-    for told in observations.attempts:
-        if told.outcome is Outcome.DONE and not told.is_own_answer:
-            detail = f"{told.mark} got an answer that is not its own"
-            yield Violation(guarantee="own answer", detail=detail, log_id=told.log_id)
+    for attempt in observations.attempts:
+        if attempt.outcome is Outcome.DONE and not attempt.is_own_answer:
+            detail = f"{attempt.mark} got an answer that is not its own"
+            yield Violation(
+                guarantee="own answer", detail=detail, log_id=attempt.log_id
+            )
 
 
 def _answered_in_time(observations: Observations) -> Iterator[Violation]:
-    for told in observations.attempts:
-        late_s = told.completed_at - told.deadline
+    for attempt in observations.attempts:
+        late_s = attempt.completed_at - attempt.deadline
         if late_s > MAX_LATE_S and not observations.is_disturbed(
-            told.vm, told.sent_at - MAX_LATE_S, told.completed_at
+            attempt.vm, attempt.sent_at - MAX_LATE_S, attempt.completed_at
         ):
             detail = (
-                f"{told.mark} at {told.vm} had no answer {late_s:.1f} s too late:"
-                f" asked at {told.sent_at:.2f}, told at {told.completed_at:.2f},"
-                f" outcome {told.outcome}, cut {told.is_cut_off}"
+                f"{attempt.mark} at {attempt.vm} had no answer {late_s:.1f} s after its"
+                f" deadline: sent at {attempt.sent_at:.2f}, completed at"
+                f" {attempt.completed_at:.2f}, outcome {attempt.outcome},"
+                f" cut {attempt.is_cut_off}"
             )
-            yield Violation(guarantee="answered", detail=detail, log_id=told.log_id)
+            yield Violation(guarantee="answered", detail=detail, log_id=attempt.log_id)
 
 
 def _versions_never_revert(observations: Observations) -> Iterator[Violation]:
@@ -253,15 +259,16 @@
     Parameters
     ----------
     observations : Observations
-        What was seen.
+        What was observed.
     recovered_from : float
-        When recovery must be complete, seconds of the soak.
+        Time when recovery must be complete, seconds since the start of the soak.
     versions : mapping of str to int
         Version in force at each VM.
     accepted : int
         Newest accepted version.
     unconfirmed : int
-        Newest version whose acceptance was never learned; all VMs have it, or none.
+        Newest version whose confirmation got no definite answer; either all VMs have it
+        or none.
     """
     reads = [
         each
@@ -271,13 +278,13 @@
     served = sum(each.outcome is Outcome.DONE for each in reads)
     if served < MIN_SERVED_SHARE * len(reads) or not reads:
         detail = f"{served} of {len(reads)} reads were served in the end"
-        last = [each.log_id for each in reads if each.outcome is not Outcome.DONE]
-        request = last[-1] if last else ""
-        yield Violation(guarantee="recovers", detail=detail, log_id=request)
+        failed = [each.log_id for each in reads if each.outcome is not Outcome.DONE]
+        log_id = failed[-1] if failed else ""
+        yield Violation(guarantee="recovers", detail=detail, log_id=log_id)
     in_doubt = unconfirmed > accepted and set(versions.values()) == {unconfirmed}
-    wanted = unconfirmed if in_doubt else accepted
+    expected = unconfirmed if in_doubt else accepted
     for vm, version in versions.items():
-        if version != wanted:
+        if version != expected:
             detail = f"{vm} has version {version} of {accepted}"
             yield Violation(guarantee="accepted is in force", detail=detail)
 
--- a/packages/testkit/src/plankspindle_testkit/soak/layout.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/layout.py
@@ -1,4 +1,4 @@
-"""Addresses of a soak: daemons, stand-ins, and a proxy on each link."""
+"""Addresses of the daemons, stand-ins and link proxies of a soak."""
 
 from __future__ import annotations
 
@@ -33,22 +33,22 @@
 
 @define(kw_only=True)
 class Layout:
-    """Who listens where.
+    """Addresses and configuration of a soak.
 
     Parameters
     ----------
     vms : int
-        Entry VMs, in two failure domains of different regions.
+        Number of entry VMs, in two failure domains of different regions.
     first_port : int
-        Where its ports begin.
+        First port of the soak.
     slots : int
-        Requests that each upstream runs at once.
+        Concurrent requests of each upstream.
 
     Notes
     -----
-    Upstreams are reached through one proxy each, the platform and the callers' listener
-    through one proxy a VM. Messages between VMs go straight: a VM tells the others its
-    own address.
+    There is one proxy for each upstream, and two for each VM: in front of its caller
+    listener and between it and the platform. Messages between VMs pass no proxy, since
+    VMs announce their own addresses.
     """
 
     vms: int
@@ -80,30 +80,30 @@
 
     @property
     def platform(self) -> Endpoint:
-        """The platform stand-in."""
+        """Address of the platform stand-in."""
         return Endpoint(loopback_host(12, 3), self.first_port)
 
     def _add_proxy(self, link: str, name: str, target: Endpoint) -> None:
         port = self.first_port + 5_000 + len(self.proxies_by_link)
-        listens = Endpoint(loopback_host(12, 4), port)
-        proxy = LinkProxy(endpoint=listens, target=target)
+        endpoint = Endpoint(loopback_host(12, 4), port)
+        proxy = LinkProxy(endpoint=endpoint, target=target)
         self.proxies_by_link[f"{link}:{name}"] = proxy
 
     def proxy_endpoint(self, link: str, name: str) -> Endpoint:
-        """Give where a link is entered."""
+        """Return the address of the proxy of a link."""
         return self.proxies_by_link[f"{link}:{name}"].endpoint
 
     def configuration(
         self, version: int = 0, *, drained: Iterable[str] = ()
     ) -> Configuration:
-        """Build a configuration; versions differ in a timeout.
+        """Build a configuration; versions differ in the timeout of operations.
 
         Parameters
         ----------
         version : int
-            Number that it differs by.
+            Milliseconds that are added to the timeout.
         drained : iterable of str
-            Upstreams that stay drained.
+            Drained upstreams.
         """
         operations = [
             Operation(method="GET", timeout_ms=TIMEOUT_MS + version, expected_ms=20),
@@ -133,5 +133,5 @@
 
 
 def drain_id_of(upstream: str) -> str:
-    """Name the drain of an upstream."""
+    """Return the id of the drain of an upstream."""
     return f"soak-{upstream}"
--- a/packages/testkit/src/plankspindle_testkit/soak/link_proxy.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/link_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP link that can be made slow, cut one way, reset, or silent for good."""
+"""TCP proxy that can delay, throttle, hold, reset or blackhole connections."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class LinkState(Enum):
-    """What a link does with bytes."""
+    """Treatment of the bytes on a link."""
 
     PASSES = "passes"
     DELAYS = "delays"
@@ -37,21 +37,21 @@
 
 @define(kw_only=True)
 class LinkProxy:
-    """Pass bytes between those who connect here and a target.
+    """Forward bytes between clients and a target.
 
     Parameters
     ----------
     endpoint : Endpoint
-        Where to connect to.
+        Address to listen on.
     target : Endpoint
-        Where that leads.
+        Address to forward to.
 
     Attributes
     ----------
     state : LinkState
-        What it does at present.
+        Current treatment of bytes.
     disturbed_at : float
-        When it last did other than pass, seconds of the soak.
+        Last time in a state other than ``PASSES``, seconds since the soak began.
     """
 
     endpoint: Endpoint
@@ -65,7 +65,7 @@
     _listener: Any = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self._listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._listener.bind((self.endpoint.host, self.endpoint.port))
@@ -73,14 +73,14 @@
         self._task = await spawn(self._accept, daemon=True)
 
     async def close(self) -> None:
-        """Stop listening and reset what is open."""
+        """Stop listening and reset open connections."""
         if self._task is not None:
             await self._task.cancel()
             await self._listener.close()
             self.reset_open()
 
     def blackhole_open(self) -> None:
-        """Let the connections that are open now carry nothing more, for good."""
+        """Permanently stop forwarding on the connections that are open now."""
         self._blackholed |= set(self._pairs)
 
     def reset_open(self) -> None:
@@ -140,7 +140,7 @@
 
 
 def _reset(end: Any) -> None:
-    """Make the coming close of a socket a reset."""
+    """Shut a socket down so that its close sends a TCP reset."""
     try:
         end._socket.setsockopt(
             stdlib_socket.SOL_SOCKET, stdlib_socket.SO_LINGER, _RESET_ON_CLOSE
--- a/packages/testkit/src/plankspindle_testkit/soak/load.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/load.py
@@ -1,4 +1,4 @@
-"""How many requests a soak has in flight, and how long they take."""
+"""Load of a soak: number, duration and timeouts of requests."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from plankspindle_testkit.soak.layout import TIMEOUT_MS
 
 MIN_SLOW_TIMEOUT_MS = 600
-"""Shortest time that a slow request is given; VMs are patient with an upstream for as
-long at least, in milliseconds.
+"""Minimum timeout of a slow request, in milliseconds; the attempt timeout of VMs is at
+least as long.
 """
 
 
 class LoadKind(Enum):
-    """Names of loads."""
+    """Kinds of load."""
 
     LIGHT = "light"
     FULL = "full"
@@ -26,26 +26,26 @@
 
 @frozen(kw_only=True)
 class Load:
-    """What the callers do.
+    """Parameters of the callers.
 
     Parameters
     ----------
     connections_per_vm : int
-        Connections to each VM that are kept and used, one request at a time on each.
+        Persistent connections to each VM, with one request at a time on each.
     slots : int
-        Requests that each upstream runs at once.
+        Concurrent requests of each upstream.
     slow_share : float
-        Part of their requests that end near their timeouts.
+        Share of the requests on them that take about as long as their timeouts.
     max_slow_timeout_ms : int
-        Longest time that slow requests are given, in milliseconds.
+        Maximum timeout of slow requests, in milliseconds.
     max_think_time_s : float
-        Longest rest between two requests on a connection, in seconds.
+        Maximum pause between two requests on a connection, in seconds.
     max_callers : int
-        Most callers besides, each with a connection a request.
+        Maximum number of additional callers that open a connection for each request.
     period_factor : float
         Factor on the periods at which VMs read the platform and probe upstreams.
     draw_weight : float
-        How often it is drawn.
+        Weight of this load when loads are drawn.
     """
 
     connections_per_vm: int
@@ -80,14 +80,15 @@
         period_factor=4.0,
     ),
 }
-"""Impatient: most requests are short, so that a VM's patience with an upstream ends
-right before the timeouts of the slow ones. Wide: for so many VMs that the soak's one
-process, which passes some 500 requests a second, would be what is loaded.
+"""Impatient: most requests are short, so that the attempt timeout of a VM ends right
+before the timeouts of the slow requests. Wide: for so many VMs that otherwise the
+process of the soak, which forwards some 500 requests per second, would be the
+bottleneck.
 """
 
 
 def draw_load(seed: int) -> LoadKind:
-    """Draw a load from a seed."""
+    """Return the load of a seed."""
     weights = [each.draw_weight for each in LOAD_BY_KIND.values()]
     (kind,) = Random(f"load {seed}").choices(list(LOAD_BY_KIND), weights)
     return kind
--- a/packages/testkit/src/plankspindle_testkit/soak/log_error_reader.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/log_error_reader.py
@@ -1,4 +1,4 @@
-"""What the logs of VMs tell of errors that nobody expected."""
+"""Detection of unexpected errors in the logs of VMs."""
 
 from __future__ import annotations
 
@@ -8,29 +8,31 @@
 from attrs import field
 
 UNEXPECTED_EVENTS = ("error_contained", "crashed", "invariant_broken")
-"""Events of errors that no code expects; each is a fault of the program."""
+"""Log events of unexpected errors; each indicates a bug in the daemon."""
 
 
 @define(kw_only=True)
 class LogErrorReader:
-    """Read on in logs.
+    """Incremental reader of log files.
 
     Parameters
     ----------
     folder : Path
-        Where they are, one for each VM.
+        Folder with one log file per VM.
     """
 
     folder: Path
-    _read_by_vm: dict[str, int] = field(factory=dict)
+    _offset_by_vm: dict[str, int] = field(factory=dict)
 
     def read_new_errors(self, vm: str) -> list[str]:
-        """Give lines on unexpected errors that were written since the last time."""
+        """Return the lines with unexpected errors since the last call."""
         with (self.folder / f"{vm}.log").open("rb") as log:
-            log.seek(self._read_by_vm.get(vm, 0))
-            whole = log.read().rpartition(b"\n")
-        self._read_by_vm[vm] = self._read_by_vm.get(vm, 0) + len(whole[0] + whole[1])
-        lines = whole[0].decode(errors="replace").splitlines()
+            log.seek(self._offset_by_vm.get(vm, 0))
+            complete = log.read().rpartition(b"\n")
+        self._offset_by_vm[vm] = self._offset_by_vm.get(vm, 0) + len(
+            complete[0] + complete[1]
+        )
+        lines = complete[0].decode(errors="replace").splitlines()
         return [line for line in lines if _is_unexpected(line)]
 
 
--- a/packages/testkit/src/plankspindle_testkit/soak/lost_requests.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/lost_requests.py
@@ -1,4 +1,4 @@
-"""The promise that no request is read and then left without an answer."""
+"""Check that no request is read and then left without an answer."""
 
 from __future__ import annotations
 
@@ -13,33 +13,34 @@
     from plankspindle_testkit.soak.guarantees import Observations
 
 MAX_UNREAD_S = 1.0
-"""Longest time for which a VM may not have read a request yet, in seconds.
+"""Maximum time until a VM has read a request, in seconds.
 
-Loops of VMs and of the soak itself are late by some 0.1 s under full load.
+Event loops of VMs and of the soak lag by some 0.1 s under full load.
 """
 
 
 def check_lost_requests(observations: Observations) -> Iterator[Violation]:
-    """Give each request that an undisturbed VM read and then left without an answer.
+    """Yield a violation for each request that a VM read and did not answer.
 
     Notes
     -----
-    A request that crosses the close of its connection was not read and is no loss. It
-    was read if an upstream ran it, or if it had been sent ``UNREAD_S`` before.
-    A planned stop, a reload, a change of the configuration and faults of upstreams are
-    no excuse.
+    A request that is sent while the VM closes the connection was not read and is not
+    lost. It was read if an upstream ran it, or if the connection closed more than
+    ``MAX_UNREAD_S`` after sending. Only faults that cut connections of callers exempt a
+    VM; a graceful stop, a reload, a change of the configuration and faults of upstreams
+    don't.
     """
-    for told in observations.attempts:
+    for attempt in observations.attempts:
         if (
-            told.is_cut_off
-            and _was_read(observations, told)
-            and not _is_cut_allowed(observations, told)
+            attempt.is_cut_off
+            and _was_read(observations, attempt)
+            and not _is_cut_allowed(observations, attempt)
         ):
-            waited_s = told.completed_at - told.sent_at
+            waited_s = attempt.completed_at - attempt.sent_at
             detail = (
-                f"{told.mark} at {told.vm} was cut {waited_s:.2f} s after it was sent,"
-                f" at {told.completed_at:.2f}, run"
-                f" {observations.runs_by_mark[told.mark]} times"
+                f"{attempt.mark} at {attempt.vm} was cut {waited_s:.2f} s after it was"
+                f" sent, at {attempt.completed_at:.2f}, run"
+                f" {observations.runs_by_mark[attempt.mark]} times"
             )
             yield Violation(guarantee="nothing is lost", detail=detail)
 
--- a/packages/testkit/src/plankspindle_testkit/soak/operators.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/operators.py
@@ -1,4 +1,4 @@
-"""Operators of a soak, who change the configuration."""
+"""Simulated operators who change the configuration during a soak."""
 
 from __future__ import annotations
 
@@ -27,42 +27,42 @@
     from plankspindle_testkit.builders import VmAddresses
 
 DRAIN_EFFECT_S = 5.0
-"""Time after its acknowledgement from which a drain must hold at every VM."""
+"""Time after its confirmation from which on a drain must hold at every VM."""
 POLL_PERIOD_S = 0.5
-"""Time between two looks at what a drained upstream runs."""
+"""Period of polling the runs of a drained upstream."""
 UNDO_TRIES = 3
 STORM_VERSIONS = 4
 CALL_TIMEOUT_S = 4.0
 CONFIRM_TIMEOUT_S = 60.0
-"""Time for which a plan is confirmed again to learn its end, in seconds."""
+"""Time for which a confirmation is repeated until its result is known, in seconds."""
 CONFIRM_RETRY_DELAY_S = 0.2
 _MADE = 201
 _ACCEPTED = 200
 _REFUSED = (404, 409, 410, 422)
-"""Answers that tell that a plan isn't in force; others leave it open."""
+"""Statuses after which a plan is certainly not in force; others leave it open."""
 
 
 @define(kw_only=True)
 class Operators:
-    """Plan and confirm changes, and watch that drains hold.
+    """Make and confirm plans, and observe drained upstreams.
 
     Parameters
     ----------
     layout : Layout
-        What there is.
+        Addresses of VMs and upstreams.
     observations : Observations
-        Where to note what drained upstreams run.
+        Records the runs of drained upstreams.
     began_at : float
         Start of the soak, monotonic seconds.
 
     Attributes
     ----------
     applied : int
-        Versions that were made here.
+        Number of versions made here.
     accepted : int
         Newest accepted version.
     unconfirmed : int
-        Newest version of which it was not learned whether it is in force.
+        Newest version whose confirmation got no definite answer.
     drained : set of str
         Upstreams with a drain in force.
     """
@@ -77,29 +77,31 @@
     _change_lock: Any = field(factory=Lock)
 
     def now(self) -> float:
-        """Seconds of the soak."""
+        """Time since the start of the soak, in seconds."""
         return monotonic() - self.began_at
 
     async def apply(self) -> bool:
-        """Put another version of the configuration in force, drains kept."""
+        """Put another version of the configuration in force, with the same drains."""
         async with self._change_lock:
             self.applied += 1
             return await self.apply_intent({"kind": "apply", **self._configuration()})
 
     def _configuration(self) -> dict[str, Any]:
-        made = self.layout.configuration(self.applied, drained=sorted(self.drained))
-        return {"configuration": configuration_to_mapping(made)}
+        configuration = self.layout.configuration(
+            self.applied, drained=sorted(self.drained)
+        )
+        return {"configuration": configuration_to_mapping(configuration)}
 
     async def apply_intent(self, intent: dict[str, Any]) -> bool:
-        """Plan and confirm an intent at any VM; False if none takes it."""
+        """Plan and confirm an intent at any VM; False if no VM accepts it."""
         for place in self.layout.places:
-            status, made = await self._post(place.operator, "/v1/plans", intent)
+            status, plan = await self._post(place.operator, "/v1/plans", intent)
             if status == _MADE:
-                return await self._confirm(made, place)
+                return await self._confirm(plan, place)
         return False
 
     async def _confirm(self, plan: dict[str, Any], first: VmAddresses) -> bool:
-        """Confirm a plan, and again at the other VMs until its end is known."""
+        """Confirm a plan, repeatedly at the other VMs until the result is known."""
         version = int(plan["base_version"]) + 1
         path = f"/v1/plans/{plan['id']}/confirm"
         end = self.now() + CONFIRM_TIMEOUT_S
@@ -118,7 +120,7 @@
     async def _post(
         self, endpoint: Endpoint, path: str, content: dict[str, Any]
     ) -> tuple[int, dict[str, Any]]:
-        """Give status and content of an answer; zero and nothing if none came."""
+        """Return status and content of the answer; zero and empty without an answer."""
         answer = await fetch(
             endpoint,
             method="POST",
@@ -132,26 +134,26 @@
         return answer.unwrap().status, found
 
     async def apply_several(self) -> None:
-        """Put several versions in force, one right after the other."""
+        """Put several versions in force in quick succession."""
         for _ in range(STORM_VERSIONS):
             await self.apply()
 
     async def make_competing_plans(self) -> None:
-        """Make plans on one base at two VMs."""
+        """Make plans on the same base version at two VMs."""
         first, last = self.layout.places[0], self.layout.places[-1]
         intent = {"kind": "apply", **self._configuration()}
         for place in (first, last, first, last):
             await self._post(place.operator, "/v1/plans", intent)
 
     async def drain(self, name: str, for_s: float) -> None:
-        """Drain an upstream, watch what it runs, and take it back.
+        """Drain an upstream, observe what it runs, and undo the drain.
 
         Parameters
         ----------
         name : str
-            The upstream; one that is drained already is left alone.
+            The upstream; nothing happens if it is drained already.
         for_s : float
-            Time for which it is watched once the drain must hold, in seconds.
+            Time for which it is observed once the drain must hold, in seconds.
         """
         drain = {"kind": "upstream", "name": name}
         intent = {"kind": "drain", "drain_id": drain_id_of(name), "drain": drain}
@@ -170,19 +172,19 @@
         while begin < until:
             await sleep(POLL_PERIOD_S)
             after, end = await self.runs_of(name), self.now()
-            looked = DrainedRuns(
+            observed = DrainedRuns(
                 upstream=name, begin=begin, end=end, marks=tuple(after - before)
             )
-            self.observations.drained_runs.append(looked)
+            self.observations.drained_runs.append(observed)
             was_watched |= any(
-                must_respect_drain(self.observations, vm, looked)
+                must_respect_drain(self.observations, vm, observed)
                 for vm in self._local_vms_of(name)
             )
             before, begin = after, end
         self.observations.drains_watched += was_watched
 
     def _local_vms_of(self, upstream: str) -> list[str]:
-        """Name the VMs that use an upstream whenever it isn't drained."""
+        """Return the VMs that use an upstream whenever it isn't drained."""
         return [
             place.name
             for place in self.layout.places
@@ -198,7 +200,7 @@
                     return
 
     async def runs_of(self, upstream: str) -> Counter[str]:
-        """Read what an upstream ran so far."""
+        """Return the number of runs of each request at an upstream, by mark."""
         endpoint = self.layout.upstream_endpoints[upstream]
         answer = await fetch(endpoint, target="/runs", timeout_s=5.0)
         return Counter(json.loads(answer.unwrap().body))
--- a/packages/testkit/src/plankspindle_testkit/soak/persistent_caller.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/persistent_caller.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connection and use it until it closes."""
+"""Caller that reuses a persistent connection until it closes."""
 
 from __future__ import annotations
 
@@ -35,39 +35,40 @@
 
 CONNECT_TIMEOUT_S = 1.0
 MEAN_RECONNECT_DELAY_S = 0.2
-"""Usual time until a closed connection is made anew, in seconds."""
+"""Mean time until a closed connection is replaced, in seconds."""
 MAX_REFUSED_DELAY_S = 1.0
-"""Longest rest after a request that was told not-run, so that those that run set the
-load; shortest half of it.
+"""Maximum pause after an answer ``not-run``, in seconds; the minimum is half of it.
+
+Without a pause, refused requests rather than running ones would determine the load.
 """
 ANSWER_GRACE_S = 3.0
-"""Time after the deadline beyond which no answer will come, in seconds."""
+"""Time after the deadline during which an answer may still come, in seconds."""
 MAX_BODY_BYTES = 1_000_000
 SHORT_WORK_MS = 5.0
 MIN_SLOW_WORK_SHARE = 0.6
 MAX_SLOW_WORK_SHARE = 1.1
-"""Work of slow requests, as parts of the time that they are given."""
+"""Range of the duration of slow requests, as a share of their timeout."""
 
 
 @frozen
 class RequestNotSent(ConnectionLost):
-    """The connection was lost before all of the request was sent."""
+    """The connection was lost before the request was sent completely."""
 
 
 @frozen(kw_only=True)
 class PlannedRequest:
-    """One request on a kept connection.
+    """One request on a persistent connection.
 
     Parameters
     ----------
     mark : str
-        Names the request at upstreams.
+        Identifies the request at upstreams.
     is_read : bool
         Whether it may run more than once.
     timeout_ms : int
-        Time that it is given, in milliseconds.
+        Timeout of the request, in milliseconds.
     work_ms : float
-        Time that an upstream takes for it, in milliseconds.
+        Duration of the request at an upstream, in milliseconds.
     """
 
     mark: str
@@ -78,19 +79,19 @@
 
 @define(kw_only=True)
 class PersistentCaller(RecordingCaller):
-    """Send requests one after the other on one connection to one entry VM.
+    """Caller that sends requests one after the other on one connection to one VM.
 
     Parameters
     ----------
     vm : str
         The entry VM.
     load : Load
-        How long requests take.
+        Durations and pauses of requests.
 
     Notes
     -----
-    It goes on after the VM began to leave, until an answer or the connection's end
-    tells it to stop, and then connects anew.
+    It continues while the VM leaves, until an answer says ``Connection: close`` or the
+    connection ends, and then reconnects.
     """
 
     vm: str
@@ -136,16 +137,16 @@
     async def _send(
         self, connection: ClientConnection, request: PlannedRequest
     ) -> bool:
-        """Make one exchange; False if the connection can't be used again."""
+        """Make one exchange; return whether the connection can be reused."""
         self.observations.in_flight_marks.add(request.mark)
-        asked_at = self.now()
+        sent_at = self.now()
         wait_s = request.timeout_ms / 1000 + ANSWER_GRACE_S
         answer: Result[HttpAnswer, HttpError]
         try:
             answer = await within(wait_s, _exchange, connection, request)
         except TaskTimeout:
             answer = Err(TimedOut(wait_s))
-        self._record_attempt(request, asked_at, answer)
+        self._record_attempt(request, sent_at, answer)
         self.observations.in_flight_marks.discard(request.mark)
         return answer.is_ok() and connection.prepare_reuse()
 
--- a/packages/testkit/src/plankspindle_testkit/soak/process_stats.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/process_stats.py
@@ -1,4 +1,4 @@
-"""What the kernel tells of a process."""
+"""Statistics of a process from ``/proc``."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 
 def resident_kb(pid: int) -> int:
-    """Read how much memory it has, in kilobytes; zero if it is gone."""
-    found = _status_of(pid).get("VmRSS", "0")
-    return int(found.split()[0])
+    """Return the resident memory of a process in kB; zero if it is gone."""
+    resident = _status_of(pid).get("VmRSS", "0")
+    return int(resident.split()[0])
 
 
 def descriptor_count(pid: int) -> int:
-    """Count its descriptors; zero if it is gone."""
+    """Return the number of open file descriptors; zero if the process is gone."""
     with contextlib.suppress(OSError):
         return len(os.listdir(f"/proc/{pid}/fd"))
     return 0
 
 
 def cpu_wait_s(pid: int) -> float:
-    """Read how long it could have run but had no processor, in seconds."""
+    """Return the time that a process was runnable without a CPU, in seconds."""
     with contextlib.suppress(OSError, IndexError):
         text = Path(f"/proc/{pid}/schedstat").read_text(encoding="utf-8")
         return int(text.split()[1]) / 1e9
@@ -35,7 +35,7 @@
 
 
 def handles_signal(pid: int, number: signal.Signals) -> bool:
-    """Tell whether a signal is ignored or caught, so that it doesn't end a process."""
+    """Return whether a process ignores or catches a signal, so that it survives it."""
     status = _status_of(pid)
     bit = 1 << (number - 1)
     return any(int(status.get(key, "0"), 16) & bit for key in _HANDLED)
--- a/packages/testkit/src/plankspindle_testkit/soak/recording_caller.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/recording_caller.py
@@ -1,4 +1,4 @@
-"""What all callers of a soak have and note."""
+"""Base class of the callers of a soak."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
 
 @define(kw_only=True)
 class RecordingCaller:
-    """Mark requests, and note what was told of each.
+    """Caller that marks its requests and records the result of each attempt.
 
     Parameters
     ----------
     name : str
-        Part of the marks of its requests.
+        Prefix of the marks of its requests.
     layout : Layout
-        Where entry VMs are reached.
+        Addresses of the entry VMs.
     observations : Observations
-        Where to note what was told.
+        Records the attempts.
     began_at : float
         Start of the soak, monotonic seconds.
     random : Random
-        Source of choices.
+        Source of random choices.
     """
 
     name: str
@@ -49,11 +49,11 @@
     sent: int = 0
 
     def now(self) -> float:
-        """Seconds of the soak."""
+        """Time since the start of the soak, in seconds."""
         return monotonic() - self.began_at
 
     def next_mark(self) -> str:
-        """Mark the next request."""
+        """Return the mark of the next request."""
         self.sent += 1
         return f"{self.name}-{self.sent}"
 
@@ -68,24 +68,24 @@
         timeout_ms: int,
         is_cut_off: bool = False,
     ) -> AttemptRecord:
-        """Note what was told of a request.
+        """Record the result of one attempt.
 
         Parameters
         ----------
         answer : HttpAnswer or None
-            Its answer; None if none came.
+            The answer; None if there was none.
         mark, vm : str
-            Its mark, and where it was sent.
+            Mark of the request, and VM that it was sent to.
         is_read : bool
-            Whether it may run more than once.
+            Whether the request may run more than once.
         sent_at : float
-            When it was sent, seconds of the soak.
+            Time of sending, seconds since the start of the soak.
         timeout_ms : int
-            Time that it was given, in milliseconds.
+            Timeout of the request, in milliseconds.
         is_cut_off : bool
-            Whether its connection closed without a whole answer.
+            Whether the connection closed without a complete answer.
         """
-        told = AttemptRecord(
+        attempt = AttemptRecord(
             mark=mark,
             log_id="" if answer is None else read_log_id(answer),
             vm=vm,
@@ -97,5 +97,5 @@
             deadline=sent_at + timeout_ms / 1000,
             is_cut_off=is_cut_off,
         )
-        self.observations.attempts.append(told)
-        return told
+        self.observations.attempts.append(attempt)
+        return attempt
--- a/packages/testkit/src/plankspindle_testkit/soak/soak.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/soak.py
@@ -1,4 +1,4 @@
-"""One soak from its start to its verdict."""
+"""A soak from its start to its result."""
 
 from __future__ import annotations
 
@@ -51,28 +51,28 @@
 START_POLL_S = 0.2
 RECOVERY_S = 15.0
 RECOVERED_WATCH_S = 5.0
-"""Time after that for which it is watched."""
+"""Time after recovery for which the guarantees are still checked."""
 CALLERS_PER_VM = 2
 
 
 @frozen(kw_only=True)
 class SoakPlan:
-    """What a soak does.
+    """Parameters of a soak.
 
     Parameters
     ----------
     seed : int
-        Source of chance of the callers.
+        Seed of the random generators of the callers.
     vms : int
-        Entry VMs.
+        Number of entry VMs.
     faults : tuple of SoakFault
-        Its faults, in the order of time.
+        Faults in the order of time.
     first_port : int
-        Where its ports begin.
+        First port of the soak.
     recovery_s : float
-        Time after the last fault in which everything must serve again, in seconds.
+        Time after the last fault until all services must have recovered, in seconds.
     load : LoadKind
-        How many requests are in flight, and how long they take.
+        Kind of load.
     """
 
     seed: int
@@ -85,25 +85,25 @@
 
 @frozen(kw_only=True)
 class SoakResult:
-    """How a soak ended.
+    """Result of a soak.
 
     Parameters
     ----------
     violation : Violation or None
-        The first broken promise.
+        The first violation of a guarantee.
     requests, checks, drains_watched : int
-        Requests that were sent, times that all promises were checked, and drains that
-        were held against some VM.
+        Numbers of attempts sent, of checks of all guarantees, and of drains that some
+        undisturbed VM had to respect.
     faults_by_kind : Counter of str
-        Faults that happened.
+        Number of injected faults.
     outcomes : Counter of str
-        How requests ended: an outcome, ``cut`` or ``no answer``.
+        Number of attempts by outcome, ``cut`` or ``no answer``.
     max_cpu_wait_s : float
-        Longest time for which a VM, a stand-in or the soak itself could have run but
-        had no processor between two checks, in seconds. It tells of a machine that is
-        too busy; no excuse for anything.
+        Maximum time in which a VM, a stand-in or the soak itself was runnable without
+        a CPU between two checks, in seconds. It indicates an overloaded machine; it
+        excuses no violation.
     folder : Path
-        Where the logs are.
+        Folder with the logs.
     """
 
     violation: Violation | None
@@ -123,7 +123,7 @@
     Parameters
     ----------
     plan : SoakPlan
-        What it does.
+        Parameters of the soak.
     """
 
     plan: SoakPlan
@@ -158,16 +158,16 @@
 
     @property
     def load(self) -> Load:
-        """What the callers do."""
+        """Parameters of the callers."""
         return LOAD_BY_KIND[self.plan.load]
 
     async def run(self) -> SoakResult:
-        """Run it; processes that it started are ended whatever happens."""
+        """Run the soak; its processes are always ended."""
         tasks: list[Any] = []
         try:
             await self._start()
             tasks = await self._start_callers()
-            broken = await self._inject_and_check()
+            violation = await self._inject_and_check()
             _check_callers_running(tasks)
         finally:
             for task in tasks:
@@ -176,7 +176,7 @@
             for proxy in self.layout.proxies_by_link.values():
                 await proxy.close()
         return SoakResult(
-            violation=broken,
+            violation=violation,
             requests=len(self.observations.attempts),
             checks=self.observations.checks,
             drains_watched=self.observations.drains_watched,
@@ -207,9 +207,9 @@
         self.injector.began_at = self.operators.began_at = monotonic()
 
     async def _until(self, condition: Any) -> None:
-        what = f"the soak does not start: {condition.__name__}"
+        message = f"the soak does not start: {condition.__name__}"
         await wait_for_start(
-            condition, timeout_s=START_TIMEOUT_S, poll_s=START_POLL_S, message=what
+            condition, timeout_s=START_TIMEOUT_S, poll_s=START_POLL_S, message=message
         )
 
     async def _platform_lists(self) -> bool:
@@ -263,32 +263,32 @@
 
     async def _inject_and_check(self) -> Violation | None:
         waiting = list(self.plan.faults)
-        strikes: list[Any] = []
-        while waiting or not all(each.terminated for each in strikes):
+        injections: list[Any] = []
+        while waiting or not all(each.terminated for each in injections):
             while waiting and waiting[0].at <= self.injector.now():
                 fault = waiting.pop(0)
-                strikes.append(await spawn(self.injector.inject, fault, daemon=True))
-            broken = await self._observe_and_check()
-            if broken is not None:
-                return broken
+                injections.append(await spawn(self.injector.inject, fault, daemon=True))
+            violation = await self._observe_and_check()
+            if violation is not None:
+                return violation
             await self._wait_for_next_check()
-        for strike in strikes:
-            await strike.join()
+        for injection in injections:
+            await injection.join()
         self.observations.is_recovering = True
         return await self._check_recovery()
 
     async def _wait_for_next_check(self) -> None:
-        """Wait until the next check, and note how long there was no processor."""
+        """Wait until the next check, and record how long processes lacked a CPU."""
         await sleep(CHECK_PERIOD_S)
         pids = [each.pid for each in self.processes.process_by_name.values()]
-        waited = {pid: cpu_wait_s(pid) for pid in (*pids, os.getpid())}
-        for pid, seconds in waited.items():
+        wait_by_pid = {pid: cpu_wait_s(pid) for pid in (*pids, os.getpid())}
+        for pid, seconds in wait_by_pid.items():
             before = self._cpu_wait_by_pid.get(pid, seconds)
             self.max_cpu_wait_s = max(self.max_cpu_wait_s, seconds - before)
-        self._cpu_wait_by_pid = waited
+        self._cpu_wait_by_pid = wait_by_pid
 
     async def _observe_and_check(self) -> Violation | None:
-        """Take in what happened since the last time, and check all promises."""
+        """Record what happened since the last check, and check all guarantees."""
         await self._update_runs()
         for place in self.layout.places:
             self._record_exit(place.name)
@@ -298,11 +298,11 @@
             ]
             state = await _state_of(place)
             if state is not None:
-                life = (place.name, int(state["incarnation"], 16))
+                incarnation = (place.name, int(state["incarnation"], 16))
                 version = int(state["configuration"]["version"])
-                self.observations.versions_by_incarnation.setdefault(life, []).append(
-                    version
-                )
+                self.observations.versions_by_incarnation.setdefault(
+                    incarnation, []
+                ).append(version)
         checks = (check_all, check_lost_requests, check_drains)
         return next(
             (each for check in checks for each in check(self.observations)), None
@@ -321,11 +321,11 @@
 
     async def _check_recovery(self) -> Violation | None:
         await sleep(self.plan.recovery_s)
-        calm_from = self.injector.now()
+        recovered_from = self.injector.now()
         await sleep(RECOVERED_WATCH_S)
-        broken = await self._observe_and_check()
-        if broken is not None:
-            return broken
+        violation = await self._observe_and_check()
+        if violation is not None:
+            return violation
         versions, connections = {}, {}
         for place in self.layout.places:
             state = await _state_of(place)
@@ -335,7 +335,7 @@
         checks = [
             *check_end(
                 self.observations,
-                recovered_from=calm_from,
+                recovered_from=recovered_from,
                 versions=versions,
                 accepted=self.operators.accepted,
                 unconfirmed=self.operators.unconfirmed,
@@ -359,12 +359,12 @@
 
 
 def _check_callers_running(callers: list[Any]) -> None:
-    """Check that no caller ended, so that all the load was there.
+    """Check that all callers still run, so that the load was complete.
 
     Raises
     ------
     RuntimeError
-        If one did.
+        If a caller ended.
     """
     ended = [each for each in callers if each.terminated]
     if ended:
@@ -372,12 +372,12 @@
 
 
 async def _state_of(place: VmAddresses) -> dict[str, Any] | None:
-    """Read the state of an entry VM; None if it gives none."""
+    """Return the state dump of an entry VM; None if it returns none."""
     answer = await fetch(place.operator, target="/state", timeout_s=3.0)
     if answer.is_err() or answer.unwrap().status != 200:
         return None
-    found: dict[str, Any] = json.loads(answer.unwrap().body)
-    return found
+    state: dict[str, Any] = json.loads(answer.unwrap().body)
+    return state
 
 
 def _version_of(state: dict[str, Any]) -> int:
--- a/packages/testkit/src/plankspindle_testkit/soak/soak_caller.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/soak_caller.py
@@ -1,4 +1,4 @@
-"""Callers of a soak, who note what they are told."""
+"""Caller that opens a connection for each request."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 MAX_PAUSE_S = 0.05
 MAX_TRIES = 4
 FETCH_TIMEOUT_S = TIMEOUT_MS / 1000 + 3.0
-"""Longest wait of a caller; beyond it no answer will come."""
+"""Answer timeout of a caller; no answer comes after it."""
 
 
 @define(kw_only=True)
 class SoakCaller(RecordingCaller):
-    """Send requests one after the other, to any entry VM."""
+    """Caller that sends requests one after the other to random entry VMs."""
 
     async def run(self) -> None:
         """Send requests until cancelled."""
@@ -43,7 +43,7 @@
             await sleep(MAX_PAUSE_S * self.random.random())
 
     async def _send_keyed(self, mark: str) -> None:
-        """Repeat a request with its key until its end is known, at any VM."""
+        """Repeat a request with its key, at any VM, until it is done or given up."""
         key = (header_names.IDEMPOTENCY_KEY, mark.encode())
         for _ in range(MAX_TRIES):
             outcome = await self._send(mark, is_read=False, extra=[key])
@@ -55,7 +55,7 @@
         self, mark: str, *, is_read: bool, extra: HeaderList | None = None
     ) -> Outcome | None:
         place = self.random.choice(self.layout.places)
-        asked_at = self.now()
+        sent_at = self.now()
         answer = await fetch(
             self.layout.proxy_endpoint("caller", place.name),
             method="GET" if is_read else "POST",
@@ -68,12 +68,12 @@
             ],
             timeout_s=FETCH_TIMEOUT_S,
         )
-        told = self.record_attempt(
+        attempt = self.record_attempt(
             answer.ok(),
             mark=mark,
             vm=place.name,
             is_read=is_read,
-            sent_at=asked_at,
+            sent_at=sent_at,
             timeout_ms=TIMEOUT_MS,
         )
-        return told.outcome
+        return attempt.outcome
--- a/packages/testkit/src/plankspindle_testkit/soak/soak_fault.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/soak_fault.py
@@ -1,4 +1,4 @@
-"""Faults of a soak, drawn from a seed or read from a file."""
+"""Faults of a soak, drawn at random from a seed or read from a file."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     from collections.abc import Iterable
 
 MEAN_GAP_S = 2.0
-"""Mean time between the beginnings of two draws, in seconds."""
+"""Mean time between the starts of two draws, in seconds."""
 MIN_DURATION_S = 0.5
 MAX_DURATION_S = 6.0
 VM_KINDS = ("kill", "stop", "term", "hup", "herd", "rolling", "stutter")
@@ -33,17 +33,17 @@
 CALLER = "caller"
 LINKS = (CALLER, "store", "upstream")
 PLATFORM = "platform"
-"""Name by which the platform is disturbed."""
+"""Target name of disturbances of the platform."""
 SERIES_SHARE = 0.2
-"""Part of the draws that are the same fault several times in a row."""
+"""Share of the draws that are a series of the same fault."""
 COMBINATION_SHARE = 0.15
-"""Part of the draws that are a set of faults that meet."""
+"""Share of the draws that are a combination of overlapping faults."""
 MAX_SERIES_GAP_S = 1.2
-"""Longest time between two faults of a series, in seconds."""
+"""Maximum time between two faults of a series, in seconds."""
 MIN_SERIES_LENGTH = 3
 MAX_SERIES_LENGTH = 5
 DRAIN_WATCH_S = 8.0
-"""Time for which a drain of a set is watched, in seconds."""
+"""Time for which a drain in a combination is observed, in seconds."""
 COMBINATIONS: tuple[tuple[tuple[float, str], ...], ...] = (
     ((0.0, "rolling"), (1.0, "storm"), (2.0, "platform-down")),
     ((0.0, "herd"), (0.3, "hup"), (0.6, "hup"), (1.5, "hup")),
@@ -54,7 +54,7 @@
     ((0.0, "hang"), (0.5, "stutter"), (1.0, "stutter"), (1.5, "storm")),
     ((0.0, "rolling"), (0.5, "stutter"), (3.0, "hup"), (5.0, "silence")),
 )
-"""Kinds of faults that meet, each with its time after the first, in seconds."""
+"""Combined kinds of faults, each with its delay after the first, in seconds."""
 
 
 @frozen(kw_only=True)
@@ -64,12 +64,12 @@
     Parameters
     ----------
     at, for_s : float
-        When it begins and how long it lasts, in seconds from the start of the load.
+        Start, seconds after the start of the load, and duration in seconds.
     kind : str
-        What happens.
+        Kind of fault.
     target : str
-        VM, upstream or link (``LINK:NAME``); empty where it strikes all, and for a
-        drain of the first upstream.
+        VM, upstream or link (``LINK:NAME``); empty for a fault of all VMs or of the
+        platform, for other changes by operators, and for a drain of the first upstream.
     """
 
     at: float
@@ -78,10 +78,10 @@
     target: str = ""
 
     def disturbed_targets(self) -> list[str]:
-        """Name what may be late by it: a VM, an upstream, or the platform.
+        """Return the VM, the upstream or the platform that the fault may delay.
 
-        Operators and upstreams that fail are no excuse for a late answer. What a fault
-        of processes disturbs is noted while it is carried out.
+        Changes by operators and failures of upstreams must not delay answers.
+        Disturbances by faults of processes are recorded while they are injected.
         """
         if self.kind in LINK_KINDS:
             return [self.target.partition(":")[2]]
@@ -99,26 +99,27 @@
 def draw_faults(
     seed: int, *, seconds: float, vms: Sequence[str], upstreams: Sequence[str]
 ) -> list[SoakFault]:
-    """Draw single faults, series of one kind, and sets of faults that meet.
+    """Draw single faults, series of one kind, and combinations of faults.
 
     Parameters
     ----------
     seed : int
-        Source of chance.
+        Seed of the random generator.
     seconds : float
-        Time in which they are drawn; the last of a series or set may begin later.
+        Period in which draws start; later faults of a series or combination may start
+        after it.
     vms, upstreams : sequence of str
-        What they strike.
+        Targets of the faults.
     """
     random = Random(f"soak {seed}")
     targets = _Targets(vms=vms, upstreams=upstreams)
     faults: list[SoakFault] = []
     at = random.expovariate(1 / MEAN_GAP_S)
     while at < seconds:
-        chance = random.random()
-        if chance < SERIES_SHARE:
+        drawn_share = random.random()
+        if drawn_share < SERIES_SHARE:
             faults += _draw_series(random, at, targets)
-        elif chance < SERIES_SHARE + COMBINATION_SHARE:
+        elif drawn_share < SERIES_SHARE + COMBINATION_SHARE:
             faults += _draw_combination(random, at, targets)
         else:
             faults.append(_draw_fault(random, at, _draw_kind(random), targets))
@@ -137,18 +138,18 @@
     at: float,
     kind: str,
     targets: _Targets,
-    most_s: float = MAX_DURATION_S,
+    max_s: float = MAX_DURATION_S,
 ) -> SoakFault:
     return SoakFault(
         at=round(at, 3),
-        for_s=round(random.uniform(MIN_DURATION_S, most_s), 3),
+        for_s=round(random.uniform(MIN_DURATION_S, max_s), 3),
         kind=kind,
         target=_draw_target(random, kind, targets),
     )
 
 
 def _draw_series(random: Random, at: float, targets: _Targets) -> list[SoakFault]:
-    """Draw one kind several times in a row, at one target or at several."""
+    """Draw a series of one kind of fault, at one target or at several."""
     kind = _draw_kind(random)
     first = _draw_fault(random, at, kind, targets, MAX_SERIES_GAP_S)
     same_target = random.random() < 0.5
@@ -176,8 +177,8 @@
     if kind in UPSTREAM_KINDS or kind == "drain":
         return random.choice(targets.upstreams)
     link = random.choice(LINKS)
-    ends = targets.upstreams if link == "upstream" else targets.vms
-    return f"{link}:{random.choice(ends)}"
+    names = targets.upstreams if link == "upstream" else targets.vms
+    return f"{link}:{random.choice(names)}"
 
 
 def write_schedule(faults: Iterable[SoakFault]) -> str:
@@ -191,7 +192,7 @@
     Raises
     ------
     ValueError
-        If a line is no fault, with its number.
+        If a line is no fault; the message has the number of the line.
     """
     faults = []
     for number, line in enumerate(text.splitlines(), start=1):
--- a/packages/testkit/src/plankspindle_testkit/soak/soak_runner.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/soak_runner.py
@@ -1,4 +1,4 @@
-"""How soaks of each kind are run: awaited while they start, and ended for sure."""
+"""Start and guaranteed cleanup of soaks of all kinds."""
 
 from __future__ import annotations
 
@@ -27,21 +27,21 @@
     poll_s: float,
     message: str,
 ) -> None:
-    """Wait until something holds that belongs to the start of a soak.
+    """Wait until a condition for the start of a soak holds.
 
     Parameters
     ----------
     condition : callable
-        Tells whether it does.
+        Returns whether it holds.
     timeout_s, poll_s : float
-        Longest time, and time between two looks, in seconds.
+        Maximum wait, and time between two checks, in seconds.
     message : str
-        What to tell if it does not.
+        Text of the error.
 
     Raises
     ------
     TimeoutError
-        If it does not hold in time.
+        If the condition does not hold in time.
     """
     end = monotonic() + timeout_s
     while not await condition():
@@ -53,9 +53,9 @@
 def run_and_close(
     run: Callable[[], Coroutine[Any, Any, SoakResultT]], processes: Processes
 ) -> SoakResultT:
-    """Run a soak; its processes end with it, also if it is ended by a signal."""
+    """Run a soak and end its processes, also if a signal interrupts it."""
     try:
-        verdict: SoakResultT = curio.run(run)
+        result: SoakResultT = curio.run(run)
     finally:
         processes.close()
-    return verdict
+    return result
--- a/packages/testkit/tests/soak/test_shrinking.py
+++ b/packages/testkit/tests/soak/test_fault_minimizer.py
@@ -1,4 +1,4 @@
-"""Faults of a soak that are not needed are left out."""
+"""Tests of leaving out faults that a violation does not need."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 ]
 
 
-def test_only_faults_that_break_the_promise_are_kept() -> None:
+def test_only_needed_faults_are_kept() -> None:
     needed = [FAULTS[1], FAULTS[3]]
     assert minimize_faults(FAULTS, lambda played: set(needed) <= set(played)) == needed
 
 
-def test_all_are_kept_if_fewer_do_not_break_it() -> None:
+def test_all_faults_are_kept_if_all_are_needed() -> None:
     assert minimize_faults(FAULTS, lambda played: len(played) == len(FAULTS)) == FAULTS
 
 
-def test_none_is_needed_if_it_breaks_without_faults() -> None:
+def test_no_fault_is_kept_if_none_is_needed() -> None:
     assert minimize_faults(FAULTS, lambda _: True) == []
--- a/packages/testkit/tests/soak/test_link_proxy.py
+++ b/packages/testkit/tests/soak/test_link_proxy.py
@@ -1,4 +1,4 @@
-"""Tests of a link that goes wrong, over loopback in one kernel."""
+"""Tests of the faults of a link proxy, over loopback."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 
 class Server:
     def __init__(self) -> None:
-        self.asked = 0
+        self.request_count = 0
 
     async def handle(self, source: ServerExchange) -> None:
         await source.read_body(max_bytes=1_000)
-        self.asked += 1
+        self.request_count += 1
         await source.answer(status=200, body=b"whole")
 
 
@@ -62,27 +62,27 @@
     return answer.is_ok() and answer.unwrap().body == b"whole"
 
 
-def test_what_passes_comes_whole() -> None:
+def test_answer_passes_unchanged() -> None:
     assert run(lambda proxy, _: is_answered(proxy))
 
 
-def test_a_held_request_does_not_reach_the_target() -> None:
+def test_held_request_does_not_reach_target() -> None:
     async def use(proxy: LinkProxy, server: Server) -> tuple[bool, int]:
         proxy.state = LinkState.HOLDS_REQUESTS
-        return await is_answered(proxy, 0.3), server.asked
+        return await is_answered(proxy, 0.3), server.request_count
 
     assert run(use) == (False, 0)
 
 
-def test_a_held_answer_does_not_come_back() -> None:
+def test_held_answer_does_not_reach_client() -> None:
     async def use(proxy: LinkProxy, server: Server) -> tuple[bool, int]:
         proxy.state = LinkState.HOLDS_ANSWERS
-        return await is_answered(proxy, 0.5), server.asked
+        return await is_answered(proxy, 0.5), server.request_count
 
     assert run(use) == (False, 1)
 
 
-def test_a_reset_link_ends_the_connection() -> None:
+def test_reset_link_closes_connection() -> None:
     async def use(proxy: LinkProxy, _: Server) -> bool:
         proxy.state = LinkState.RESETS
         answer = await fetch(proxy.endpoint, timeout_s=5.0)
@@ -91,7 +91,7 @@
     assert run(use)
 
 
-def test_only_open_connections_fall_silent() -> None:
+def test_blackhole_affects_only_open_connections() -> None:
     async def use(proxy: LinkProxy, server: Server) -> tuple[bool, int]:
         proxy.state = LinkState.HOLDS_REQUESTS
         stuck = await curio.spawn(is_answered, proxy, 1.0)
@@ -100,6 +100,6 @@
         proxy.blackhole_open()
         proxy.state = LinkState.PASSES
         passes = await is_answered(proxy)
-        return passes and not await stuck.join(), server.asked
+        return passes and not await stuck.join(), server.request_count
 
     assert run(use) == (True, 1)
--- a/packages/testkit/tests/soak/test_log_watch.py
+++ b/packages/testkit/tests/soak/test_log_error_reader.py
@@ -1,4 +1,4 @@
-"""Tests of the reading of logs."""
+"""Tests of finding unexpected errors in logs."""
 
 from __future__ import annotations
 
@@ -27,27 +27,29 @@
 
 
 @pytest.mark.parametrize("event", UNEXPECTED_EVENTS)
-def test_an_unexpected_error_is_seen_once(tmp_path: Path, event: str) -> None:
-    watch = LogErrorReader(folder=tmp_path)
+def test_unexpected_error_is_reported_once(tmp_path: Path, event: str) -> None:
+    reader = LogErrorReader(folder=tmp_path)
     write(tmp_path, "started", event, "left")
-    (line,) = watch.read_new_errors("a")
+    (line,) = reader.read_new_errors("a")
     assert f"event={event} " in line
     write(tmp_path, "started")
-    assert watch.read_new_errors("a") == []
+    assert reader.read_new_errors("a") == []
     write(tmp_path, event)
-    assert len(watch.read_new_errors("a")) == 1
+    assert len(reader.read_new_errors("a")) == 1
 
 
-def test_a_line_that_is_not_whole_yet_is_read_later(tmp_path: Path) -> None:
-    watch = LogErrorReader(folder=tmp_path)
+def test_incomplete_line_is_read_later(tmp_path: Path) -> None:
+    reader = LogErrorReader(folder=tmp_path)
     log = tmp_path / "a.log"
     log.write_text("time=1 event=cra")
-    assert watch.read_new_errors("a") == []
+    assert reader.read_new_errors("a") == []
     log.write_text("time=1 event=crashed vm=a\n")
-    assert watch.read_new_errors("a") == ["time=1 event=crashed vm=a"]
+    assert reader.read_new_errors("a") == ["time=1 event=crashed vm=a"]
 
 
-def test_an_unexpected_error_breaks_a_promise() -> None:
-    seen = Observations(unexpected_errors=[("a", "event=error_contained error=oh")])
-    (found,) = check_all(seen)
-    assert found.guarantee == "no unexpected error"
+def test_unexpected_error_is_a_violation() -> None:
+    observations = Observations(
+        unexpected_errors=[("a", "event=error_contained error=oh")]
+    )
+    (violation,) = check_all(observations)
+    assert violation.guarantee == "no unexpected error"
--- a/packages/testkit/tests/soak/test_operators.py
+++ b/packages/testkit/tests/soak/test_operators.py
@@ -1,4 +1,4 @@
-"""Operators of a soak keep to one drain of an upstream at a time."""
+"""Tests that operators of a soak make one drain of an upstream at a time."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 @define(kw_only=True)
 class RecordingOperators(Operators):
-    """Operators whose changes take a moment and are noted."""
+    """Operators whose changes take ``CHANGE_S`` and are recorded by kind."""
 
     kinds: list[str] = field(factory=list)
 
-    async def put_in_force(self, intent: dict[str, Any]) -> bool:
+    async def apply_intent(self, intent: dict[str, Any]) -> bool:
         self.kinds.append(intent["kind"])
         await sleep(CHANGE_S)
         return True
 
     async def runs_of(self, upstream: str) -> Counter[str]:
-        """Tell of runs once the drain of the upstream is undone."""
+        """Return runs only once the drain of the upstream is undone."""
         return Counter(["run"] if "undo-drain" in self.kinds else [])
 
 
@@ -43,33 +43,33 @@
     )
 
 
-async def drain_at_once(made: RecordingOperators, *watched_s: float) -> None:
-    """Begin drains of one upstream while another change is being made."""
-    storm = await spawn(made.apply_several)
-    drains = [await spawn(made.drain, UPSTREAM, for_s) for for_s in watched_s]
-    for task in (storm, *drains):
+async def drain_at_once(recording: RecordingOperators, *watch_s: float) -> None:
+    """Start drains of one upstream while another change is in progress."""
+    changes = await spawn(recording.apply_several)
+    drains = [await spawn(recording.drain, UPSTREAM, for_s) for for_s in watch_s]
+    for task in (changes, *drains):
         await task.join()
 
 
 @pytest.fixture(autouse=True)
-def short_times(monkeypatch: pytest.MonkeyPatch) -> None:
+def short_periods(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(operators, "DRAIN_EFFECT_S", 0.05)
     monkeypatch.setattr(operators, "POLL_PERIOD_S", 0.05)
 
 
-def test_drains_that_wait_for_the_same_change_are_one() -> None:
-    made = build_operators()
-    curio.run(drain_at_once, made, 0.4, 0.05)
-    changes = [each for each in made.kinds if each != "apply"]
+def test_simultaneous_drains_of_one_upstream_are_made_once() -> None:
+    recording = build_operators()
+    curio.run(drain_at_once, recording, 0.4, 0.05)
+    changes = [each for each in recording.kinds if each != "apply"]
     assert changes == ["drain", "undo-drain"]
-    assert not any(each.marks for each in made.observations.drained_runs)
-    assert made.observations.drained_runs
+    assert not any(each.marks for each in recording.observations.drained_runs)
+    assert recording.observations.drained_runs
 
 
-def test_an_upstream_is_drained_again_once_it_was_taken_back() -> None:
-    made = build_operators()
-    curio.run(drain_at_once, made, 0.05)
-    curio.run(drain_at_once, made, 0.05)
-    changes = [each for each in made.kinds if each != "apply"]
+def test_upstream_can_be_drained_again_after_undo() -> None:
+    recording = build_operators()
+    curio.run(drain_at_once, recording, 0.05)
+    curio.run(drain_at_once, recording, 0.05)
+    changes = [each for each in recording.kinds if each != "apply"]
     assert changes == 2 * ["drain", "undo-drain"]
-    assert not made.drained
+    assert not recording.drained
--- a/packages/testkit/tests/soak/test_kept_connections.py
+++ b/packages/testkit/tests/soak/test_persistent_caller.py
@@ -1,4 +1,4 @@
-"""Tests of a caller that keeps its connection, against a listener of its own."""
+"""Tests of the caller with a persistent connection, against a listener of its own."""
 
 from __future__ import annotations
 
@@ -40,10 +40,10 @@
 
 
 class Listener:
-    """Serves one caller and keeps its connections.
+    """HTTP server for one caller that records its connections.
 
-    They are kept, not named by ``id``: that of a connection that is gone is given to
-    the next one, and two count as one.
+    The objects are stored instead of their ``id``: Python reuses the ``id`` of a closed
+    connection for the next one, and the two would count as one.
     """
 
     def __init__(self, handler: Handler) -> None:
@@ -56,18 +56,18 @@
         await self.handler(source)
 
     def call(self, requests: int, *, leaving: bool = False) -> Observations:
-        """Let the caller send that many requests."""
+        """Run the caller until it has made this many attempts."""
         return curio.run(self._call, requests, leaving)  # type: ignore[no-any-return]
 
     async def _call(self, requests: int, leaving: bool) -> Observations:
         layout = Layout(vms=1, first_port=next(_FIRST_PORTS))
-        seen = Observations()
+        observations = Observations()
         caller = PersistentCaller(
             name="k",
             vm=VM,
             layout=layout,
             load=LOAD,
-            observations=seen,
+            observations=observations,
             began_at=monotonic(),
             random=Random(1),
         )
@@ -79,43 +79,47 @@
         server.leaving = leaving
         await server.start()
         task = await curio.spawn(caller.run, daemon=True)
-        while len(seen.attempts) < requests:
+        while len(observations.attempts) < requests:
             await curio.sleep(0.01)
         await task.cancel()
         await server.close()
-        return seen
+        return observations
 
 
-def test_a_connection_is_used_again() -> None:
+def test_connection_is_reused() -> None:
     listener = Listener(answer)
-    seen = listener.call(5)
+    observations = listener.call(5)
     assert len(listener.connections) == 1
-    assert {each.outcome for each in seen.attempts} == {Outcome.DONE}
-    assert all(each.is_own_answer and not each.is_cut_off for each in seen.attempts)
-    assert len({each.mark for each in seen.attempts}) == len(seen.attempts)
+    assert {each.outcome for each in observations.attempts} == {Outcome.DONE}
+    assert all(
+        each.is_own_answer and not each.is_cut_off for each in observations.attempts
+    )
+    assert len({each.mark for each in observations.attempts}) == len(
+        observations.attempts
+    )
 
 
-def test_a_connection_is_left_when_an_answer_says_so() -> None:
+def test_caller_reconnects_after_connection_close_header() -> None:
     listener = Listener(answer)
-    seen = listener.call(3, leaving=True)
+    observations = listener.call(3, leaving=True)
     assert len(listener.connections) >= 3
-    assert not any(each.is_cut_off for each in seen.attempts)
+    assert not any(each.is_cut_off for each in observations.attempts)
 
 
-def test_a_close_without_an_answer_is_noted() -> None:
+def test_close_without_answer_is_recorded() -> None:
     async def abort(source: ServerExchange) -> None:
         source.abort()
 
-    (told, *_) = Listener(abort).call(1).attempts
-    assert told.is_cut_off
-    assert told.outcome is None
+    (attempt, *_) = Listener(abort).call(1).attempts
+    assert attempt.is_cut_off
+    assert attempt.outcome is None
 
 
-def test_a_close_within_an_answer_is_noted() -> None:
-    async def break_off(source: ServerExchange) -> None:
+def test_close_within_answer_is_recorded() -> None:
+    async def truncate(source: ServerExchange) -> None:
         await source.send_head(status=200, headers=[(b"content-length", b"100")])
         await source.send_data(b"only this")
         source.abort()
 
-    (told, *_) = Listener(break_off).call(1).attempts
-    assert told.is_cut_off
+    (attempt, *_) = Listener(truncate).call(1).attempts
+    assert attempt.is_cut_off
--- a/packages/testkit/tests/soak/test_process_facts.py
+++ b/packages/testkit/tests/soak/test_process_stats.py
@@ -1,4 +1,4 @@
-"""Tests of what the kernel tells of a process, on this one."""
+"""Tests of process statistics, on the process of the tests."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 from plankspindle_testkit.soak.process_stats import resident_kb
 
 GONE = 2**22 + 1
-"""More than the highest id that Linux gives."""
+"""Above the highest process id of Linux."""
 
 
-def test_a_process_tells_of_its_use() -> None:
+def test_stats_of_running_process() -> None:
     pid = os.getpid()
     assert resident_kb(pid) > 1_000
     assert descriptor_count(pid) > 2
@@ -28,7 +28,7 @@
     ("handler", "survives"),
     [(signal.SIG_DFL, False), (signal.SIG_IGN, True), (lambda *_: None, True)],
 )
-def test_a_process_tells_which_signals_end_it(handler: Any, survives: bool) -> None:
+def test_ignored_and_caught_signals_are_handled(handler: Any, survives: bool) -> None:
     before = signal.signal(signal.SIGUSR2, handler)
     try:
         assert handles_signal(os.getpid(), signal.SIGUSR2) is survives
@@ -36,6 +36,6 @@
         signal.signal(signal.SIGUSR2, before)
 
 
-def test_a_process_that_is_gone_uses_nothing() -> None:
+def test_stats_of_missing_process_are_zero() -> None:
     assert resident_kb(GONE) == descriptor_count(GONE) == cpu_wait_s(GONE) == 0
     assert not handles_signal(GONE, signal.SIGINT)
--- a/packages/testkit/tests/soak/test_soak_fault.py
+++ b/packages/testkit/tests/soak/test_soak_fault.py
@@ -1,4 +1,4 @@
-"""Tests of the faults of a soak."""
+"""Tests of drawing, reading and writing faults of a soak."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
     return f.draw_faults(seed, seconds=seconds, vms=VMS, upstreams=UPSTREAMS)
 
 
-def test_a_seed_draws_the_same_faults_each_time() -> None:
+def test_draws_are_reproducible_from_the_seed() -> None:
     assert draw(5) == draw(5)
     assert draw(5) != draw(6)
 
 
-def test_seeds_draw_every_kind_on_every_target_in_the_order_of_time() -> None:
+def test_draws_cover_all_kinds_and_targets_in_order_of_time() -> None:
     faults = [each for seed in range(60) for each in draw(seed)]
     kinds = {each.kind for each in faults}
     assert kinds == {
@@ -49,7 +49,7 @@
     return f.SoakFault(at=0.0, for_s=1.0, kind=kind, target=target).disturbed_targets()
 
 
-def test_a_fault_disturbs_what_it_strikes() -> None:
+def test_fault_disturbs_its_target() -> None:
     assert disturbed("delays", "store:b") == ["b"]
     assert disturbed("delays", "upstream:u") == ["u"]
     assert {name for kind in f.PLATFORM_KINDS for name in disturbed(kind)} == {
@@ -58,11 +58,11 @@
 
 
 @pytest.mark.parametrize("kind", [*f.OPERATOR_KINDS, *f.UPSTREAM_KINDS, *f.VM_KINDS])
-def test_what_may_not_delay_answers_disturbs_no_vm(kind: str) -> None:
+def test_faults_that_must_not_delay_answers_disturb_nothing(kind: str) -> None:
     assert disturbed(kind, "u") == []
 
 
-def test_seeds_draw_series_of_one_kind_at_one_target_and_at_several() -> None:
+def test_draws_include_series_at_one_and_at_several_targets() -> None:
     of_one = of_several = 0
     for seed in range(60):
         faults = draw(seed)
@@ -75,8 +75,8 @@
     assert of_several > 20
 
 
-def test_seeds_draw_every_set_of_faults_that_meet() -> None:
-    wanted = {tuple(kind for _, kind in each) for each in f.COMBINATIONS}
+def test_draws_include_every_combination() -> None:
+    expected = {tuple(kind for _, kind in each) for each in f.COMBINATIONS}
     drawn = set()
     for seed in range(60):
         starts = [(each.at, each.kind) for each in draw(seed)]
@@ -85,21 +85,21 @@
                 times = [(round(at + after, 3), name) for after, name in each]
                 if kind == each[0][1] and set(times) <= set(starts):
                     drawn.add(tuple(name for _, name in each))
-    assert drawn == wanted
+    assert drawn == expected
 
 
-def test_states_of_links_have_a_kind_of_fault() -> None:
+def test_each_link_state_has_a_kind_of_fault() -> None:
     states = {each.value for each in LinkState} - {"passes"}
     assert states == set(f.LINK_KINDS) - {"silence"}
 
 
-def test_a_schedule_is_read_as_it_was_written() -> None:
+def test_written_schedule_is_read_back() -> None:
     faults = draw(3)
     assert f.read_schedule(f.write_schedule(faults)) == faults
 
 
 @pytest.mark.parametrize("line", ["{", "[]", '{"kind": "kill"}', '{"other": 1}'])
-def test_a_line_that_is_no_fault_is_named(line: str) -> None:
+def test_invalid_line_is_reported_by_number(line: str) -> None:
     good = f.write_schedule(draw(1)[:1])
     with pytest.raises(ValueError, match="line 2 is no fault"):
         f.read_schedule(good + line + "\n")
--- a/packages/testkit/tests/soak/test_running.py
+++ b/packages/testkit/tests/soak/test_soak_runner.py
@@ -1,4 +1,4 @@
-"""A soak that does not start says so; an interrupted one ends its processes."""
+"""Tests that a failed start is reported and processes end with their soak."""
 
 from __future__ import annotations
 
@@ -18,27 +18,29 @@
 WAITS = [sys.executable, "-c", "import time; time.sleep(60)"]
 
 
-def wait(looks: int, within_s: float) -> int:
-    """Wait for what holds from some look on, and give how many were needed."""
-    looked = 0
+def wait(checks: int, within_s: float) -> int:
+    """Wait for a condition that holds from some check on; return the checks made."""
+    made_checks = 0
 
-    async def holds() -> bool:
-        nonlocal looked
-        looked += 1
-        return looked >= looks
+    async def condition() -> bool:
+        nonlocal made_checks
+        made_checks += 1
+        return made_checks >= checks
 
     async def run() -> None:
-        await wait_for_start(holds, timeout_s=within_s, poll_s=0.01, message="not yet")
+        await wait_for_start(
+            condition, timeout_s=within_s, poll_s=0.01, message="not yet"
+        )
 
     curio.run(run)
-    return looked
+    return made_checks
 
 
-def test_a_start_is_awaited() -> None:
+def test_start_is_awaited() -> None:
     assert wait(3, within_s=5.0) == 3
 
 
-def test_a_start_that_does_not_come_is_given_up() -> None:
+def test_missing_start_raises_timeout_error() -> None:
     with pytest.raises(TimeoutError, match="not yet"):
         wait(sys.maxsize, within_s=0.1)
 
@@ -53,10 +55,10 @@
         processes._start("vm", WAITS)
         if ends_by is not None:
             raise ends_by
-        return "verdict"
+        return "result"
 
     if ends_by is None:
-        assert run_and_close(run, processes) == "verdict"
+        assert run_and_close(run, processes) == "result"
     else:
         with pytest.raises(ends_by):
             run_and_close(run, processes)
