--- a/packages/testkit/src/plankspindle_testkit/platform_stand_in/__init__.py
+++ b/packages/testkit/src/plankspindle_testkit/platform_stand_in/__init__.py
@@ -1,3 +1,3 @@
-"""A small stand-in for the platform: table service, object store, list of VMs."""
+"""A small test double of the platform: table service, object store, list of VMs."""
 
 from __future__ import annotations
--- a/packages/testkit/src/plankspindle_testkit/platform_stand_in/faults.py
+++ b/packages/testkit/src/plankspindle_testkit/platform_stand_in/faults.py
@@ -1,4 +1,4 @@
-"""Faults that the platform stand-in shows on request."""
+"""Faults that a test can set in the platform stand-in."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
     down : bool
         Whether every call fails before it takes effect.
     delay_ms : int
-        Time by which every answer is late, in milliseconds.
+        Delay of every answer, in milliseconds.
     lose_answers : int
-        Writes whose answers are still to be lost after they took effect.
+        Number of the next writes that take effect, but whose answers are lost.
     """
 
     down: bool = False
@@ -24,7 +24,7 @@
     lose_answers: int = 0
 
     def consume_lost_answer(self) -> bool:
-        """Use up one lost answer, if any is left."""
+        """Return whether this answer is to be lost, and count it as lost."""
         if self.lose_answers <= 0:
             return False
         self.lose_answers -= 1
--- a/packages/testkit/src/plankspindle_testkit/platform_stand_in/platform_stand_in.py
+++ b/packages/testkit/src/plankspindle_testkit/platform_stand_in/platform_stand_in.py
@@ -27,7 +27,7 @@
 
 @define(kw_only=True)
 class PlatformStandIn:
-    """Table service, object store and list of VMs, with faults on request.
+    """Table service, object store and list of VMs, with faults set by tests.
 
     Parameters
     ----------
@@ -37,9 +37,9 @@
     Attributes
     ----------
     vms : list of dict
-        The list of VMs; it changes only when a test says so.
+        The list of VMs; only tests change it.
     calls_by_kind : Counter of str
-        Reads and writes, to be held against the platform's limits.
+        Numbers of reads and writes, to be compared with the platform's limits.
     """
 
     endpoint: Endpoint
@@ -56,7 +56,7 @@
         )
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen."""
         await self._server.start()
 
     async def close(self) -> None:
@@ -122,11 +122,11 @@
                 return 404, b""
 
     async def _control(self, source: ServerExchange, body: bytes) -> None:
-        wanted = json.loads(body or b"{}")
-        if "vms" in wanted:
-            self.vms = wanted["vms"]
-        if "faults" in wanted:
-            self.faults = Faults(**wanted["faults"])
+        requested = json.loads(body or b"{}")
+        if "vms" in requested:
+            self.vms = requested["vms"]
+        if "faults" in requested:
+            self.faults = Faults(**requested["faults"])
         counts = {
             "calls": dict(self.calls_by_kind),
             "rows": len(self.table.rows_by_key),
--- a/packages/testkit/src/plankspindle_testkit/platform_stand_in/table_store.py
+++ b/packages/testkit/src/plankspindle_testkit/platform_stand_in/table_store.py
@@ -1,4 +1,4 @@
-"""Rows with versions and conditional transactions, in memory."""
+"""In-memory table of versioned rows with conditional transactions."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     Parameters
     ----------
     version : int
-        Number of the write that made it; zero for a row that does not exist.
+        Number of the transaction that wrote it; zero for a row that does not exist.
     value : object
         Its content.
     """
@@ -27,7 +27,7 @@
 
 @define(kw_only=True)
 class TableStore:
-    """Rows by key."""
+    """Table of rows by key."""
 
     rows_by_key: dict[str, StoredRow] = field(factory=dict)
     commits: int = 0
@@ -37,7 +37,7 @@
         return self.rows_by_key.get(key, StoredRow())
 
     def commit(self, writes: list[dict[str, Any]]) -> list[str]:
-        """Make all writes or none.
+        """Apply all writes or none.
 
         Parameters
         ----------
--- a/packages/testkit/src/plankspindle_testkit/trial/__init__.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/__init__.py
@@ -1,8 +1,8 @@
-"""Randomised trials of the daemon's decision machines, with fakes at their interfaces.
+"""Randomised simulations of the daemon's decision logic, with fakes at its interfaces.
 
-A trial drives the machines of several entry VMs with a fake clock and a seeded source
-of faults. It holds the truth: what upstreams really ran, which writes really took
-effect.
+A trial drives the nodes of several entry VMs with a fake clock and a seeded source of
+faults. It records the ground truth: what upstreams really ran, and which writes really
+took effect.
 """
 
 from __future__ import annotations
--- a/packages/testkit/src/plankspindle_testkit/trial/fake_network.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/fake_network.py
@@ -1,4 +1,4 @@
-"""Packets between entry VMs: delayed, lost, repeated, reordered or cut off."""
+"""Packets between entry VMs: delayed, lost, duplicated, reordered or partitioned."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 @frozen(kw_only=True)
 class Packet:
-    """One message on its way.
+    """One message in transit.
 
     Parameters
     ----------
     deliver_at : float
-        Seconds.
+        Simulated time of its arrival, in seconds.
     sender, to : Endpoint
         Peer listeners.
     message : PeerMessage
-        What it carries.
+        The message.
     """
 
     deliver_at: float
@@ -34,7 +34,7 @@
 
 @define(kw_only=True)
 class FakeNetwork:
-    """The way of packets.
+    """Network between the entry VMs.
 
     Parameters
     ----------
@@ -58,7 +58,7 @@
     def send(
         self, message: PeerMessage, *, sender: Endpoint, to: Endpoint, now: float
     ) -> None:
-        """Send a message, which may be lost or arrive twice."""
+        """Send a message, which may be lost or duplicated."""
         if (
             frozenset((sender, to)) in self.partitions
             or self.random.random() < self.loss
@@ -73,7 +73,7 @@
             self._packets.append(packet)
 
     def pop_due(self, now: float) -> list[Packet]:
-        """Take the packets that arrive by now."""
+        """Remove the packets that have arrived, and return them in order of arrival."""
         arrived = [each for each in self._packets if each.deliver_at <= now]
         self._packets = [each for each in self._packets if each.deliver_at > now]
         return sorted(arrived, key=lambda each: each.deliver_at)
--- a/packages/testkit/src/plankspindle_testkit/trial/fake_platform.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/fake_platform.py
@@ -1,4 +1,4 @@
-"""The platform's interface without sockets: outages, lost answers, late writes."""
+"""The platform's interface without sockets: outages, lost answers, delayed writes."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 
 def run_to_completion(coroutine: Coroutine[Any, Any, Answer]) -> Answer:
-    """Run a coroutine that never blocks.
+    """Run a coroutine that never blocks, and return its result.
 
     Raises
     ------
     RuntimeError
-        If it does block.
+        If it blocks.
     """
     try:
         coroutine.send(None)
@@ -43,18 +43,19 @@
 
 @define(kw_only=True)
 class FakePlatform:
-    """Table service and object store with the daemon's own interface.
+    """Table service and object store with the interface of the daemon's client.
 
     Parameters
     ----------
     random : Random
         Source of faults.
     fault_rate : float
-        Probability that a call goes wrong in one of the ways.
+        Probability that a call fails.
     down : bool
-        Whether no call takes effect.
+        Whether all calls fail without effect.
     forced_write_fault : str
-        The only way in which writes go wrong; reads then go well.
+        Only kind of fault for writes, with which reads do not fail: ``nothing``,
+        ``late`` or ``answer-lost``. Empty for a random kind, and for reads that fail.
     """
 
     random: Random
@@ -92,15 +93,15 @@
     async def commit(
         self, transaction: Transaction
     ) -> Result[None, ConditionFailed | PlatformUnavailable]:
-        """Commit, maybe without effect, maybe late, maybe with a lost answer."""
+        """Commit, possibly without effect, delayed, or with a lost answer."""
         if self._fails():
-            way = self.random.choice(["nothing", "late", "answer-lost"])
-            way = self.forced_write_fault or way
-            if way == "late":
+            kind = self.random.choice(["nothing", "late", "answer-lost"])
+            kind = self.forced_write_fault or kind
+            if kind == "late":
                 self._delayed_writes.append(transaction)
-            if way == "answer-lost" and not self.down:
+            if kind == "answer-lost" and not self.down:
                 self._commit(transaction)
-            return Err(PlatformUnavailable(way))
+            return Err(PlatformUnavailable(kind))
         failed = self._commit(transaction)
         return Err(ConditionFailed(tuple(failed))) if failed else Ok(None)
 
@@ -117,7 +118,7 @@
         )
 
     def apply_delayed_write(self) -> None:
-        """Let one late write arrive."""
+        """Apply one random delayed write."""
         if self._delayed_writes and not self.down:
             index = self.random.randrange(len(self._delayed_writes))
             self._commit(self._delayed_writes.pop(index))
--- a/packages/testkit/src/plankspindle_testkit/trial/fake_upstream.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/fake_upstream.py
@@ -1,4 +1,4 @@
-"""An upstream that knows what it really ran."""
+"""An upstream of a trial, which records its executions."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @frozen(kw_only=True)
 class Run:
-    """One execution.
+    """One execution of a request.
 
     Parameters
     ----------
@@ -32,7 +32,7 @@
     vm : str
         Entry VM that sent it.
     ends_at : float
-        Seconds.
+        Simulated time of its end, in seconds.
     """
 
     request: int
@@ -42,14 +42,14 @@
 
 @define(kw_only=True)
 class FakeUpstream:
-    """Slots, conduct and the truth about executions.
+    """An upstream with its slots, its mode and its present executions.
 
     Parameters
     ----------
     name : str
         Its name.
     slots : int
-        Requests it may run at once.
+        Requests that it may run at once.
     """
 
     name: str
@@ -64,7 +64,7 @@
     last_started_at: float = 0.0
 
     def start(self, run: Run, now: float) -> None:
-        """Start an execution; the limit is for the entry VMs to keep."""
+        """Start an execution; entry VMs, not the upstream, enforce the slot limit."""
         self.runs.append(run)
         self.last_started_at = now
         self.max_concurrent = max(self.max_concurrent, len(self.runs))
@@ -73,21 +73,21 @@
             self.started_after_leaving_s = max(self.started_after_leaving_s, late)
 
     def pop_finished(self, now: float) -> list[Run]:
-        """Take the executions that have ended by now."""
+        """Remove the executions that have finished, and return them."""
         ended = [run for run in self.runs if run.ends_at <= now]
         self.runs = [run for run in self.runs if run.ends_at > now]
         return ended
 
     def cancel(self, request: int, vm: str) -> None:
-        """Stop an execution whose connection was closed."""
+        """Cancel an execution whose connection was closed."""
         self.runs = [run for run in self.runs if (run.request, run.vm) != (request, vm)]
 
     def cancel_all_from(self, vm: str) -> None:
-        """Stop the executions of a VM whose process ended."""
+        """Cancel the executions of a VM whose process ended."""
         self.runs = [run for run in self.runs if run.vm != vm]
 
     def report(self) -> LoadReport:
-        """Say what the load endpoint says, true or not."""
+        """Return the answer of the load endpoint, which may be false."""
         return LoadReport(
             in_flight=0 if self.claims_idle else len(self.runs),
             slots=self.slots,
--- a/packages/testkit/src/plankspindle_testkit/trial/fault_injector.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/fault_injector.py
@@ -1,4 +1,4 @@
-"""Faults of a trial: random ones, and named ones at a chosen moment."""
+"""Injects faults into a trial: scheduled ones, and named ones at a chosen time."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 class FaultInjector:
-    """Make things go wrong in a trial.
+    """Inject faults into a trial.
 
     Parameters
     ----------
     world : World
-        The trial's state.
+        State of the trial.
     hosts : TrialHosts
         Processes on its VMs.
     operators : TrialOperators
@@ -40,9 +40,9 @@
         self.operators = operators
 
     def inject_scheduled(self, fault: ScheduledFault) -> None:
-        """Let a scheduled fault happen, to a running VM if its own runs nothing."""
-        running = self.world.vms_by_name
-        vm = fault.vm if fault.vm in running else min(running, default=fault.vm)
+        """Inject a scheduled fault; if its VM has no process, into another VM."""
+        running_vms = self.world.vms_by_name
+        vm = fault.vm if fault.vm in running_vms else min(running_vms, default=fault.vm)
         self.world.add_trace_line(
             f"fault {fault.kind} vm={vm} upstream={fault.upstream}"
         )
@@ -70,9 +70,9 @@
 
     def _pause(self, vm: str, random: Random) -> None:
         pause_s = random.uniform(0.5, 8.0)
-        struck = self.world.vms_by_name.get(vm)
-        if struck is not None:
-            struck.paused_until = self.world.now + pause_s
+        affected = self.world.vms_by_name.get(vm)
+        if affected is not None:
+            affected.paused_until = self.world.now + pause_s
 
     def _toggle_platform(self) -> None:
         self.world.platform.down = not self.world.platform.down
@@ -99,22 +99,22 @@
         self.world.platform.down = False
 
     def _toggle_partition(self, random: Random) -> None:
-        one, other = random.sample(self.world.options.places, 2)
-        self.world.network.partitions ^= {frozenset((one.peer, other.peer))}
+        first, second = random.sample(self.world.options.places, 2)
+        self.world.network.partitions ^= {frozenset((first.peer, second.peer))}
 
     def inject(self, kind: str, *, vm: str, upstream: str) -> None:
-        """Let one named fault happen now.
+        """Inject one fault now.
 
         Parameters
         ----------
         kind : str
-            Name of the fault.
+            Kind of the fault.
         vm, upstream : str
-            What it strikes, where it strikes one.
+            Affected VM and upstream, for faults that affect a single one.
         """
         self.world.add_trace_line(f"inject {kind} vm={vm} upstream={upstream}")
-        struck = self.world.upstreams_by_name[upstream]
-        ways = self._actions_by_kind(vm, struck, self.world.random)
+        affected = self.world.upstreams_by_name[upstream]
+        actions = self._actions_by_kind(vm, affected, self.world.random)
         directed: dict[str, Callable[[], None]] = {
             "store-answers-lost": partial(self._force_write_fault, "answer-lost"),
             "store-writes-late": partial(self._force_write_fault, "late"),
@@ -126,7 +126,7 @@
             "isolate": partial(self._isolate, vm),
             "region-fails": self._fail_region,
         }
-        {**ways, **directed}[kind]()
+        {**actions, **directed}[kind]()
 
     def _force_write_fault(self, kind: str) -> None:
         self.world.platform.fault_rate = 1.0
@@ -152,7 +152,7 @@
             self.hosts.kill(name, power_loss=True)
 
     def heal_all(self) -> None:
-        """End all faults and start processes on all VMs that lack one."""
+        """End all faults, and start a process on every VM without one."""
         self._heal()
         self.world.platform.fault_rate = 0.0
         for upstream in self.world.upstreams_by_name.values():
--- a/packages/testkit/src/plankspindle_testkit/trial/fault_matrix.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/fault_matrix.py
@@ -1,8 +1,8 @@
-"""Every fault at every step of every operation, on the decision machines.
+"""Every fault at every step of every operation, run in trials.
 
-An operation is started in a quiet trial, a fault is injected a number of steps later,
-everything is healed after a while, and the operation must end as it may. Promises are
-checked at every step by the trial and by the program itself.
+An operation is started in a trial without random faults, a fault is injected a number
+of steps later and ended after a while, and the outcome of the operation must be an
+allowed one. The trial and the daemon itself check their guarantees at every step.
 """
 
 from __future__ import annotations
@@ -39,20 +39,20 @@
 
 @frozen(kw_only=True)
 class MatrixOperation:
-    """Something that faults are injected into.
+    """Operation into which faults are injected.
 
     Parameters
     ----------
     name : str
-        What it is.
+        Name of the operation.
     requirement : str
-        What must come of it whatever happens.
+        What must hold under every fault.
     allowed_outcomes : frozenset of str
-        Ends that are allowed.
+        Allowed outcomes.
     start : callable
-        Starts it and gives the check of its end.
+        Starts the operation and returns a function that determines its outcome.
     allowed_outcome_by_fault : dict of str to str
-        One more end that is allowed under a fault.
+        One more outcome that is allowed under a fault, by name of the fault.
     """
 
     name: str
@@ -64,16 +64,16 @@
 
 @frozen(kw_only=True)
 class MatrixCell:
-    """What came of one operation under one fault, over all steps.
+    """Outcomes of one operation under one fault, over all steps of its injection.
 
     Parameters
     ----------
     operation, fault : str
-        Names.
+        Names of operation and fault.
     outcomes : tuple of (str, int)
-        Ends and how often each came.
+        Outcomes, and the number of runs with each.
     violations : tuple of str
-        Broken promises, with the step at which the fault was injected.
+        Violations, with the step at which the fault was injected.
     """
 
     operation: str
@@ -93,7 +93,7 @@
 
         return check
 
-    must = {
+    requirement = {
         "lookup": "one answer; runs again only because it may",
         "download": "one answer, whole or reset",
         "id": "runs at most once; not-run is true",
@@ -101,7 +101,7 @@
     }[kind]
     return MatrixOperation(
         name=kind,
-        requirement=must,
+        requirement=requirement,
         allowed_outcomes=frozenset(
             {"done", "not-run", "unknown", "aborted", "vm lost"}
         ),
@@ -124,12 +124,12 @@
     plan_id = trial.operators.make_plan(
         PriorityClassIntent(caller="desk", priority_class="gold")
     )
-    told = trial.operators.confirm_until_answered(plan_id) if plan_id else "no plan"
+    answer = trial.operators.confirm_until_answered(plan_id) if plan_id else "no plan"
 
     def check(trial: Trial) -> str:
         return (
             "in force"
-            if told == "accepted" and trial.operators.is_in_force()
+            if answer == "accepted" and trial.operators.is_in_force()
             else "missing"
         )
 
@@ -139,16 +139,16 @@
 def _drain(trial: Trial) -> Check:
     drain = Drain(kind=DrainKind.UPSTREAM, name="u0")
     plan_id = trial.operators.make_plan(DrainIntent(drain_id="d", drain=drain))
-    told = trial.operators.confirm_until_answered(plan_id) if plan_id else "no plan"
-    latest = (
+    answer = trial.operators.confirm_until_answered(plan_id) if plan_id else "no plan"
+    latest_start = (
         trial.world.now + FAULT_DURATION_S + INJECTION_STEPS[-1] * STEP_S + MAX_DRAIN_S
     )
 
     def check(trial: Trial) -> str:
         upstream = trial.world.upstreams_by_name["u0"]
-        if told != "accepted" or not trial.operators.is_in_force():
+        if answer != "accepted" or not trial.operators.is_in_force():
             return "missing"
-        if upstream.last_started_at > latest:
+        if upstream.last_started_at > latest_start:
             return "got new work"
         return "empty" if not upstream.runs else "still running"
 
@@ -164,10 +164,10 @@
         ramp_s=0.0,
     )
     plan_id = trial.operators.make_plan(ShiftIntent(shift_id="s", shift=shift))
-    told = trial.operators.confirm_until_answered(plan_id) if plan_id else "no plan"
+    answer = trial.operators.confirm_until_answered(plan_id) if plan_id else "no plan"
 
     def check(trial: Trial) -> str:
-        in_force = told == "accepted" and trial.operators.is_in_force()
+        in_force = answer == "accepted" and trial.operators.is_in_force()
         return "within cap" if in_force else "missing"
 
     return check
@@ -271,21 +271,21 @@
     Parameters
     ----------
     operation : MatrixOperation
-        What is done.
+        The operation.
     faults : list of (int, callable)
-        Steps after the start, and faults, in order.
+        Steps after the start of the operation, and faults, in order.
     seed : int
         Seed of the trial.
 
     Returns
     -------
     str
-        How it ended.
+        Outcome of the operation.
 
     Raises
     ------
     GuaranteeViolatedError
-        If a promise of the system is broken.
+        If a guarantee of the system is violated.
     """
     trial = build_trial(seed=seed, fault_free=True)
     trial.run(WARM_UP_S)
@@ -305,23 +305,23 @@
 def run_cell(
     operation: MatrixOperation, fault: str, steps: tuple[int, ...] = INJECTION_STEPS
 ) -> MatrixCell:
-    """Run an operation with one fault at each step.
+    """Run an operation once for each step, with one fault injected at that step.
 
     Parameters
     ----------
     operation : MatrixOperation
-        What is done.
+        The operation.
     fault : str
         Name of the fault.
     steps : tuple of int
-        Steps of 50 ms after the start at which it is injected.
+        Steps at which the fault is injected, counted from the start in steps of 50 ms.
     """
     plans = [[(step, FAULTS[fault])] for step in steps]
     return _collect(operation, (fault,), plans)
 
 
 def run_pair(operation: MatrixOperation, first: str, second: str) -> MatrixCell:
-    """Run an operation with one fault after another, close together and apart."""
+    """Run an operation with one fault after another, at three different intervals."""
     gaps = ((1, 2), (2, 10), (0, 40))
     plans = [[(one, FAULTS[first]), (two, FAULTS[second])] for one, two in gaps]
     return _collect(operation, (first, second), plans)
@@ -332,24 +332,26 @@
     faults: tuple[str, ...],
     plans: list[list[tuple[int, Fault]]],
 ) -> MatrixCell:
-    extra = {operation.allowed_outcome_by_fault.get(fault, "") for fault in faults}
-    allowed = operation.allowed_outcomes | extra
-    ends: Counter[str] = Counter()
-    broken = []
+    extra_allowed = {
+        operation.allowed_outcome_by_fault.get(fault, "") for fault in faults
+    }
+    allowed = operation.allowed_outcomes | extra_allowed
+    outcomes: Counter[str] = Counter()
+    violations = []
     for seed, plan in enumerate(plans, start=1):
         steps = "+".join(str(step) for step, _ in plan)
         try:
-            end = run_once(operation, plan, seed)
+            outcome = run_once(operation, plan, seed)
         except (GuaranteeViolatedError, InvariantError) as error:
-            broken.append(f"step {steps}: {error}")
+            violations.append(f"step {steps}: {error}")
             continue
-        if end in allowed:
-            ends[end] += 1
+        if outcome in allowed:
+            outcomes[outcome] += 1
         else:
-            broken.append(f"step {steps}: ended as {end}")
+            violations.append(f"step {steps}: ended as {outcome}")
     return MatrixCell(
         operation=operation.name,
         fault=" + ".join(faults),
-        outcomes=tuple(sorted(ends.items())),
-        violations=tuple(broken),
+        outcomes=tuple(sorted(outcomes.items())),
+        violations=tuple(violations),
     )
--- a/packages/testkit/src/plankspindle_testkit/trial/fault_schedule.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/fault_schedule.py
@@ -1,4 +1,4 @@
-"""Faults of a trial, drawn before it begins, so that any of them can be left out."""
+"""Faults of a trial, drawn before it starts, so that any of them can be left out."""
 
 from __future__ import annotations
 
@@ -29,18 +29,18 @@
 
 @frozen(kw_only=True)
 class ScheduledFault:
-    """One fault.
+    """One fault of a trial.
 
     Parameters
     ----------
     at : float
-        Seconds from the start of the trial.
+        Time from the start of the trial, in simulated seconds.
     kind : str
-        Its name.
+        Kind of fault.
     vm, upstream : str
-        What it strikes, where it strikes one.
+        Affected VM and upstream, for faults that affect a single one.
     seed : int
-        Seed of what it draws itself.
+        Seed of the fault's own random choices.
     """
 
     at: float
@@ -56,16 +56,17 @@
     Parameters
     ----------
     options : TrialOptions
-        What the trial does.
+        Options of the trial.
     seconds : float
-        Its length.
+        Length of the trial, in simulated seconds.
 
     Notes
     -----
-    They have a source of chance of their own: leaving one out changes no other.
+    The schedule has a random generator of its own and each fault a seed of its own, so
+    that leaving out one fault changes no other.
     """
     random = Random(f"faults of {options.seed}")
-    ways = (
+    kinds = (
         [*FAULT_KINDS, PARTITION]
         if options.partitions_within_domains
         else [*FAULT_KINDS]
@@ -77,7 +78,7 @@
     while at < seconds:
         fault = ScheduledFault(
             at=at,
-            kind=random.choice(ways),
+            kind=random.choice(kinds),
             vm=random.choice(vms),
             upstream=random.choice(upstreams),
             seed=random.getrandbits(32),
--- a/packages/testkit/src/plankspindle_testkit/trial/ground_truth.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/ground_truth.py
@@ -1,4 +1,4 @@
-"""What really happened to requests, held against what callers were told."""
+"""Executions of requests, checked against the outcomes that callers saw."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 class GuaranteeViolatedError(AssertionError):
-    """A trial found a promise of the system broken."""
+    """Raised when a trial violates a guarantee of the system."""
 
 
 @frozen(kw_only=True)
 class CallerOutcome:
-    """What a caller was told.
+    """Outcome of a request as its caller saw it.
 
     Parameters
     ----------
-    outcome : RequestResult or None
-        None if its connection was reset.
+    outcome : Outcome or None
+        None if the connection of the caller was reset.
     at : float
-        Seconds.
+        Simulated time, in seconds.
     """
 
     outcome: Outcome | None
@@ -33,7 +33,7 @@
 
 @define(kw_only=True)
 class GroundTruth:
-    """Executions and answers by the mark of a request, shared by its repeats."""
+    """Executions and outcomes; a mark identifies a request and all its repeats."""
 
     runs_by_mark: Counter[str] = field(factory=Counter)
     idempotent_marks: set[str] = field(factory=set)
@@ -42,7 +42,7 @@
     _unrepeated_marks: set[str] = field(factory=set)
 
     def expect(self, mark: str, *, idempotent: bool, unrepeated: bool) -> None:
-        """Expect a request; ``unrepeated`` ones are never repeated by their caller."""
+        """Announce a request; the caller never repeats an ``unrepeated`` one."""
         if idempotent:
             self.idempotent_marks.add(mark)
         if unrepeated:
@@ -54,7 +54,8 @@
         Raises
         ------
         GuaranteeViolatedError
-            If it is one too many, or its caller was told that it was not run.
+            If the request must not run again, or its caller was told that it had not
+            run.
         """
         self.runs_by_mark[mark] += 1
         if mark not in self.idempotent_marks and self.runs_by_mark[mark] > 1:
@@ -65,12 +66,12 @@
     def record_outcome(
         self, request: int, mark: str, outcome: Outcome | None, now: float
     ) -> None:
-        """Record what a caller was told.
+        """Record the outcome that a caller saw.
 
         Raises
         ------
         GuaranteeViolatedError
-            If it is not true, or it is a second answer.
+            If the outcome is false, or the request has been answered already.
         """
         if request in self.outcome_by_request:
             raise GuaranteeViolatedError(f"request {request} was answered twice")
@@ -78,6 +79,6 @@
         if outcome is Outcome.NOT_RUN:
             self.not_run_at_by_mark[mark] = now
             if mark in self._unrepeated_marks and self.runs_by_mark[mark]:
-                raise GuaranteeViolatedError(f"{mark} was told not-run but ran")
+                raise GuaranteeViolatedError(f"{mark} was answered not-run but ran")
         if outcome is Outcome.DONE and not self.runs_by_mark[mark]:
-            raise GuaranteeViolatedError(f"{mark} was told done but did not run")
+            raise GuaranteeViolatedError(f"{mark} was answered done but did not run")
--- a/packages/testkit/src/plankspindle_testkit/trial/matrix.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/matrix.py
@@ -23,7 +23,7 @@
 WORKERS = 6
 CHUNK = 4
 HAND_WRITTEN_HEADING = "# The soak\n"
-"""Heading of what follows the matrix on its page."""
+"""Heading of the hand-written part, which follows the matrix on its page."""
 _BY_NAME = {operation.name: operation for operation in OPERATIONS}
 
 
@@ -35,32 +35,32 @@
 )
 @click.option("--pairs/--no-pairs", default=False, help="Run pairs of faults, too.")
 def main(write: Path | None, pairs: bool) -> None:
-    """Run every fault at every step of every operation and print what came of it."""
+    """Run every fault at every step of every operation and print the outcomes."""
     with ProcessPoolExecutor(WORKERS) as pool:
-        singles = list(pool.map(_run_single, _single_names(), chunksize=CHUNK))
-        doubles: list[MatrixCell] = []
+        single_cells = list(pool.map(_run_single, _single_names(), chunksize=CHUNK))
+        pair_cells: list[MatrixCell] = []
         if pairs:
-            doubles = list(pool.map(_run_double, _double_names(), chunksize=CHUNK))
-    broken = [cell for cell in (*singles, *doubles) if cell.violations]
-    page = render_page(singles, doubles)
+            pair_cells = list(pool.map(_run_double, _double_names(), chunksize=CHUNK))
+    with_violations = [cell for cell in (*single_cells, *pair_cells) if cell.violations]
+    page = render_page(single_cells, pair_cells)
     if write is None:
         click.echo(page)
     else:
         before = write.read_text(encoding="utf-8") if write.exists() else ""
         write.write_text(page + hand_written_part(before), encoding="utf-8")
-    for cell in broken:
+    for cell in with_violations:
         where = f"{cell.operation}, {cell.fault}"
         click.echo(f"broken: {where}: {cell.violations[0]}", err=True)
-    sys.exit(1 if broken else 0)
+    sys.exit(1 if with_violations else 0)
 
 
 def hand_written_part(page: str) -> str:
-    """Give the part of a page that isn't written by this command.
+    """Return the part of a page that this command does not generate.
 
     Parameters
     ----------
     page : str
-        The page as it was; the part begins at ``HAND_WRITTEN_HEADING``.
+        Previous content of the page; the part starts at ``HAND_WRITTEN_HEADING``.
     """
     _, heading, rest = page.partition(HAND_WRITTEN_HEADING)
     return f"\n{heading}{rest}" if heading else ""
@@ -73,9 +73,9 @@
 def _double_names() -> list[tuple[str, str, str]]:
     faults = [fault for fault in FAULTS if fault != "none"]
     return [
-        (operation, one, two)
+        (operation, first, second)
         for operation in _BY_NAME
-        for one, two in combinations(faults, 2)
+        for first, second in combinations(faults, 2)
     ]
 
 
@@ -87,13 +87,15 @@
     return run_pair(_BY_NAME[names[0]], names[1], names[2])
 
 
-def render_page(singles: Sequence[MatrixCell], doubles: Sequence[MatrixCell]) -> str:
+def render_page(
+    single_cells: Sequence[MatrixCell], pair_cells: Sequence[MatrixCell]
+) -> str:
     """Render the matrix as a Markdown page.
 
     Parameters
     ----------
-    singles, doubles : sequence of MatrixCell
-        Cells of one fault, and of pairs.
+    single_cells, pair_cells : sequence of MatrixCell
+        Cells of single faults, and of pairs of faults.
 
     Returns
     -------
@@ -113,13 +115,13 @@
         "",
     ]
     for operation in OPERATIONS:
-        lines += _render_operation(operation.name, singles)
-    if doubles:
-        lines += _render_pairs(doubles)
+        lines += _render_operation(operation.name, single_cells)
+    if pair_cells:
+        lines += _render_pairs(pair_cells)
     return "\n".join(lines) + "\n"
 
 
-def _render_operation(name: str, singles: Sequence[MatrixCell]) -> list[str]:
+def _render_operation(name: str, single_cells: Sequence[MatrixCell]) -> list[str]:
     operation = _BY_NAME[name]
     lines = [
         f"## {name}",
@@ -130,19 +132,19 @@
         "| fault | ended as |",
         "| --- | --- |",
     ]
-    for cell in singles:
+    for cell in single_cells:
         if cell.operation == name:
             lines.append(f"| {cell.fault} | {_render_outcomes(cell)} |")
     return [*lines, ""]
 
 
 def _render_outcomes(cell: MatrixCell) -> str:
-    ends = [f"{end}: {count}" for end, count in cell.outcomes]
-    ends += [f"**{each}**" for each in cell.violations]
-    return ", ".join(ends)
+    outcomes = [f"{outcome}: {count}" for outcome, count in cell.outcomes]
+    outcomes += [f"**{each}**" for each in cell.violations]
+    return ", ".join(outcomes)
 
 
-def _render_pairs(doubles: Sequence[MatrixCell]) -> list[str]:
+def _render_pairs(pair_cells: Sequence[MatrixCell]) -> list[str]:
     lines = [
         "## Pairs",
         "",
@@ -152,18 +154,20 @@
         "| --- | --- | --- | --- | --- |",
     ]
     for operation in OPERATIONS:
-        cells = [cell for cell in doubles if cell.operation == operation.name]
+        cells = [cell for cell in pair_cells if cell.operation == operation.name]
         totals: dict[str, int] = {}
         for cell in cells:
-            for end, count in cell.outcomes:
-                totals[end] = totals.get(end, 0) + count
-        broken = [f"{cell.fault}: {each}" for cell in cells for each in cell.violations]
-        runs = sum(totals.values()) + len(broken)
-        ends = ", ".join(f"{end}: {count}" for end, count in sorted(totals.items()))
+            for outcome, count in cell.outcomes:
+                totals[outcome] = totals.get(outcome, 0) + count
+        failed = [f"{cell.fault}: {each}" for cell in cells for each in cell.violations]
+        runs = sum(totals.values()) + len(failed)
+        ends = ", ".join(
+            f"{outcome}: {count}" for outcome, count in sorted(totals.items())
+        )
         lines.append(
-            f"| {operation.name} | {len(cells)} | {runs} | {len(broken)} | {ends} |"
+            f"| {operation.name} | {len(cells)} | {runs} | {len(failed)} | {ends} |"
         )
-        lines += [f"\n**{each}**" for each in broken]
+        lines += [f"\n**{each}**" for each in failed]
     return [*lines, ""]
 
 
--- a/packages/testkit/src/plankspindle_testkit/trial/shrinking.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/shrinking.py
@@ -1,4 +1,4 @@
-"""The fewest faults with which a trial still breaks a promise."""
+"""Shrinks the faults of a trial to those that cause the violation of a guarantee."""
 
 from __future__ import annotations
 
@@ -11,67 +11,67 @@
     from plankspindle_testkit.trial.standard_trial import TrialResult
 
 MARGIN_S = 1.0
-"""Time after the break for which shorter trials go on, in simulated seconds."""
+"""Time that a shrunk trial runs beyond the time of the violation, simulated seconds."""
 MAX_RUNS = 200
 
 
-def shrink(verdict: TrialResult, *, seed: int, partitions: bool = False) -> TrialResult:
-    """Leave out faults that a broken promise does not need.
+def shrink(result: TrialResult, *, seed: int, partitions: bool = False) -> TrialResult:
+    """Leave out faults that the violation of a guarantee does not need.
 
     Parameters
     ----------
-    verdict : TrialResult
-        A trial that broke a promise.
+    result : TrialResult
+        Result of a trial that violated a guarantee.
     seed : int
-        Its seed.
+        Seed of that trial.
     partitions : bool
-        Whether VMs of the domain are cut off from each other.
+        Whether VMs of the domain are partitioned from each other.
 
     Returns
     -------
     TrialResult
-        A trial with as few faults as were found that breaks the same promise; none
-        of them can be left out alone.
+        Result of a trial that violates the same guarantee with fewer faults, none of
+        which can be left out alone, unless ``MAX_RUNS`` was reached.
 
     Notes
     -----
-    Halves are left out first, then quarters, and so on down to single faults.
+    Delta debugging: leaves out halves first, then quarters, down to single faults.
     """
-    best = verdict
-    faults = _faults_before_violation(verdict)
-    part = max(1, len(faults) // 2)
+    best = result
+    faults = _faults_before_violation(result)
+    chunk_size = max(1, len(faults) // 2)
     runs = 0
     while runs < MAX_RUNS:
-        smaller = None
-        for first in range(0, len(faults), part):
+        shrunk = None
+        for first in range(0, len(faults), chunk_size):
             runs += 1
-            kept = faults[:first] + faults[first + part :]
-            found = run_trial(
+            remaining = faults[:first] + faults[first + chunk_size :]
+            candidate = run_trial(
                 seed=seed,
                 simulated_s=best.duration_s + MARGIN_S,
                 partitions=partitions,
-                schedule=kept,
+                schedule=remaining,
             )
-            if _violation_kind(found) == _violation_kind(verdict):
-                smaller = found
+            if _violation_kind(candidate) == _violation_kind(result):
+                shrunk = candidate
                 break
-        if smaller is not None:
-            best, faults = smaller, _faults_before_violation(smaller)
-            part = min(part, max(1, len(faults)))
-        elif part == 1:
+        if shrunk is not None:
+            best, faults = shrunk, _faults_before_violation(shrunk)
+            chunk_size = min(chunk_size, max(1, len(faults)))
+        elif chunk_size == 1:
             break
         else:
-            part = part // 2
+            chunk_size = chunk_size // 2
     return best
 
 
-def _faults_before_violation(verdict: TrialResult) -> tuple[ScheduledFault, ...]:
-    return tuple(each for each in verdict.schedule if each.at <= verdict.duration_s)
+def _faults_before_violation(result: TrialResult) -> tuple[ScheduledFault, ...]:
+    return tuple(each for each in result.schedule if each.at <= result.duration_s)
 
 
-def _violation_kind(verdict: TrialResult) -> str | None:
-    """Name the broken promise without times, numbers and names of requests."""
-    if verdict.violation is None:
+def _violation_kind(result: TrialResult) -> str | None:
+    """Return the violation without times, numbers and names of requests."""
+    if result.violation is None:
         return None
-    words = verdict.violation.split()[2:]
+    words = result.violation.split()[2:]
     return " ".join(each for each in words if each.isalpha())
--- a/packages/testkit/src/plankspindle_testkit/trial/standard_trial.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/standard_trial.py
@@ -1,4 +1,4 @@
-"""Standard trials by seed."""
+"""The standard trial, which a seed determines."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
 
 @frozen(kw_only=True)
 class TrialResult:
-    """How a trial ended.
+    """Result of a trial.
 
     Parameters
     ----------
     requests, done : int
-        Requests sent, and those answered whole.
+        Requests sent, and those with a complete answer.
     violation : str, optional
-        The promise that was broken.
+        Time and description of the violated guarantee.
     trace : list of str
-        What happened, newest last.
+        Trace of the trial, newest line last.
     schedule : tuple of ScheduledFault
-        The faults.
+        Faults of the trial.
     duration_s : float
-        Simulated seconds until its end.
+        Time until its end, in simulated seconds.
     """
 
     requests: int
@@ -56,22 +56,25 @@
     simulated_s: float = 0.0,
     schedule: tuple[ScheduledFault, ...] | None = None,
 ) -> Trial:
-    """Build the standard trial: three entry VMs and three upstreams of one domain.
+    """Build the standard trial.
+
+    It has three entry VMs and three upstreams in one failure domain, and an upstream in
+    another region.
 
     Parameters
     ----------
     seed : int
-        Its seed.
+        Seed of the trial.
     partitions : bool
-        Whether VMs of the domain are cut off from each other.
+        Whether VMs of the domain are partitioned from each other.
     fault_rate : float
-        Faults each simulated second.
+        Faults per simulated second.
     fault_free : bool
-        Whether nothing goes wrong by itself, and no requests come.
+        Whether there are neither random faults nor random requests.
     simulated_s : float
         Length for which faults are drawn, in simulated seconds.
     schedule : tuple of ScheduledFault, optional
-        Its faults, in place of those that its seed draws.
+        Faults of the trial; drawn from its seed if not given.
     """
     places = [
         VmAddresses(
@@ -116,20 +119,20 @@
     fault_rate: float = 0.5,
     schedule: tuple[ScheduledFault, ...] | None = None,
 ) -> TrialResult:
-    """Run one trial and say how it ended.
+    """Run one standard trial and return its result.
 
     Parameters
     ----------
     seed : int
-        Its seed.
+        Seed of the trial.
     simulated_s : float
-        Its length in simulated seconds.
+        Length of the trial, in simulated seconds.
     partitions : bool
-        Whether VMs of the domain are cut off from each other.
+        Whether VMs of the domain are partitioned from each other.
     fault_rate : float
-        Faults each simulated second.
+        Faults per simulated second.
     schedule : tuple of ScheduledFault, optional
-        Its faults, in place of those that its seed draws.
+        Faults of the trial; drawn from its seed if not given.
     """
     trial = build_trial(
         seed=seed,
@@ -138,17 +141,17 @@
         simulated_s=simulated_s,
         schedule=schedule,
     )
-    began_at = trial.world.now
-    broken = None
+    started_at = trial.world.now
+    violation = None
     try:
         trial.run(simulated_s)
     except (GuaranteeViolatedError, InvariantError) as error:
-        broken = f"at {trial.world.now:.2f}: {error}"
+        violation = f"at {trial.world.now:.2f}: {error}"
     return TrialResult(
         requests=trial.requests.requests,
         done=trial.requests.done,
-        violation=broken,
+        violation=violation,
         trace=trial.world.trace,
         schedule=trial.schedule,
-        duration_s=trial.world.now - began_at,
+        duration_s=trial.world.now - started_at,
     )
--- a/packages/testkit/src/plankspindle_testkit/trial/trial.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/trial.py
@@ -1,4 +1,4 @@
-"""A randomised trial: entry VMs, upstreams, platform and faults under a fake clock."""
+"""A randomised simulation of entry VMs, upstreams, platform and faults."""
 
 from __future__ import annotations
 
@@ -50,14 +50,14 @@
 
 @define(kw_only=True)
 class Trial:
-    """Everything of one trial.
+    """One trial, which runs on a fake clock.
 
     Parameters
     ----------
     options : TrialOptions
-        What it does.
+        Options of the trial.
     schedule : tuple of ScheduledFault
-        Its faults, in the order of time.
+        Faults of the trial, by time.
     """
 
     options: TrialOptions
@@ -92,12 +92,12 @@
         self.operators.put_in_force(first)
 
     def run(self, seconds: float) -> None:
-        """Go on for some simulated time.
+        """Advance the trial by some simulated seconds.
 
         Raises
         ------
         GuaranteeViolatedError
-            If a promise is broken; the trace ends with what led there.
+            If a guarantee is violated; the trace ends with the events that led to it.
         """
         end = self.world.now + seconds
         while self.world.now < end:
@@ -126,7 +126,7 @@
             due = due[1:]
 
     def all_vms_serve(self) -> bool:
-        """Tell whether every VM that stays may use slots."""
+        """Return whether every VM that is not leaving may use slots."""
         staying = [
             vm for vm in self.world.vms_by_name.values() if vm.node.leave.accepts
         ]
@@ -154,8 +154,8 @@
                     vm, vm.node.receive_content_chunk(message, self.world.now)
                 )
             case SlotRequest():
-                lent = vm.node.shared_slots.lend(message, sender, self.world.now)
-                self._perform(vm, [*lent])
+                effects = vm.node.shared_slots.lend(message, sender, self.world.now)
+                self._perform(vm, [*effects])
             case SlotGrant():
                 self._handle_dispatch(vm, SERVICE, dispatch.SlotsGranted(message))
 
@@ -175,7 +175,7 @@
     def _run_vm(self, vm: TrialVm) -> None:
         if vm.paused_until is not None:
             vm.paused_until = None
-            self.world.add_trace_line(f"{vm.place.name} wakes")
+            self.world.add_trace_line(f"{vm.place.name} resumes")
             effects = vm.node.recover_from_pause(
                 now=self.world.now, wall=self.world.wall()
             )
@@ -196,11 +196,11 @@
             return
         if state.aborted_requests:
             raise GuaranteeViolatedError(
-                f"{vm.place.name} left with {state.aborted_requests} cut"
+                f"{vm.place.name} left with {state.aborted_requests} aborted"
             )
-        goodbye = vm.node.heartbeat(now=self.world.now, left=True)
+        final_heartbeat = vm.node.heartbeat(now=self.world.now, left=True)
         for endpoint in vm.node.membership.peer_endpoints():
-            self.world.send(vm, goodbye, endpoint)
+            self.world.send(vm, final_heartbeat, endpoint)
         self.world.add_trace_line(f"{vm.place.name} left")
         if len(self.world.vms_by_name) > 1:
             self.hosts.kill(vm.place.name, power_loss=False)
@@ -271,11 +271,11 @@
 
     def _probe(self, vm: TrialVm, service: str, name: str) -> None:
         upstream = self.world.upstreams_by_name[name]
-        answers = upstream.mode is not UpstreamMode.DOWN
-        silent = not answers or upstream.reports_stopped
-        report = None if silent else upstream.report()
+        is_reachable = upstream.mode is not UpstreamMode.DOWN
+        without_report = not is_reachable or upstream.reports_stopped
+        report = None if without_report else upstream.report()
         probed = dispatch.ProbeCompleted(
-            upstream=name, report=report, wall=self.world.wall(), reached=answers
+            upstream=name, report=report, wall=self.world.wall(), reached=is_reachable
         )
         self._handle_dispatch(vm, service, probed)
 
--- a/packages/testkit/src/plankspindle_testkit/trial/trial_claims.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/trial_claims.py
@@ -1,4 +1,4 @@
-"""Claims of keys in a trial."""
+"""Claims of idempotency keys in a trial."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 @define(kw_only=True)
 class TrialClaims:
-    """Claim keys, and close claims some time later.
+    """Claim idempotency keys, and close the claims some time later.
 
     Parameters
     ----------
     world : World
-        The trial's state.
+        State of the trial.
 
     Attributes
     ----------
     closings : list of (str, ClaimRow)
-        Claims to be closed, with the rows that close them.
+        Keys of claims to be closed, with the rows that close them.
     """
 
     world: World
@@ -71,7 +71,7 @@
                 raise AssertionError("settled already")
 
     def close_one(self) -> None:
-        """Close the oldest claim, now and then."""
+        """Close the oldest claim with a probability of one half."""
         if not self.closings or self.world.random.random() < 0.5:
             return
         key, wanted = self.closings.pop(0)
@@ -104,9 +104,9 @@
         """Do nothing."""
 
     def release(self) -> None:
-        """Have the key freed."""
+        """Queue the release of the key."""
         self.closings.append((self.key, self.row.released()))
 
     def finish(self, answer: Any) -> None:
-        """Have the answer kept."""
+        """Queue the answer to be stored."""
         self.closings.append((self.key, self.row.finished(answer)))
--- a/packages/testkit/src/plankspindle_testkit/trial/trial_hosts.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/trial_hosts.py
@@ -1,4 +1,4 @@
-"""Processes on the entry VMs of a trial, and what the platform's list says of them."""
+"""Processes on the entry VMs of a trial, and their entries in the platform's list."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     Parameters
     ----------
     world : World
-        The trial's state.
+        State of the trial.
     """
 
     world: World
@@ -60,7 +60,7 @@
         )
 
     def kill(self, name: str, *, power_loss: bool) -> None:
-        """End the process of a VM; after a power loss its connections stay open."""
+        """End the process of a VM; on a power loss its connections stay open."""
         if name not in self.world.vms_by_name or len(self.world.vms_by_name) < 2:
             return
         del self.world.vms_by_name[name]
@@ -70,7 +70,7 @@
                 upstream.cancel_all_from(name)
 
     def restart_stopped(self) -> None:
-        """Start a process again on a VM whose old process runs nothing any more."""
+        """Start a process on the first VM without one and without executions left."""
         for place in self.world.options.places:
             if place.name in self.world.vms_by_name or self._has_executions(place.name):
                 continue
@@ -87,7 +87,7 @@
         )
 
     def restart(self, vm: str) -> None:
-        """End the process of a VM and start another one."""
+        """End the process of a VM, and start a process on the first VM without one."""
         self.kill(vm, power_loss=False)
         self.restart_stopped()
 
@@ -97,7 +97,7 @@
         self.world.vms_by_name[vm].node.leave.begin(self.world.now)
 
     def listed_upstreams(self) -> list[ListedVm]:
-        """Give the upstreams as the list names them, some time behind."""
+        """Return the list's entries of upstreams, which lag behind their state."""
         return [
             ListedVm(
                 name=upstream.name,
@@ -110,7 +110,7 @@
         ]
 
     def update_list(self) -> None:
-        """Drop VMs from the list some seconds after they died or stood still."""
+        """Remove VMs from the list some seconds after they stopped or were paused."""
         for name, vm in self.world.vms_by_name.items():
             if vm.is_running(self.world.now):
                 self._unresponsive_since.pop(name, None)
--- a/packages/testkit/src/plankspindle_testkit/trial/trial_operators.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/trial_operators.py
@@ -1,4 +1,4 @@
-"""Operators of a trial: they make plans, confirm them, and race."""
+"""Operators of a trial, who make and confirm plans, also concurrently."""
 
 from __future__ import annotations
 
@@ -35,18 +35,18 @@
     Parameters
     ----------
     world : World
-        The trial's state.
+        State of the trial.
     """
 
     world: World
 
     def make_plan(self, intent: Any) -> str:
-        """Make a plan and give its id; empty if the platform is away."""
+        """Make a plan and return its id; empty if that failed."""
         made = run_to_completion(self._plan_store().create(intent, "operator"))
         return made.unwrap().id if made.is_ok() else ""
 
     def confirm_until_answered(self, plan_id: str) -> str:
-        """Confirm a plan until the answer is known."""
+        """Confirm a plan until an answer arrives, in at most 20 attempts."""
         for _ in range(20):
             answer = run_to_completion(self._plan_store().confirm(plan_id, "operator"))
             if answer.is_ok():
@@ -56,7 +56,7 @@
         return "not known"
 
     def is_in_force(self) -> bool:
-        """Tell whether every VM has the accepted version."""
+        """Return whether every VM has the accepted version."""
         row = self.world.platform.table.read(HEAD_KEY)
         accepted = head_row_from_mapping(row.value).unwrap().version
         return all(
@@ -74,8 +74,8 @@
         )
 
     def _digests_with_spare_capacity(self) -> DigestTable:
-        """Say that every failure domain has room, so that plans are not refused."""
-        book = DigestTable()
+        """Return digests with spare capacity, as plans are refused without it."""
+        digests = DigestTable()
         load = ServiceLoad(service=SERVICE, capacity=1000, in_flight=0, queued=0)
         for domain in self.world.options.configuration.failure_domains_by_name:
             digest = LoadDigest(
@@ -84,11 +84,11 @@
                 configuration_version=1,
                 loads=(load,),
             )
-            book.record(digest, monotonic())
-        return book
+            digests.record(digest, monotonic())
+        return digests
 
     def put_in_force(self, intent: Any) -> None:
-        """Plan and confirm until it is accepted."""
+        """Plan and confirm until the plan is accepted, in at most 20 attempts."""
         store = self._plan_store()
         for _ in range(20):
             made = run_to_completion(store.create(intent, "operator"))
@@ -100,7 +100,13 @@
                     return
 
     def race_confirmations(self) -> None:
-        """Let two operators plan on one version and both confirm."""
+        """Let two operators plan on the same version and both confirm.
+
+        Raises
+        ------
+        GuaranteeViolatedError
+            If both plans are accepted on the same version.
+        """
         store = self._plan_store()
         plans = []
         for shift_id, cap in (("one", 10.0), ("two", 20.0)):
@@ -118,7 +124,9 @@
         ]
         bases = [plan.base_version for plan in accepted]
         if len(set(bases)) != len(bases):
-            raise GuaranteeViolatedError(f"two plans on one base accepted: {bases}")
+            raise GuaranteeViolatedError(
+                f"two plans accepted on one base version: {bases}"
+            )
 
     def _shift(self, cap: float) -> Shift | None:
         domains = self.world.options.configuration.failure_domains_by_name
--- a/packages/testkit/src/plankspindle_testkit/trial/trial_request.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/trial_request.py
@@ -1,4 +1,4 @@
-"""One request of a trial: an exchange, its record and its upstream."""
+"""One request of a trial: its exchange, idempotency record and upstream."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
     number : int
         Number of the request in the trial, also of its ticket.
     mark : str
-        Shared by the repeats of one request.
+        Identifies the logical request; the same for all its repeats.
     vm, service : str
-        Where it runs and what it asks for.
+        Entry VM that runs it, and requested service.
     exchange : Exchange
-        Its decisions.
+        Decision logic of the request.
     ticket : Ticket
-        The request as admission sees it.
+        The request as the dispatcher sees it.
     record : RequestRecord
-        What must learn how it ended.
+        Idempotency record to be updated with the outcome.
     """
 
     number: int
@@ -52,11 +52,11 @@
     completed_attempts: list[dispatch.AttemptCompleted] = field(factory=list)
 
     def begin(self) -> None:
-        """Take the first step."""
+        """Start the exchange and apply its effects."""
         self._apply(self.exchange.begin(), now=None)
 
     def handle(self, event: m.ExchangeEvent, now: float) -> None:
-        """Give an event to the exchange and take its effects."""
+        """Pass an event to the exchange and apply its effects."""
         if not self.is_complete:
             self._apply(self.exchange.handle(event), now=now)
 
@@ -64,8 +64,8 @@
         self.awaited = None
         for effect in effects:
             match effect:
-                case m.ReleaseUpstream(outcome=verdict):
-                    self._complete_attempt(verdict, now)
+                case m.ReleaseUpstream(outcome=attempt_outcome):
+                    self._complete_attempt(attempt_outcome, now)
                 case m.AnswerCaller(outcome=outcome):
                     self.outcome = outcome
                     self.is_complete = True
@@ -81,24 +81,24 @@
                     self.awaited = effect
 
     def _complete_attempt(
-        self, verdict: dispatch.AttemptOutcome, now: float | None
+        self, attempt_outcome: dispatch.AttemptOutcome, now: float | None
     ) -> None:
         assert self.upstream is not None
-        answered = verdict is dispatch.AttemptOutcome.ANSWERED
-        took = now - self.sent_at if answered and now and self.sent_at else None
+        answered = attempt_outcome is dispatch.AttemptOutcome.ANSWERED
+        duration_s = now - self.sent_at if answered and now and self.sent_at else None
         self.completed_attempts.append(
             dispatch.AttemptCompleted(
                 ticket=self.ticket,
                 upstream=self.upstream,
-                outcome=verdict,
-                head_s=took,
-                total_s=took,
+                outcome=attempt_outcome,
+                head_s=duration_s,
+                total_s=duration_s,
             )
         )
         self.upstream = None
 
     def complete_answer(self, now: float) -> None:
-        """Take the whole answer of the upstream."""
+        """Handle the complete answer of the upstream."""
         self.handle(m.HeadReceived(), now)
         self.record.finish(ANSWER)
         self.handle(m.AnswerRelayed(), now)
--- a/packages/testkit/src/plankspindle_testkit/trial/trial_requests.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/trial_requests.py
@@ -1,4 +1,4 @@
-"""Requests of a trial, from their callers to the upstreams and back."""
+"""Requests of a trial: their callers, entry VMs and executions."""
 
 from __future__ import annotations
 
@@ -38,21 +38,21 @@
 FINGERPRINT = Fingerprint(caller="dealer", digest="aa")
 OTHER_CALLER = Fingerprint(caller="stranger", digest="aa")
 OTHER_CALLER_SHARE = 0.1
-"""Part of the repeats that another caller makes."""
+"""Share of the repeats that are sent by another caller."""
 
 
 @define(kw_only=True)
 class TrialRequests:
-    """Send requests and follow them.
+    """Send requests, run them and record their outcomes.
 
     Parameters
     ----------
     world : World
-        The trial's state.
+        State of the trial.
     claims : TrialClaims
-        Claims of keys.
+        Claims of idempotency keys.
     handle_dispatch : callable
-        Gives an event to a dispatcher of a VM and carries out what follows.
+        Passes an event to the dispatcher of a VM's service and performs the effects.
     """
 
     world: World
@@ -66,21 +66,21 @@
     def submit_one(
         self, vm: str, *, kind: str, timeout_s: float, duration_s: float
     ) -> int:
-        """Start one request whose end is asked for later.
+        """Send one request, whose outcome is queried later.
 
         Parameters
         ----------
         vm : str
-            Where it is sent.
+            Entry VM to which it is sent.
         kind : str
             ``lookup``, ``download``, ``id`` or ``key``.
         timeout_s, duration_s : float
-            Time it is given, and time that it takes, in seconds.
+            Timeout and duration of the request, in simulated seconds.
 
         Returns
         -------
         int
-            Its number.
+            Number of the request.
         """
         self.requests += 1
         number = self.requests
@@ -98,11 +98,11 @@
         return number
 
     def outcome_of(self, number: int) -> str:
-        """Give what the caller of a request was told."""
-        told = self.world.ground_truth.outcome_by_request.get(number)
-        if told is None:
+        """Return the outcome that the caller of a request saw."""
+        seen = self.world.ground_truth.outcome_by_request.get(number)
+        if seen is None:
             return "vm lost"
-        return "aborted" if told.outcome is None else told.outcome.value
+        return "aborted" if seen.outcome is None else seen.outcome.value
 
     def submit(self) -> None:
         """Send a random request to a random VM."""
@@ -113,16 +113,16 @@
             return
         if not vm.node.accepts(self.world.now):
             return
-        way = self.world.random.choice(
+        kind = self.world.random.choice(
             ["lookup", "lookup", "transfer", "id", "id", "key"]
         )
         self.requests += 1
         number = self.requests
-        match way:
+        match kind:
             case "lookup" | "transfer":
-                mark = f"{way}-{number}"
+                mark = f"{kind}-{number}"
                 self.world.ground_truth.expect(
-                    mark, idempotent=way == "lookup", unrepeated=True
+                    mark, idempotent=kind == "lookup", unrepeated=True
                 )
                 self._start_request(vm, number, mark, NoRecord())
             case "id":
@@ -131,7 +131,7 @@
                 self._submit_key(vm, number)
 
     def _submit_id(self, vm: TrialVm, number: int) -> None:
-        """Send a new id, or repeat one at this VM, whoever issued it."""
+        """Send a request with a new id, or with a used one, issued by any VM."""
         if self._issued_ids and self.world.random.random() < 0.5:
             text, mark = self.world.random.choice(self._issued_ids[-20:])
             if self.world.random.random() < OTHER_CALLER_SHARE:
@@ -147,10 +147,12 @@
 
     def _repeat_as_other_caller(self, vm: TrialVm, text: str) -> None:
         """Let another caller send an id that was used; it must learn nothing."""
-        verdict = vm.node.ids.begin(text, OTHER_CALLER, self.world.now)
-        if isinstance(verdict, Replay | InProgress | AnsweredUnrecorded):
-            raise GuaranteeViolatedError(f"what became of {text} was told a stranger")
-        if verdict == RunIt():
+        claim_verdict = vm.node.ids.begin(text, OTHER_CALLER, self.world.now)
+        if isinstance(claim_verdict, Replay | InProgress | AnsweredUnrecorded):
+            raise GuaranteeViolatedError(
+                f"outcome of {text} was revealed to another caller"
+            )
+        if claim_verdict == RunIt():
             vm.node.ids.release(text)
 
     def _submit_key(self, vm: TrialVm, number: int) -> None:
@@ -174,9 +176,9 @@
     ) -> None:
         idempotent = mark in self.world.ground_truth.idempotent_marks
         timeout_s = self.world.random.choice([0.3, 1.0, 3.0])
-        directed = self._durations_by_request.get(number)
-        if directed is not None:
-            timeout_s = directed[0]
+        requested = self._durations_by_request.get(number)
+        if requested is not None:
+            timeout_s = requested[0]
         request = TrialRequest(
             number=number,
             mark=mark,
@@ -206,7 +208,7 @@
         self._advance(vm, request)
 
     def _count_move(self, vm: TrialVm, caller_key: str) -> None:
-        """Let the meter decide; what it moves is not followed any further."""
+        """Count a request that a shift would move; the move itself is not simulated."""
         meter = vm.node.shift_meter
         chosen = meter.choose(
             service=SERVICE, caller_key=caller_key, now=self.world.now
@@ -217,7 +219,7 @@
     def handle(
         self, vm: TrialVm, request: TrialRequest, event: m.ExchangeEvent
     ) -> None:
-        """Give an event to a request and carry out what follows."""
+        """Pass an event to a request and perform what follows from it."""
         if request.upstream is not None and isinstance(event, m.DeadlineExceeded):
             self.world.upstreams_by_name[request.upstream].cancel(
                 request.number, request.vm
@@ -226,7 +228,7 @@
         self._advance(vm, request)
 
     def _advance(self, vm: TrialVm, request: TrialRequest) -> None:
-        """Carry out what a request awaits until it has to wait."""
+        """Perform the effect that a request awaits, as far as possible now."""
         while request.completed_attempts:
             self.handle_dispatch(vm, request.service, request.completed_attempts.pop(0))
         if request.is_complete:
@@ -251,7 +253,7 @@
     def apply_decision(
         self, vm: TrialVm, decision: dispatch.Assign | dispatch.Reject
     ) -> None:
-        """Give a request its upstream, or refuse it one."""
+        """Pass the dispatcher's assignment or rejection to a request."""
         request = vm.requests_by_number.get(decision.ticket.id)
         if request is None:
             return
@@ -260,8 +262,8 @@
                 request.upstream = name
                 self.handle(vm, request, m.Assigned(upstream=name, endpoint=endpoint))
             case dispatch.Reject(reason=reason, retry_after_s=retry_after_s):
-                refused = m.Refused(reason=reason.value, retry_after_s=retry_after_s)
-                self.handle(vm, request, refused)
+                refusal = m.Refused(reason=reason.value, retry_after_s=retry_after_s)
+                self.handle(vm, request, refusal)
 
     def _open(self, vm: TrialVm, request: TrialRequest) -> None:
         assert request.upstream is not None
@@ -283,9 +285,9 @@
             self.handle(vm, request, m.HeadReceived(proves_not_run=True))
             return
         duration = self.world.random.uniform(0.02, 0.2)
-        directed = self._durations_by_request.get(request.number)
-        if directed is not None:
-            duration = directed[1]
+        requested = self._durations_by_request.get(request.number)
+        if requested is not None:
+            duration = requested[1]
         if upstream.mode is UpstreamMode.HANG:
             duration = 1e9
         deadline = request.ticket.deadline
@@ -295,13 +297,13 @@
         upstream.start(run, self.world.now)
 
     def finish_due_runs(self) -> None:
-        """End what upstreams have run long enough."""
+        """Finish the executions whose end is due."""
         for upstream in self.world.upstreams_by_name.values():
             for run in upstream.pop_finished(self.world.now):
                 self.finish_run(upstream, run)
 
     def finish_run(self, upstream: FakeUpstream, run: Run) -> None:
-        """End one run, whose answer reaches its VM unless that stands still."""
+        """Finish one execution; its answer reaches the VM once that is not paused."""
         vm = self.world.vms_by_name.get(run.vm)
         request = vm.requests_by_number.get(run.request) if vm else None
         if vm is None or request is None or request.upstream != upstream.name:
@@ -327,5 +329,5 @@
 
     @property
     def done(self) -> int:
-        """Requests that were answered whole."""
+        """Number of requests with a complete answer."""
         return self.count_by_outcome.get(Outcome.DONE.value, 0)
--- a/packages/testkit/src/plankspindle_testkit/trial/trial_vm.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/trial_vm.py
@@ -1,4 +1,4 @@
-"""One entry VM of a trial: the daemon's node and the requests on it."""
+"""One entry VM of a trial: the daemon's node, and its requests."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     place : VmAddresses
         The VM.
     node : Node
-        The decisions of the process.
+        Decision logic of the process.
     """
 
     place: VmAddresses
@@ -89,5 +89,5 @@
         return cls(place=place, node=node)
 
     def is_running(self, now: float) -> bool:
-        """Tell whether the process is not paused."""
+        """Return whether the process is not paused."""
         return self.paused_until is None or now >= self.paused_until
--- a/packages/testkit/src/plankspindle_testkit/trial/world.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/world.py
@@ -1,4 +1,4 @@
-"""What all parts of a trial share: time, chance, network, platform, VMs, upstreams."""
+"""Shared state of a trial: time, randomness, network, platform, VMs and upstreams."""
 
 from __future__ import annotations
 
@@ -28,25 +28,25 @@
 
 @frozen(kw_only=True)
 class TrialOptions:
-    """What a trial does.
+    """Options of a trial.
 
     Parameters
     ----------
     seed : int
         Seed of every random choice.
     configuration : Configuration
-        First version.
+        First version of the configuration.
     places : list of VmAddresses
         Entry VMs.
     request_rate : float
-        Requests each second, all VMs together.
+        Requests per simulated second, over all VMs.
     fault_rate : float
-        Faults each second.
+        Faults per simulated second.
     partitions_within_domains : bool
-        Whether VMs of one failure domain are cut off from each other; the slots of
-        an upstream may then be passed, up to once for each group of VMs.
+        Whether VMs of one failure domain are partitioned from each other. The slots
+        of an upstream may then be exceeded: each group of VMs may use all of them.
     fault_free : bool
-        Whether messages and calls at the platform go well by themselves.
+        Whether messages and calls to the platform have no random faults.
     """
 
     seed: int
@@ -60,12 +60,12 @@
 
 @define(kw_only=True)
 class World:
-    """State of a trial.
+    """Shared state of a trial.
 
     Parameters
     ----------
     options : TrialOptions
-        What the trial does.
+        Options of the trial.
     """
 
     options: TrialOptions
@@ -81,14 +81,14 @@
 
     def __attrs_post_init__(self) -> None:
         self.random = Random(self.options.seed)
-        calm = self.options.fault_free
+        fault_free = self.options.fault_free
         self.network = FakeNetwork(
             random=self.random,
-            loss=0.0 if calm else 0.1,
-            duplication=0.0 if calm else 0.05,
+            loss=0.0 if fault_free else 0.1,
+            duplication=0.0 if fault_free else 0.05,
         )
         self.platform = FakePlatform(
-            random=self.random, fault_rate=0.0 if calm else 0.1
+            random=self.random, fault_rate=0.0 if fault_free else 0.1
         )
         for name, each in self.options.configuration.upstreams_by_name.items():
             self.upstreams_by_name[name] = FakeUpstream(name=name, slots=each.slots)
@@ -98,7 +98,7 @@
         self.trace.append(f"{self.now:9.3f} {text}")
 
     def wall(self) -> float:
-        """Seconds since the Unix epoch, as all VMs see them."""
+        """Return the time in seconds since the Unix epoch, the same for all VMs."""
         return self.now + WALL_OFFSET_S
 
     def send(self, vm: TrialVm, message: PeerMessage, to: Endpoint) -> None:
--- a/packages/testkit/src/plankspindle_testkit/upstream_stand_in/__init__.py
+++ b/packages/testkit/src/plankspindle_testkit/upstream_stand_in/__init__.py
@@ -1,3 +1,3 @@
-"""A small stand-in for an upstream."""
+"""A small test double of an upstream."""
 
 from __future__ import annotations
--- a/packages/testkit/src/plankspindle_testkit/upstream_stand_in/behaviour.py
+++ b/packages/testkit/src/plankspindle_testkit/upstream_stand_in/behaviour.py
@@ -21,22 +21,22 @@
 
 @define(kw_only=True)
 class Behaviour:
-    """Present behaviour.
+    """Present behaviour of an upstream stand-in.
 
     Parameters
     ----------
     mode : Mode
         What is done with requests.
     service_ms : float
-        Time that a request takes, in milliseconds.
+        Duration of a request, in milliseconds.
     claims_idle : bool
-        Whether the load report says idle whatever runs.
+        Whether the load report always shows no requests in flight.
     leaving : bool
-        Whether the load report says that it is leaving.
+        Whether the load report shows that the upstream is leaving.
     leaves_at : float, optional
         Planned time of leaving, seconds since the Unix epoch.
     crash_path : str, optional
-        Path of a request under which the process ends.
+        Path whose requests end the process.
     """
 
     mode: Mode = Mode.SERVE
--- a/packages/testkit/src/plankspindle_testkit/upstream_stand_in/upstream_stand_in.py
+++ b/packages/testkit/src/plankspindle_testkit/upstream_stand_in/upstream_stand_in.py
@@ -31,28 +31,28 @@
 CHUNK = b"x" * 65_536
 MARK_HEADER = b"x-run"
 CRASH_EXIT_STATUS = 70
-"""Exit status of a process that ends under a request."""
+"""Exit status of a process that a request ends."""
 WORK_MS_HEADER = b"x-work-ms"
-"""Time that this request takes instead of the usual one, in milliseconds."""
+"""Header with the duration of this request, in ms, in place of ``service_ms``."""
 
 
 @define(kw_only=True)
 class UpstreamStandIn:
-    """Serve requests with a limited number of slots, shedding the rest.
+    """Serve requests in a limited number of slots, and shed the rest.
 
     Parameters
     ----------
     endpoint : Endpoint
         Address to listen on.
     name : str
-        Named in every answer.
+        Name of the upstream, which every answer carries.
     slots : int
         Requests that may run at once.
 
     Attributes
     ----------
     runs_by_mark : Counter of str
-        Executions by the value of the ``x-run`` header of requests.
+        Number of executions by the value of the ``x-run`` header of requests.
     max_in_flight : int
         Most requests that ran at once.
     """
@@ -75,7 +75,7 @@
         )
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen."""
         await self._server.start()
 
     async def close(self) -> None:
@@ -124,8 +124,12 @@
         self.max_in_flight = max(self.max_in_flight, self.in_flight)
         watcher = await source.monitor_caller()
         try:
-            own = find_header(source.headers, WORK_MS_HEADER)
-            work_ms = self.behaviour.service_ms if own is None else float(own)
+            requested_ms = find_header(source.headers, WORK_MS_HEADER)
+            work_ms = (
+                self.behaviour.service_ms
+                if requested_ms is None
+                else float(requested_ms)
+            )
             await sleep(work_ms / 1000)
             if path == self.behaviour.crash_path:
                 os._exit(CRASH_EXIT_STATUS)
@@ -165,33 +169,33 @@
             await self._send_bytes(source, int(path.removeprefix(BYTES_PREFIX)))
             return
         content = {"upstream": self.name, "path": path, "body_bytes": len(body)}
-        kind = [(b"content-type", b"application/json")]
+        content_type = [(b"content-type", b"application/json")]
         encoded = json.dumps(content).encode()
-        await source.answer(status=200, headers=kind, body=encoded)
+        await source.answer(status=200, headers=content_type, body=encoded)
 
     async def _send_bytes(self, source: ServerExchange, size: int) -> None:
         first = 0
         status = 200
         headers: HeaderList = [(b"accept-ranges", b"bytes")]
-        wanted = find_header(source.headers, b"range")
-        if wanted is not None:
-            first = int(wanted.removeprefix(b"bytes=").partition(b"-")[0])
+        requested = find_header(source.headers, b"range")
+        if requested is not None:
+            first = int(requested.removeprefix(b"bytes=").partition(b"-")[0])
             status = 206
             span = f"bytes {first}-{size - 1}/{size}"
             headers.append((b"content-range", span.encode()))
-        left = size - first
-        headers.append((b"content-length", str(left).encode()))
+        remaining = size - first
+        headers.append((b"content-length", str(remaining).encode()))
         await source.send_head(status=status, headers=headers)
-        while left > 0:
-            await source.send_data(CHUNK[:left])
-            left -= min(left, len(CHUNK))
+        while remaining > 0:
+            await source.send_data(CHUNK[:remaining])
+            remaining -= min(remaining, len(CHUNK))
         await source.finish()
 
     async def _control(self, source: ServerExchange, body: bytes) -> None:
-        wanted = json.loads(body or b"{}")
-        if wanted:
-            wanted["mode"] = Mode(wanted.get("mode", "serve"))
-            self.behaviour = Behaviour(**wanted)
+        requested = json.loads(body or b"{}")
+        if requested:
+            requested["mode"] = Mode(requested.get("mode", "serve"))
+            self.behaviour = Behaviour(**requested)
         counts = {
             "runs": sum(self.runs_by_mark.values()),
             "most_runs": max(self.runs_by_mark.values(), default=0),
--- a/packages/testkit/tests/trial/test_fault_matrix.py
+++ b/packages/testkit/tests/trial/test_fault_matrix.py
@@ -1,4 +1,4 @@
-"""A part of the fault matrix: each fault once in each operation, and a broken cell."""
+"""Tests of a part of the fault matrix: each fault once in each operation."""
 
 from __future__ import annotations
 
@@ -15,14 +15,18 @@
 
 
 @pytest.mark.parametrize("operation", OPERATIONS, ids=lambda each: each.name)
-def test_no_fault_breaks_an_operation(operation: MatrixOperation) -> None:
+def test_operation_has_allowed_outcome_under_every_fault(
+    operation: MatrixOperation,
+) -> None:
     for number, fault in enumerate(FAULTS):
         step = INJECTION_STEPS[number % len(INJECTION_STEPS)]
         cell = run_cell(operation, fault, (step,))
         assert cell.violations == (), fault
 
 
-def test_a_broken_cell_is_seen_and_shown(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_cell_with_violation_is_detected_and_rendered(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(DrainSchedule, "upstream_drained_at", lambda *_, **__: None)
     drain = next(each for each in OPERATIONS if each.name == "drain")
     cells = [run_cell(drain, fault, (0, 10)) for fault in ("none", "platform down")]
@@ -31,7 +35,7 @@
     assert "**step" in page
 
 
-def test_what_is_hand_written_outlasts_the_matrix() -> None:
+def test_hand_written_part_of_page_is_kept() -> None:
     rest = "\n# The soak\n\nFigures\n"
     assert hand_written_part("# Fault matrix\n\nold\n" + rest) == rest
     assert hand_written_part("# Fault matrix\n\nold\n") == ""
--- a/packages/testkit/tests/trial/test_trials.py
+++ b/packages/testkit/tests/trial/test_trials.py
@@ -1,4 +1,4 @@
-"""Randomised trials with fixed seeds, and proof that they can fail."""
+"""Tests of randomised trials with fixed seeds, and that they detect mutations."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_promises_hold_under_faults(seed: int) -> None:
-    verdict = run_trial(seed=seed, simulated_s=60.0)
-    assert verdict.violation is None
+def test_guarantees_hold_under_faults(seed: int) -> None:
+    result = run_trial(seed=seed, simulated_s=60.0)
+    assert result.violation is None
 
 
-def test_trials_serve_requests_in_spite_of_their_faults() -> None:
-    verdicts = [run_trial(seed=seed, simulated_s=60.0) for seed in SEEDS]
-    requests = sum(verdict.requests for verdict in verdicts)
-    assert sum(verdict.done for verdict in verdicts) > 0.2 * requests
+def test_trials_serve_requests_despite_faults() -> None:
+    results = [run_trial(seed=seed, simulated_s=60.0) for seed in SEEDS]
+    requests = sum(result.requests for result in results)
+    assert sum(result.done for result in results) > 0.2 * requests
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_the_bound_on_slots_holds_with_vms_cut_apart(seed: int) -> None:
-    verdict = run_trial(seed=seed, simulated_s=30.0, partitions=True)
-    assert verdict.violation is None
+def test_slot_limit_holds_between_partitioned_vms(seed: int) -> None:
+    result = run_trial(seed=seed, simulated_s=30.0, partitions=True)
+    assert result.violation is None
 
 
 def _claim_without_nonce(self: ClaimAttempt, row: Any) -> Any:
@@ -44,7 +44,7 @@
     return self._settle(RunIt())
 
 
-def _trust_every_caller(self: Fingerprint, other: object) -> bool:
+def _match_every_fingerprint(self: Fingerprint, other: object) -> bool:
     return True
 
 
@@ -59,12 +59,12 @@
     (UpstreamState, "_set_leaving", lambda self, **_: None, "while leaving"),
     (ClaimAttempt, "_handle_row", _claim_without_nonce, "ran twice"),
     (IssuedIds, "begin", _run_every_repeat, "ran twice"),
-    (Fingerprint, "__eq__", _trust_every_caller, "was told a stranger"),
+    (Fingerprint, "__eq__", _match_every_fingerprint, "was revealed to another caller"),
 ]
 
 
 @pytest.mark.parametrize(
-    ("owner", "name", "mutant", "caught_as"),
+    ("owner", "name", "mutant", "expected_violation"),
     MUTATIONS,
     ids=[
         "lender-uses-lent-slots",
@@ -76,40 +76,40 @@
         "replay-to-another-caller",
     ],
 )
-def test_a_mutation_is_caught(
+def test_mutation_is_detected(
     monkeypatch: pytest.MonkeyPatch,
     owner: type,
     name: str,
     mutant: Any,
-    caught_as: str,
+    expected_violation: str,
 ) -> None:
     monkeypatch.setattr(owner, name, mutant)
     found = (
         run_trial(seed=seed, simulated_s=60.0).violation for seed in MUTATION_SEEDS
     )
-    broken = next((each for each in found if each is not None), "")
-    assert caught_as in broken
+    violation = next((each for each in found if each is not None), "")
+    assert expected_violation in violation
 
 
-def test_a_failing_trial_is_told_with_the_faults_that_it_needs(
+def test_failing_trial_shrinks_to_faults_that_it_needs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(UpstreamState, "_set_leaving", lambda self, **_: None)
-    verdicts = (run_trial(seed=seed, simulated_s=60.0) for seed in MUTATION_SEEDS)
+    results = (run_trial(seed=seed, simulated_s=60.0) for seed in MUTATION_SEEDS)
     seed, found = next(
         (seed, each)
-        for seed, each in zip(MUTATION_SEEDS, verdicts, strict=False)
+        for seed, each in zip(MUTATION_SEEDS, results, strict=False)
         if each.violation is not None
     )
     shortest = shrink(found, seed=seed)
     assert shortest.violation is not None
     assert "while leaving" in shortest.violation
-    ways = [fault.kind for fault in shortest.schedule]
-    assert ways == ["leave"]
+    kinds = [fault.kind for fault in shortest.schedule]
+    assert kinds == ["leave"]
     assert [line for line in shortest.trace if "fault" in line]
-    assert len(found.schedule) > len(ways)
+    assert len(found.schedule) > len(kinds)
 
 
-def test_a_trial_is_the_same_each_time() -> None:
+def test_trial_is_deterministic() -> None:
     first, second = (run_trial(seed=3, simulated_s=20.0) for _ in range(2))
     assert first == second
