--- a/packages/daemon/src/plankspindle_daemon/control/plan_store.py
+++ b/packages/daemon/src/plankspindle_daemon/control/plan_store.py
@@ -155,18 +155,18 @@
             if before.is_err():
                 return Err(before.unwrap_err())
             intent = ApplyIntent(configuration=before.unwrap())
-        wanted = apply_intent(intent, configuration)
-        if wanted.is_err():
-            return Err(wanted.unwrap_err())
+        proposed = apply_intent(intent, configuration)
+        if proposed.is_err():
+            return Err(proposed.unwrap_err())
         effects = Forecast(
             base=configuration,
-            proposed=wanted.unwrap(),
+            proposed=proposed.unwrap(),
             digests=self.digests,
             now=monotonic(),
         ).effects_of(intent)
         if effects.is_err():
             return Err(effects.unwrap_err())
-        content = encode_configuration(wanted.unwrap())
+        content = encode_configuration(proposed.unwrap())
         plan = Plan(
             id=f"{self.random.getrandbits(48):012x}",
             operator=operator,
--- a/packages/daemon/src/plankspindle_daemon/daemon.py
+++ b/packages/daemon/src/plankspindle_daemon/daemon.py
@@ -246,7 +246,7 @@
             node=self.node,
             make_plan_handler=partial(self._make_plans, random),
             metrics=self._metrics,
-            dump_runtime=self._dump_shells,
+            dump_runtime=self._dump_runtime,
             send=self._send_messages,
         )
 
@@ -264,7 +264,7 @@
         )
 
     def _make_extra_listeners(self) -> list[ExtraListener]:
-        doors = [
+        listeners = [
             make(self.node, self._supervisor) for make in self._ports.listener_factories
         ]
         if self.settings.listen.metrics is not None:
@@ -273,8 +273,8 @@
                 supervisor=self._supervisor,
                 metrics=self._metrics,
             )
-            doors.append(metrics)
-        return doors
+            listeners.append(metrics)
+        return listeners
 
     async def start(self) -> None:
         """Open all listeners.
@@ -287,8 +287,8 @@
         await self._peers.start(self._effects.receive)
         await self._caller_listener.start()
         await self._operator_listener.start()
-        for door in self._extra_listeners:
-            await door.start()
+        for listener in self._extra_listeners:
+            await listener.start()
         await self._claims.start()
         await self._sweeper.start()
         log_event(
@@ -303,8 +303,8 @@
         self._metrics.close()
         await self._caller_listener.close()
         await self._operator_listener.close()
-        for door in self._extra_listeners:
-            await door.close()
+        for listener in self._extra_listeners:
+            await listener.close()
         await self._sweeper.close()
         await self._claims.close()
         await self._pool.close()
@@ -339,15 +339,15 @@
         )
 
     def _apply_settings(self, new: DaemonSettings) -> None:
-        taken = {name: getattr(new, name) for name in RELOADABLE_SECTIONS}
-        self.settings = evolve(self.settings, **taken)
+        applied = {name: getattr(new, name) for name in RELOADABLE_SECTIONS}
+        self.settings = evolve(self.settings, **applied)
         self._caller_listener.settings = self.settings
         self._caller_listener.requests.settings = self.settings
         self._operator_listener.settings = self.settings
         self._sealer.set_keys(_peer_keys(new))
-        reader = self._caller_listener.requests.resolver
-        reader.signer = IdentitySigner(keys=_peer_keys(new))
-        reader.max_key_age_s = _max_key_age_s(new)
+        resolver = self._caller_listener.requests.resolver
+        resolver.signer = IdentitySigner(keys=_peer_keys(new))
+        resolver.max_key_age_s = _max_key_age_s(new)
         membership = self.node.membership
         membership.options = evolve(membership.options, seeds=tuple(new.peers))
 
@@ -379,7 +379,7 @@
             await sleep(STALE_CONNECTION_CHECK_PERIOD_S)
             await self._pool.discard_stale()
 
-    def _dump_shells(self) -> dict[str, Any]:
+    def _dump_runtime(self) -> dict[str, Any]:
         dumped = dump_runtime(
             listener=self._caller_listener,
             pool=self._pool,
--- a/packages/daemon/src/plankspindle_daemon/drains/drain_schedule.py
+++ b/packages/daemon/src/plankspindle_daemon/drains/drain_schedule.py
@@ -29,8 +29,8 @@
 
     Notes
     -----
-    A drained upstream gets no new requests immediately. A drained VM, failure domain or
-    region is immediately left out of lookup answers, but its entry VMs and upstreams
+    A drained upstream stops getting new requests at once. A drained VM, failure domain
+    or region is left out of lookup answers at once, but its entry VMs and upstreams
     continue to serve for ``LINGER_S``, so that callers with cached answers are served.
     """
 
--- a/packages/daemon/src/plankspindle_daemon/exchange/caller_request.py
+++ b/packages/daemon/src/plankspindle_daemon/exchange/caller_request.py
@@ -209,7 +209,7 @@
     grant : int, optional
         Headroom grant under which the request is forwarded.
     signed_identity : bytes, optional
-        Sealed identity of the caller. It replaces the API key, which is not forwarded.
+        Signed identity of the caller. It replaces the API key, which is not forwarded.
     """
     dropped = {b"host", b"expect", b"content-length", header_names.DEADLINE}
     dropped |= {header_names.TIMEOUT, header_names.FORWARDED, header_names.GRANT}
--- a/packages/daemon/src/plankspindle_daemon/exchange/messages.py
+++ b/packages/daemon/src/plankspindle_daemon/exchange/messages.py
@@ -8,7 +8,7 @@
 from plankspindle_daemon.dispatch.messages import AttemptOutcome
 
 MAX_ATTEMPTS = 1_000
-"""Default maximum; the retry budget stops retries long before it is reached."""
+"""Default limit of attempts; the retry budget stops retries long before it."""
 
 
 @frozen(kw_only=True)
--- a/packages/daemon/src/plankspindle_daemon/headroom/headroom_ledger.py
+++ b/packages/daemon/src/plankspindle_daemon/headroom/headroom_ledger.py
@@ -10,7 +10,8 @@
 RESERVE_SHARE = 0.25
 """Share of the capacity that is never granted.
 
-Requests of a higher class from local callers find free slots at once there.
+It keeps slots free for requests of a higher class from local callers, which then need
+not wait.
 """
 
 
--- a/packages/daemon/src/plankspindle_daemon/listeners/caller_listener.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/caller_listener.py
@@ -30,8 +30,10 @@
 
 MAX_IDS_PER_CALL = 100
 _COUNT_PATTERN = re.compile(r"[0-9]{1,3}")
-"""``int`` alone would accept non-ASCII digits and raise on very long numbers; three
-digits are enough for ``MAX_IDS_PER_CALL``."""
+"""At most three digits, which are enough for ``MAX_IDS_PER_CALL``.
+
+``int`` alone would also accept non-ASCII digits, and raise on very long numbers.
+"""
 _JSON_HEADERS: HeaderList = [(b"content-type", b"application/json")]
 
 
--- a/packages/daemon/src/plankspindle_daemon/listeners/operator_listener.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/operator_listener.py
@@ -161,9 +161,7 @@
         if found:
             await answer_json(source, 200, {"lifted": identity_text(identity)})
         else:
-            advice = (
-                "no such request is held back; plankspindle quarantine lists them"
-            )
+            advice = "no such request is held back; plankspindle quarantine lists them"
             await answer_json(source, 404, {"error": advice})
 
     def _plan_handler(self) -> PlanHandler:
--- a/packages/daemon/src/plankspindle_daemon/listeners/plan_service.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/plan_service.py
@@ -148,6 +148,4 @@
             text = "no answer of the platform; confirm again to learn the outcome"
             await answer_json(source, 504, {"error": text})
         case NotPossible(detail=detail):
-            await answer_json(
-                source, 503, {"error": f"the platform is away: {detail}"}
-            )
+            await answer_json(source, 503, {"error": f"the platform is away: {detail}"})
--- a/packages/daemon/src/plankspindle_daemon/listeners/request_resolver.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/request_resolver.py
@@ -155,9 +155,9 @@
     def _identify(
         self, source: ServerExchange, request: CallerRequest
     ) -> Result[Identity, BadRequest]:
-        token = self._signed_identity(source, request)
-        if token is not None:
-            return Ok(token)
+        signed = self._signed_identity(source, request)
+        if signed is not None:
+            return Ok(signed)
         digest = read_key_digest(source.headers, scheme=self.dialect.key_scheme)
         if digest.is_ok() and digest.unwrap() is not None and self._keys_are_stale():
             return Err(BadRequest(503, KEYS_STALE))
--- a/packages/daemon/src/plankspindle_daemon/listeners/request_service.py
+++ b/packages/daemon/src/plankspindle_daemon/listeners/request_service.py
@@ -212,10 +212,10 @@
             too_long = BadRequest(413, f"send at most {limit} bytes")
             await refuse(source, too_long, trace)
             return
-        held = self._acquire_move_grant(source, resolved.request, resolved.identity)
+        grant = self._acquire_move_grant(source, resolved.request, resolved.identity)
         try:
             routing = await self._choose_route(
-                source, resolved, body, deadline, held, trace
+                source, resolved, body, deadline, grant, trace
             )
             if isinstance(routing, AnsweredWithoutRunning):
                 await self._answer(source, routing, trace)
@@ -224,8 +224,8 @@
                     source, resolved, body, deadline, routing, trace
                 ).run()
         finally:
-            if held is not None:
-                self.node.headroom.grants.release(held)
+            if grant is not None:
+                self.node.headroom.grants.release(grant)
 
     async def _choose_route(
         self,
--- a/packages/daemon/src/plankspindle_daemon/observability/histogram_collector.py
+++ b/packages/daemon/src/plankspindle_daemon/observability/histogram_collector.py
@@ -21,7 +21,7 @@
 
     Parameters
     ----------
-    measures : MetricSources
+    sources : MetricSources
         Counts of the process.
     """
 
--- a/packages/daemon/src/plankspindle_daemon/observability/instruments.py
+++ b/packages/daemon/src/plankspindle_daemon/observability/instruments.py
@@ -30,7 +30,7 @@
 
     Parameters
     ----------
-    measures : MetricSources
+    sources : MetricSources
         Counts of the process.
     """
 
--- a/packages/daemon/src/plankspindle_daemon/observability/metrics_reader.py
+++ b/packages/daemon/src/plankspindle_daemon/observability/metrics_reader.py
@@ -14,7 +14,7 @@
 
     Parameters
     ----------
-    measures : MetricSources
+    sources : MetricSources
         Counts of the process.
 
     Notes
--- a/packages/daemon/src/plankspindle_daemon/peer_messages/heartbeat.py
+++ b/packages/daemon/src/plankspindle_daemon/peer_messages/heartbeat.py
@@ -35,8 +35,8 @@
     configuration_version : int
         Configuration version in force.
     head_read_ago_ms : int
-        Time since the last read of the configuration head by any member that the sender
-        has information about.
+        Time since the last read of the configuration head by any member, as far
+        as the sender knows.
     silent_upstreams : tuple of str
         Upstreams that currently answer none of the sender's requests.
     silent_incarnations : tuple of int
--- a/packages/daemon/src/plankspindle_daemon/settings/daemon_settings.py
+++ b/packages/daemon/src/plankspindle_daemon/settings/daemon_settings.py
@@ -43,14 +43,14 @@
 
     Parameters
     ----------
-    receive_heartbeat_ms : int
+    heartbeat_ms : int
         Period of heartbeats to each peer while they fit the byte budget.
     suspect_after_ms : int
         Time without a heartbeat after which a peer gets no forwarded requests.
     live_list_ms : int
         Period of reading the platform's list of VMs.
     configuration_ms : int
-        Period of reading the version head of the configuration.
+        Period of reading the head row of the configuration.
     probe_ms : int
         Period of reading an upstream's load report.
     platform_timeout_ms : int
--- a/packages/daemon/src/plankspindle_daemon/steering/steering.py
+++ b/packages/daemon/src/plankspindle_daemon/steering/steering.py
@@ -24,7 +24,10 @@
 VMS_PER_DOMAIN = 2
 MAX_VMS_PER_ANSWER = 6
 SUFFICIENT_VMS_IN_DOMAIN = 2
-"""Usable entry VMs of a failure domain from which on those of no other are named."""
+"""Usable entry VMs in a failure domain that suffice for its callers.
+
+If there are at least this many, no VMs of other failure domains are named.
+"""
 CALLER_BUCKETS = 256
 """Number of groups of callers that get the same VMs in the same order."""
 
--- a/packages/daemon/src/plankspindle_daemon/wire/codec.py
+++ b/packages/daemon/src/plankspindle_daemon/wire/codec.py
@@ -58,7 +58,7 @@
 ``RuntimeError`` is raised for an enumerated value that only a newer schema has.
 """
 ENCODE_ERRORS = (capnp.KjException, ValueError, OverflowError)
-"""Errors of :func:`encode` for a field that the schema has no room for."""
+"""Errors of :func:`encode` for a value that its schema field cannot hold."""
 
 
 @frozen(kw_only=True)
