--- a/packages/daemon/src/plankspindle_daemon/platform/listed_upstreams.py
+++ b/packages/daemon/src/plankspindle_daemon/platform/listed_upstreams.py
@@ -30,7 +30,10 @@
 It counts from the disturbance after which they went missing.
 """
 REMOVAL_MARGIN_S = 0.3
-"""Part of that limit reserved for the removal: a 0.2 s check period and a read."""
+"""Part of ``recovery_s`` reserved for the removal, in seconds.
+
+It covers a check period of 0.2 s and a read.
+"""
 
 
 @define(kw_only=True)
