--- a/packages/client/src/plankspindle_client/__init__.py
+++ b/packages/client/src/plankspindle_client/__init__.py
@@ -1,3 +1,3 @@
-"""The command line of operators."""
+"""Command line for operators."""
 
 from __future__ import annotations
--- a/packages/client/src/plankspindle_client/console/commands/__init__.py
+++ b/packages/client/src/plankspindle_client/console/commands/__init__.py
@@ -1,3 +1,3 @@
-"""Commands of ``plankspindle``, one a module."""
+"""Commands of ``plankspindle``, one per module."""
 
 from __future__ import annotations
--- a/packages/client/src/plankspindle_client/console/commands/explain.py
+++ b/packages/client/src/plankspindle_client/console/commands/explain.py
@@ -34,20 +34,20 @@
     given.
     """
     lines = chain.from_iterable(files or (sys.stdin,))
-    story = RequestTrace.from_lines(request_id, lines)
-    if not story.steps:
-        click.echo(_not_found(story), err=True)
+    trace = RequestTrace.from_lines(request_id, lines)
+    if not trace.steps:
+        click.echo(_not_found(trace), err=True)
         raise SystemExit(EXIT_NOT_FOUND)
-    print_result(context, _trace_mapping(story), render_trace(story))
+    print_result(context, _trace_mapping(trace), render_trace(trace))
 
 
 def render_trace(trace: RequestTrace) -> list[str]:
-    """Write a story as lines of text.
+    """Render a trace as lines of text.
 
     Parameters
     ----------
     trace : RequestTrace
-        A request of which at least one event is known.
+        Trace with at least one event of the request.
     """
     vms = sorted({each.vm for each in trace.steps})
     lines = [f"request {trace.request} on {', '.join(vms)}"]
@@ -71,8 +71,9 @@
 
 def _not_found(trace: RequestTrace) -> str:
     text = (
-        f"none of {trace.line_count} lines names request {trace.request!r}: give the logs"
-        " of all entry VMs; of requests that were served in time only some are logged"
+        f"none of {trace.line_count} lines names request {trace.request!r}: give the"
+        " logs of all entry VMs; of requests that were served in time only some are"
+        " logged"
     )
     if trace.dropped_line_count:
         text += f"; {trace.dropped_line_count} lines were dropped"
--- a/packages/client/src/plankspindle_client/console/commands/routes.py
+++ b/packages/client/src/plankspindle_client/console/commands/routes.py
@@ -1,4 +1,4 @@
-"""``plankspindle routes``: which service answers for a host and path."""
+"""``plankspindle routes``: which service answers a host and path."""
 
 from __future__ import annotations
 
@@ -33,21 +33,21 @@
 def choose_routes(
     routes_by_name: Mapping[str, Any], *, host: str | None, path: str | None
 ) -> dict[str, Any]:
-    """Give the routes of a host, or of each host the one that a path takes.
+    """Return the routes of a host, or for a path the matching route of each host.
 
     Parameters
     ----------
     routes_by_name : mapping of str to dict
         Routes as in the configuration.
     host : str, optional
-        Host to look for; all hosts if not given.
+        Only routes of this host; all hosts if not given.
     path : str, optional
         Path without query; all paths if not given.
 
     Returns
     -------
     dict
-        Routes by name, by host and the longest prefix first.
+        Routes by name, ordered by host and then with the longest prefix first.
     """
     fitting = [
         (name, route)
@@ -65,7 +65,7 @@
 
 
 def render_route(name: str, route: Mapping[str, Any]) -> str:
-    """Write one route as a line."""
+    """Render a route as one line."""
     total = sum(part["weight"] for part in route["parts"])
     services = ", ".join(
         f"{part['service']} {100 * part['weight'] / total:.0f} %"
--- a/packages/client/src/plankspindle_client/console/commands/status.py
+++ b/packages/client/src/plankspindle_client/console/commands/status.py
@@ -71,7 +71,7 @@
 
 
 def _suspected_lines(members: dict[str, Any]) -> list[str]:
-    """Render the members that are taken for silent, and who says so."""
+    """Render the suspected members, and the VMs that suspect them."""
     lines = []
     for name, member in sorted(members.items()):
         if not member["suspected"]:
--- a/packages/client/src/plankspindle_client/console/commands/watch.py
+++ b/packages/client/src/plankspindle_client/console/commands/watch.py
@@ -1,4 +1,4 @@
-"""``plankspindle watch``: the status of a daemon, again and again."""
+"""``plankspindle watch``: the status of a daemon, refreshed periodically."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 @click.pass_context
 def watch(context: click.Context, interval: float, count: int | None) -> None:
     """Show the status of a daemon until interrupted."""
-    looks = 0
+    refreshes = 0
     while True:
         lines = status_lines(unwrap_or_exit(get_api(context).get("/state")))
         click.clear()
         click.echo("\n".join(lines))
-        looks += 1
-        if looks == count:
+        refreshes += 1
+        if refreshes == count:
             return
         time.sleep(interval)
--- a/packages/client/src/plankspindle_client/console/commands/workspaces.py
+++ b/packages/client/src/plankspindle_client/console/commands/workspaces.py
@@ -1,4 +1,4 @@
-"""``plankspindle workspaces``: limits, homes and use of workspaces."""
+"""``plankspindle workspaces``: limits, home regions and use of workspaces."""
 
 from __future__ import annotations
 
--- a/packages/client/src/plankspindle_client/console/context.py
+++ b/packages/client/src/plankspindle_client/console/context.py
@@ -53,7 +53,7 @@
 
 
 def get_api(context: click.Context) -> OperatorApi:
-    """Give the client of the daemon named by ``--daemon``."""
+    """Return a client of the daemon given by ``--daemon``."""
     endpoint: Endpoint | None = context.obj["endpoint"]
     if endpoint is None:
         click.echo("name a daemon with --daemon IP:PORT", err=True)
@@ -62,7 +62,7 @@
 
 
 def unwrap_or_exit(result: Result[Any, ApiError]) -> Any:
-    """Give the value, or print the error and exit with its status."""
+    """Return the value, or print the error and exit with its status."""
     if result.is_ok():
         return result.unwrap()
     exit_with(result.unwrap_err())
@@ -83,16 +83,16 @@
 
 
 def print_result(context: click.Context, content: Any, lines: Iterable[str]) -> None:
-    """Print content as JSON if ``--output`` asks for it, else as lines.
+    """Print content as JSON if ``--output`` is ``json``, else as lines.
 
     Parameters
     ----------
     context : click.Context
-        Holds what ``--output`` asks for.
+        Has the value of ``--output``.
     content : object
-        What is shown, plain values as in JSON.
+        Content as plain JSON values.
     lines : iterable of str
-        The same for people; read only if it is printed.
+        Content as lines for a terminal; consumed only if printed.
     """
     if context.obj["output"] == "json":
         print_json(content)
@@ -102,7 +102,7 @@
 
 
 def print_plan(context: click.Context, plan: Any) -> None:
-    """Print a plan in the form that ``--output`` asks for."""
+    """Print a plan in the format given by ``--output``."""
     print_result(context, plan, _plan_lines(plan))
 
 
--- a/packages/client/src/plankspindle_client/explaining/cause.py
+++ b/packages/client/src/plankspindle_client/explaining/cause.py
@@ -1,4 +1,4 @@
-"""Why a request ended as it did, in one sentence."""
+"""Describe the cause of a request's outcome."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 def describe_cause(trace: RequestTrace) -> str:
-    """Say why a request ended as it did.
+    """Return a sentence or two on the cause of a request's outcome.
 
     Parameters
     ----------
     trace : RequestTrace
-        A request of which at least one event is known.
+        Trace with at least one event of the request.
     """
     end = trace.completion()
     if end is None:
@@ -32,9 +32,9 @@
         return "Its API key was revoked while it waited, and it was not run."
     if ending == "caller-gone":
         return f"Its caller went away after {end.int_field('took_ms')} ms."
-    held = trace.last_event("request_held_back")
-    if held is not None:
-        return _describe_quarantine(trace, held)
+    blocked = trace.last_event("request_held_back")
+    if blocked is not None:
+        return _describe_quarantine(trace, blocked)
     token = trace.last_event("quota_token_decided")
     if token is not None and token.fields.get("taken") == "false":
         return _describe_quota_refusal(token)
@@ -61,8 +61,9 @@
         f"It was rejected as {rejected.fields.get('reason')}, and was not run:"
         f" {rejected.int_field('queued')} requests waited,"
         f" {rejected.int_field('in_flight')} of {rejected.int_field('capacity')} places"
-        f" were in use, such a request usually takes {rejected.int_field('usual_ms')} ms and"
-        f" {rejected.int_field('left_ms')} ms were left; it was told to come back after"
+        f" were in use, such a request usually takes {rejected.int_field('usual_ms')}"
+        f" ms and {rejected.int_field('left_ms')} ms were left; it was told to come"
+        f" back after"
         f" {rejected.int_field('retry_after_ms')} ms."
     )
     if rejected.fields.get("reason") == WITHHELD:
@@ -89,12 +90,12 @@
     )
 
 
-def _describe_quarantine(trace: RequestTrace, held: LoggedEvent) -> str:
+def _describe_quarantine(trace: RequestTrace, blocked: LoggedEvent) -> str:
     text = (
-        f"It was held back: the same request, {held.fields.get('identity')}, was in"
+        f"It was held back: the same request, {blocked.fields.get('identity')}, was in"
         f" flight at several upstreams when they ended, and has been in quarantine for"
-        f" {held.int_field('for_ms')} ms; it is let through next after"
-        f" {held.int_field('retry_after_ms')} ms."
+        f" {blocked.int_field('for_ms')} ms; it is let through next after"
+        f" {blocked.int_field('retry_after_ms')} ms."
     )
     attempted = trace.last_event("attempt_ended")
     if attempted is None:
@@ -105,8 +106,8 @@
 def _describe_attempt(trace: RequestTrace, attempted: LoggedEvent) -> str:
     text = (
         f"Attempt {attempted.int_field('attempt')} at"
-        f" {attempted.fields.get('upstream')} ended after {attempted.int_field('took_ms')} ms:"
-        f" {attempted.fields.get('came')}."
+        f" {attempted.fields.get('upstream')} ended after"
+        f" {attempted.int_field('took_ms')} ms: {attempted.fields.get('came')}."
     )
     ran = attempted.fields.get("ran")
     if ran == "maybe":
@@ -125,14 +126,14 @@
 
 
 def _longest_interval(trace: RequestTrace) -> str:
-    """Name the longest stretch of a request."""
-    stretches = [
+    """Describe the longest interval between two events of a request."""
+    intervals = [
         ((after.at - before.at).total_seconds() * 1000, before, after)
         for before, after in pairwise(trace.steps)
     ]
-    if not stretches:
+    if not intervals:
         return "nothing is known of its time"
-    longest_ms, before, after = max(stretches, key=lambda each: each[0])
+    longest_ms, before, after = max(intervals, key=lambda each: each[0])
     return (
         f"the longest part, {longest_ms:.0f} ms, lies between {before.event} and"
         f" {after.event}{_upstream_suffix(after)}"
--- a/packages/client/src/plankspindle_client/explaining/logged_event.py
+++ b/packages/client/src/plankspindle_client/explaining/logged_event.py
@@ -1,4 +1,4 @@
-"""One event of a log."""
+"""Event parsed from a line of a log."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 @frozen(kw_only=True)
 class LoggedEvent:
-    """One event as a line told it.
+    """One event of a log.
 
     Parameters
     ----------
     at : datetime
-        When it happened.
+        Time of the event.
     event : str
-        Its name.
+        Name of the event.
     vm : str
-        Where it happened.
+        Entry VM that logged it.
     request : str, optional
-        Id of the request that it belongs to.
+        Id of the request that the event belongs to.
     step : int
-        Its number among those of the request.
+        Number of the event within its request.
     fields : dict of str to str
-        Its other values.
+        All other fields of the line.
     """
 
     at: datetime
@@ -40,7 +40,7 @@
 
     @classmethod
     def parse(cls, line: str) -> LoggedEvent | None:
-        """Read a line; None if it holds no event."""
+        """Parse a line; None if it is not an event."""
         pairs = parse_line(line)
         if pairs is None:
             return None
@@ -60,6 +60,6 @@
         )
 
     def int_field(self, key: str) -> int:
-        """Give a value as a whole number; zero if it is none."""
+        """Return a field as an integer; zero if it is missing or not a number."""
         text = self.fields.get(key, "")
         return int(text) if text.isdigit() else 0
--- a/packages/client/src/plankspindle_client/explaining/request_trace.py
+++ b/packages/client/src/plankspindle_client/explaining/request_trace.py
@@ -1,4 +1,4 @@
-"""The events of one request, and what was known around it."""
+"""The events of one request, and related events of daemons and upstreams."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 CONTEXT_BEFORE = timedelta(seconds=10)
 CONTEXT_AFTER = timedelta(seconds=1)
-"""Time around a request in which other events may have to do with it."""
+"""Time before and after a request in which other events count as related."""
 _UPSTREAM_EVENT = "upstream_standing"
 _DAEMON_EVENTS = frozenset(
     {
@@ -50,23 +50,23 @@
 
 @define(kw_only=True)
 class RequestTrace:
-    """One request as logs tell it.
+    """Trace of one request, collected from logs.
 
     Parameters
     ----------
     request : str
-        Its id.
+        Id of the request.
 
     Attributes
     ----------
     steps : list of LoggedEvent
-        What happened to it, in order.
+        Events of the request, ordered by time.
     context_events : list of LoggedEvent
-        What else happened on its VMs and to its upstreams at that time, in order.
+        Other events of its VMs and upstreams at that time, ordered by time.
     line_count : int
         Lines that were read.
     dropped_line_count : int
-        Lines that the logs say they lack.
+        Lines that the daemons dropped, as their logs report.
     """
 
     request: str
@@ -77,33 +77,33 @@
 
     @classmethod
     def from_lines(cls, request: str, lines: Iterable[str]) -> RequestTrace:
-        """Read the logs of any number of VMs.
+        """Collect the trace of a request from logs of any number of VMs.
 
         Parameters
         ----------
         request : str
             Id of the request.
         lines : iterable of str
-            Lines in any order; what is no event is skipped.
+            Lines in any order; lines that are not events are skipped.
         """
-        story = cls(request=request)
-        others: list[LoggedEvent] = []
+        trace = cls(request=request)
+        candidates: list[LoggedEvent] = []
         for line in lines:
-            story.line_count += 1
+            trace.line_count += 1
             event = LoggedEvent.parse(line)
             if event is None:
                 continue
             if event.request == request:
-                story.steps.append(event)
+                trace.steps.append(event)
             elif event.event == _UPSTREAM_EVENT or event.event in _DAEMON_EVENTS:
-                others.append(event)
-                story.dropped_line_count += _dropped_lines(event)
-        story.steps.sort(key=lambda each: (each.at, each.vm, each.step))
-        story.context_events = sorted(
-            (each for each in others if story._is_relevant(each)),
+                candidates.append(event)
+                trace.dropped_line_count += _dropped_lines(event)
+        trace.steps.sort(key=lambda each: (each.at, each.vm, each.step))
+        trace.context_events = sorted(
+            (each for each in candidates if trace._is_relevant(each)),
             key=lambda each: each.at,
         )
-        return story
+        return trace
 
     def _is_relevant(self, event: LoggedEvent) -> bool:
         if not self.steps or event.vm not in {each.vm for each in self.steps}:
@@ -121,12 +121,12 @@
         return event.fields.get("upstream") in named | preferred
 
     def completion(self) -> LoggedEvent | None:
-        """Give the event that tells how it ended; the last one of several VMs."""
-        ends = [each for each in self.steps if each.event in COMPLETION_EVENTS]
-        return ends[-1] if ends else None
+        """Return the completion event, the last one if several VMs logged one."""
+        completions = [each for each in self.steps if each.event in COMPLETION_EVENTS]
+        return completions[-1] if completions else None
 
     def last_event(self, event: str) -> LoggedEvent | None:
-        """Give the last event of a kind."""
+        """Return the last step with an event name."""
         found = [each for each in self.steps if each.event == event]
         return found[-1] if found else None
 
--- a/packages/client/src/plankspindle_client/operator_api.py
+++ b/packages/client/src/plankspindle_client/operator_api.py
@@ -1,4 +1,4 @@
-"""Calls to the operator listener of a daemon."""
+"""Client of the operator listener of a daemon."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
 @frozen(kw_only=True)
 class ApiError:
-    """A call that did not do what it should.
+    """Error of a call.
 
     Parameters
     ----------
     status : int
-        Status code; zero without an answer.
+        HTTP status; zero if there was no answer.
     message : str
-        What the operator can do.
+        Message for the operator.
     problems : tuple of str
-        Single problems, if there are several.
+        Details, one per problem, such as those of a configuration.
     """
 
     status: int
--- a/packages/client/tests/console/test_commands.py
+++ b/packages/client/tests/console/test_commands.py
@@ -1,4 +1,4 @@
-"""Tests of the command line against a daemon that is played."""
+"""Tests of the command line against a fake daemon."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 DAEMON = ["--daemon", "127.0.0.1:7001"]
 
 
-class PlayedDaemon:
-    """Answers calls and remembers them."""
+class FakeDaemon:
+    """Records calls and answers them."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[str, str, Any]] = []
@@ -47,19 +47,17 @@
 
 
 @pytest.fixture
-def daemon(monkeypatch: pytest.MonkeyPatch) -> PlayedDaemon:
-    played = PlayedDaemon()
-    monkeypatch.setattr(
-        OperatorApi, "_call", lambda *arguments: played.take(*arguments)
-    )
-    return played
+def daemon(monkeypatch: pytest.MonkeyPatch) -> FakeDaemon:
+    fake = FakeDaemon()
+    monkeypatch.setattr(OperatorApi, "_call", lambda *arguments: fake.take(*arguments))
+    return fake
 
 
 def run(*arguments: str) -> CliResult:
     return CliRunner().invoke(main, [*DAEMON, *arguments])
 
 
-def test_a_shift_is_planned_and_the_next_step_named(daemon: PlayedDaemon) -> None:
+def test_shift_is_planned_and_next_command_is_printed(daemon: FakeDaemon) -> None:
     ran = run(
         "plan", "shift", "--service", "registry", "--from", "bratislava",
         "--to", "kosice", "--percent", "20",
@@ -71,7 +69,7 @@
     assert intent["shift"]["cap_percent"] == 20.0
 
 
-def test_a_drain_names_exactly_one_place(daemon: PlayedDaemon) -> None:
+def test_drain_requires_exactly_one_target(daemon: FakeDaemon) -> None:
     assert run("plan", "drain").exit_code == 2
     assert run("plan", "drain", "--vm", "a", "--region", "b").exit_code == 2
     assert run("plan", "drain", "--failure-domain", "ba-1").exit_code == 0
@@ -85,8 +83,8 @@
 @pytest.mark.parametrize(
     ("status", "exit_code"), [(422, 1), (409, 3), (503, 4), (0, 4), (504, 5)]
 )
-def test_each_failure_has_its_exit_status(
-    daemon: PlayedDaemon, status: int, exit_code: int
+def test_failure_status_maps_to_exit_status(
+    daemon: FakeDaemon, status: int, exit_code: int
 ) -> None:
     daemon.answer = Err(ApiError(status=status, message="no", problems=("why",)))
     ran = run("confirm", "p1")
@@ -94,18 +92,18 @@
     assert "why" in ran.output
 
 
-def test_without_a_daemon_the_way_out_is_named() -> None:
+def test_missing_daemon_option_is_reported() -> None:
     ran = CliRunner().invoke(main, ["confirm", "p1"])
     assert ran.exit_code == 2
     assert "--daemon IP:PORT" in ran.output
 
 
-def test_json_is_printed_on_request(daemon: PlayedDaemon) -> None:
+def test_json_output_is_printed_on_request(daemon: FakeDaemon) -> None:
     ran = run("--output", "json", "plan", "show", "p1")
     assert json.loads(ran.output) == PLAN
 
 
-def test_a_bad_configuration_file_is_refused_line_by_line(tmp_path: Any) -> None:
+def test_problems_of_invalid_configuration_file_are_printed(tmp_path: Any) -> None:
     file = tmp_path / "configuration.yaml"
     file.write_text("services: {}\nspeed: 1\n")
     ran = run("config", "validate", str(file))
@@ -113,8 +111,8 @@
     assert "unknown key speed" in ran.output
 
 
-def test_a_configuration_is_applied_and_compared(
-    daemon: PlayedDaemon, tmp_path: Any
+def test_configuration_is_applied_and_compared(
+    daemon: FakeDaemon, tmp_path: Any
 ) -> None:
     file = tmp_path / "configuration.yaml"
     mapping = configuration_to_mapping(build_configuration())
@@ -125,13 +123,13 @@
     assert run("config", "diff", str(file)).output == "nothing differs\n"
 
 
-def test_differences_are_named_by_their_keys() -> None:
+def test_differences_are_listed_by_key_path() -> None:
     present = {"a": {"x": 1, "y": 2}, "b": 1}
     wanted = {"a": {"x": 5, "z": 3}, "b": 1}
     assert diff_lines(present, wanted) == ["~ a.x: 1 -> 5", "- a.y", "+ a.z: 3"]
 
 
-def test_status_and_watch_show_what_a_daemon_sees(daemon: PlayedDaemon) -> None:
+def test_status_and_watch_print_state_of_daemon(daemon: FakeDaemon) -> None:
     daemon.answer = Ok(
         {
             "vm": "ba-1-a",
@@ -183,8 +181,8 @@
     assert shown in run("watch", "--count", "1").output
 
 
-def test_routes_are_listed_and_the_one_of_a_path_is_found(
-    daemon: PlayedDaemon,
+def test_routes_are_listed_and_filtered_by_host_and_path(
+    daemon: FakeDaemon,
 ) -> None:
     parts = [ServicePart(service="registry", weight=3)]
     configuration = build_configuration(
--- a/packages/client/tests/console/test_explain.py
+++ b/packages/client/tests/console/test_explain.py
@@ -1,4 +1,4 @@
-"""Tests of the story of one request."""
+"""Tests of explaining one request from logs."""
 
 from __future__ import annotations
 
@@ -46,31 +46,31 @@
 ]
 
 
-def test_steps_are_told_in_order_whatever_the_order_of_lines() -> None:
-    told = explain("r", log=REJECTED).output.splitlines()
-    events = [each.split()[4] for each in told[1:-1]]
+def test_steps_are_printed_in_order_of_time() -> None:
+    printed = explain("r", log=REJECTED).output.splitlines()
+    events = [each.split()[4] for each in printed[1:-1]]
     assert events == ["request_routed", "request_rejected", "request_failed"]
-    assert told[0] == "request r on a"
-    assert "+200 ms" in told[2]
+    assert printed[0] == "request r on a"
+    assert "+200 ms" in printed[2]
 
 
-def test_a_rejection_is_told_with_what_decided() -> None:
-    told = explain("r", log=REJECTED).output.splitlines()[-1]
-    assert told == (
+def test_rejection_is_explained_with_its_numbers() -> None:
+    printed = explain("r", log=REJECTED).output.splitlines()[-1]
+    assert printed == (
         "It was rejected as queue-full, and was not run: 7 requests waited, 4 of 4"
         " places were in use, such a request usually takes 250 ms and 900 ms were left;"
         " it was told to come back after 300 ms."
     )
 
 
-def test_a_rejection_for_limits_or_rests_says_where_to_look() -> None:
+def test_rejection_for_withheld_upstreams_refers_to_statements() -> None:
     rejected = line("request_rejected", 10.2, request="r", step=2, reason="withheld")
-    told = explain("r", log=[rejected, *REJECTED[1:]]).output.splitlines()[-1]
-    assert "rests, or names a limit" in told
-    assert "upstream_stated" in told
+    printed = explain("r", log=[rejected, *REJECTED[1:]]).output.splitlines()[-1]
+    assert "rests, or names a limit" in printed
+    assert "upstream_stated" in printed
 
 
-def test_a_lost_answer_is_told_with_why_there_was_no_retry() -> None:
+def test_lost_answer_is_explained_with_reason_for_no_retry() -> None:
     log = [
         line("attempt_sent", 1.0, request="r", step=1),
         line(
@@ -93,7 +93,7 @@
     )
 
 
-def test_a_suspected_request_is_told_with_its_identity() -> None:
+def test_suspected_request_is_explained_with_its_identity() -> None:
     log = [
         line("attempt_ended", 1.0, request="q", step=1, attempt=1, upstream="u",
              verdict="failed", came="connection lost", ran="maybe", took_ms=90),
@@ -101,12 +101,12 @@
         line("request_failed", 1.1, request="q", step=3, ending="unknown",
              status=502, reason="suspected", took_ms=100),
     ]  # fmt: skip
-    told = explain("q", log=log).output
-    assert "It may have run. It was not sent again: upstreams ended under" in told
-    assert "00ab" in told
+    printed = explain("q", log=log).output
+    assert "It may have run. It was not sent again: upstreams ended under" in printed
+    assert "00ab" in printed
 
 
-def test_a_late_answer_is_told_with_its_longest_part() -> None:
+def test_late_answer_is_explained_with_its_longest_interval() -> None:
     log = [
         line("request_routed", 1.0, request="r", step=1),
         line("attempt_sent", 1.1, request="r", step=2),
@@ -119,7 +119,7 @@
     )
 
 
-def test_what_happened_around_it_is_told_and_nothing_else() -> None:
+def test_only_related_events_are_printed_as_context() -> None:
     log = [
         line("upstream_standing", 9.0, service="registry", upstream="u", now="gone"),
         line(
@@ -133,14 +133,14 @@
         line("request_failed", 10.1, request="r", step=3, ending="not-run"),
         line("request_failed", 10.1, request="another", step=3),
     ]
-    told = explain("r", log=log).output.splitlines()
-    around = told[told.index("at that time:") + 1 : -1]
-    assert len(around) == 2
-    assert "upstream=u" in around[0]
-    assert "platform_lost" in around[1]
+    printed = explain("r", log=log).output.splitlines()
+    context_lines = printed[printed.index("at that time:") + 1 : -1]
+    assert len(context_lines) == 2
+    assert "upstream=u" in context_lines[0]
+    assert "platform_lost" in context_lines[1]
 
 
-def test_logs_of_several_vms_make_one_story(tmp_path: Path) -> None:
+def test_logs_of_several_vms_are_merged_into_one_trace(tmp_path: Path) -> None:
     first, second = tmp_path / "a.log", tmp_path / "b.log"
     first.write_text(
         line("request_sent_on", 1.0, request="r", step=1)
@@ -148,12 +148,12 @@
         + line("request_failed", 1.5, request="r", step=2, ending="not-run")
     )
     second.write_text(line("request_rejected", 1.2, vm="b", request="r", step=1))
-    told = explain("r", str(first), str(second)).output.splitlines()
-    assert told[0] == "request r on a, b"
-    assert [each.split()[3] for each in told[1:4]] == ["a", "b", "a"]
+    printed = explain("r", str(first), str(second)).output.splitlines()
+    assert printed[0] == "request r on a, b"
+    assert [each.split()[3] for each in printed[1:4]] == ["a", "b", "a"]
 
 
-def test_a_request_that_no_line_names_is_said_with_what_the_logs_lack() -> None:
+def test_unknown_request_is_reported_with_number_of_dropped_lines() -> None:
     log = [line("log_lines_dropped", 1.0, lines=12, by_event="request_failed:12")]
     found = explain("r", log=log)
     assert found.exit_code == 1
@@ -161,30 +161,30 @@
     assert "12 lines were dropped" in found.output
 
 
-def test_json_tells_the_same() -> None:
+def test_json_output_has_steps_and_cause() -> None:
     found = CliRunner().invoke(
         main, ["--output", "json", "explain", "r"], input="\n".join(REJECTED)
     )
-    told = json.loads(found.output)
-    assert [each["event"] for each in told["steps"]][-1] == "request_failed"
-    assert told["cause"].startswith("It was rejected as queue-full")
+    printed = json.loads(found.output)
+    assert [each["event"] for each in printed["steps"]][-1] == "request_failed"
+    assert printed["cause"].startswith("It was rejected as queue-full")
 
 
 @pytest.mark.parametrize(
-    ("ending", "fields", "told"),
+    ("ending", "fields", "printed"),
     [
         ("refused", {"status": 404, "reason": "no route"}, "refused (404): no route."),
         ("caller-gone", {"took_ms": 80}, "caller went away after 80 ms."),
         ("not-run", {"reason": "leaving"}, "ended as not-run: leaving"),
     ],
 )
-def test_every_ending_has_a_sentence(
-    ending: str, fields: dict[str, Any], told: str
+def test_every_outcome_is_explained(
+    ending: str, fields: dict[str, Any], printed: str
 ) -> None:
     log = [line("request_failed", 1.0, request="r", step=1, ending=ending, **fields)]
-    assert told in explain("r", log=log).output.splitlines()[-1]
+    assert printed in explain("r", log=log).output.splitlines()[-1]
 
 
-def test_a_request_without_end_says_which_logs_are_missing() -> None:
+def test_missing_completion_event_is_explained() -> None:
     log = [line("request_routed", 1.0, request="r", step=1)]
     assert "read those of all entry VMs" in explain("r", log=log).output
--- a/packages/client/tests/test_operations_page.py
+++ b/packages/client/tests/test_operations_page.py
@@ -44,7 +44,7 @@
 PLATFORM = Endpoint(loopback_host(4, 1), 17000)
 UPSTREAM = Endpoint(loopback_host(4, 3), 17200)
 BRONZE = (header_names.AUTHORIZATION, b"Bearer " + BRONZE_KEY.encode())
-PLACE = VmAddresses(
+VM_ADDRESSES = VmAddresses(
     name="ke-1-a", failure_domain="ke-1", host=loopback_host(4, 2), base_port=17100
 )
 
@@ -53,12 +53,12 @@
 def folder(tmp_path: Path) -> Iterator[Path]:
     processes = Processes(folder=tmp_path)
     try:
-        processes.start_platform(PLATFORM, [PLACE])
+        processes.start_platform(PLATFORM, [VM_ADDRESSES])
         processes.start_module(
             "upstream", "plankspindle_testkit.upstream_stand_in", f"u={UPSTREAM}=4"
         )
-        processes.start_daemon(PLACE, platform=PLATFORM)
-        wait_for_operator_listener(PLACE)
+        processes.start_daemon(VM_ADDRESSES, platform=PLATFORM)
+        wait_for_operator_listener(VM_ADDRESSES)
         upstreams = {
             "u": build_upstream(endpoint=UPSTREAM, slots=4, failure_domain="ke-1"),
             "v": build_upstream(endpoint=UPSTREAM, slots=4, failure_domain="ke-1"),
@@ -77,13 +77,13 @@
 
 def run(folder: Path, command: str) -> str:
     words = command.replace("FILE", str(folder / "FILE")).split()
-    words = [str(PLACE.operator) if word == "ADDR" else word for word in words]
-    ran = CliRunner().invoke(main, ["--daemon", str(PLACE.operator), *words])
+    words = [str(VM_ADDRESSES.operator) if word == "ADDR" else word for word in words]
+    ran = CliRunner().invoke(main, ["--daemon", str(VM_ADDRESSES.operator), *words])
     assert ran.exit_code == 0, f"{command}: {ran.output}"
     return ran.output
 
 
-def plan_of(output: str) -> str:
+def plan_id_in(output: str) -> str:
     found = re.search(r"plan ([0-9a-f]+) on version", output)
     assert found is not None, output
     return found[1]
@@ -91,7 +91,7 @@
 
 def wait_for_version(version: int) -> None:
     wait_until(
-        lambda: read_state(PLACE)["configuration"]["version"] == version,
+        lambda: read_state(VM_ADDRESSES)["configuration"]["version"] == version,
         what=f"version {version}",
     )
 
@@ -107,7 +107,7 @@
     }
 
 
-def test_every_command_of_the_page_works(folder: Path) -> None:
+def test_every_documented_command_works(folder: Path) -> None:
     done: set[str] = set()
 
     def step(command: str) -> str:
@@ -117,61 +117,65 @@
         return run(folder, command)
 
     step("config validate FILE")
-    first = plan_of(step("config apply FILE"))
+    first = plan_id_in(step("config apply FILE"))
     assert "version 1" in step(f"confirm {first}")
     wait_for_version(1)
     assert "nothing differs" in step("config diff FILE")
     assert '"version": 1' in step("config show")
     assert "registry.example/plates/" in step("routes")
     assert "depot: 8/s" in step("workspaces")
-    assert PLACE.name in step("status")
-    assert PLACE.name in step("watch --count 1")
-    assert json.loads(step("state ADDR"))["vm"] == PLACE.name
-    wait_until(lambda: bool(digests()), what="a digest")
+    assert VM_ADDRESSES.name in step("status")
+    assert VM_ADDRESSES.name in step("watch --count 1")
+    assert json.loads(step("state ADDR"))["vm"] == VM_ADDRESSES.name
+    wait_until(lambda: bool(heard_vm_count()), what="a digest")
     shift = step(
         "plan shift --service registry --from bratislava --to kosice --percent 5"
     )
-    step(f"confirm {plan_of(shift)}")
+    step(f"confirm {plan_id_in(shift)}")
     wait_for_version(2)
     step("plan undo-shift registry-bratislava-kosice")
-    drain = plan_of(step("plan drain --upstream u"))
+    drain = plan_id_in(step("plan drain --upstream u"))
     step(f"confirm {drain}")
     wait_for_version(3)
     step("plan undo-drain upstream-u")
     step("plan class desk gold")
-    undone = plan_of(step("plan undo 3"))
+    undone = plan_id_in(step("plan undo 3"))
     step(f"confirm {undone}")
     assert "accepted" in step(f"plan show {undone}")
     assert drain in step("plan list")
     assert len(step("history").splitlines()) == 4
-    refused = refused_request()
+    refused = send_refused_request()
     wait_for_line(folder, refused)
-    assert PLACE.name in step(f"explain {refused} {log_of(folder)}")
+    assert VM_ADDRESSES.name in step(f"explain {refused} {log_path(folder)}")
     assert "no request is held back" in step("quarantine")
     assert done == commands_on_page()
 
 
-def log_of(folder: Path) -> Path:
-    return folder / f"{PLACE.name}.log"
+def log_path(folder: Path) -> Path:
+    return folder / f"{VM_ADDRESSES.name}.log"
 
 
-def ask(method: str, path: str, *headers: tuple[bytes, bytes]) -> HttpAnswer:
-    return call(PLACE.caller, method, path, headers=list(headers), timeout_s=20.0)
+def send_request(method: str, path: str, *headers: tuple[bytes, bytes]) -> HttpAnswer:
+    return call(
+        VM_ADDRESSES.caller, method, path, headers=list(headers), timeout_s=20.0
+    )
 
 
-def log_id_of(answer: HttpAnswer) -> str:
+def log_id_in(answer: HttpAnswer) -> str:
     found = find_header(answer.headers, header_names.LOG_ID)
     assert found is not None, answer
     return found.decode()
 
 
-def refused_request() -> str:
-    """Make a request for no service, and give the id by which logs tell of it."""
-    return log_id_of(ask("GET", "/v1/services/none/x"))
+def send_refused_request() -> str:
+    """Send a request for an unknown service, and return its log id."""
+    return log_id_in(send_request("GET", "/v1/services/none/x"))
 
 
 def wait_for_line(folder: Path, request: str) -> None:
-    wait_until(lambda: f"request={request}" in log_of(folder).read_text(), what=request)
+    wait_until(
+        lambda: f"request={request}" in log_path(folder).read_text(), what=request
+    )
 
 
 def section(heading: str) -> str:
@@ -179,13 +183,15 @@
     return text[text.index(f"### {heading}") :].split("\n#", 1)[0]
 
 
-def follow(folder: Path, heading: str, request: str) -> str:
-    """Run the commands of a section, and give what they print."""
+def run_documented_commands(folder: Path, heading: str, request: str) -> str:
+    """Run the commands of a section of the page, and return their output."""
     commands = re.findall(r"^    plankspindle (.+)$", section(heading), re.MULTILINE)
     assert commands
-    wait_until(lambda: f"request={request}" in log_of(folder).read_text(), what=request)
+    wait_until(
+        lambda: f"request={request}" in log_path(folder).read_text(), what=request
+    )
     filled = [
-        each.replace("REQUEST_ID", request).replace("LOGS", str(log_of(folder)))
+        each.replace("REQUEST_ID", request).replace("LOGS", str(log_path(folder)))
         for each in commands
     ]
     return "".join(run(folder, command) for command in filled)
@@ -194,9 +200,11 @@
 @pytest.fixture
 def serving(folder: Path) -> Path:
     upstreams = {"u": build_upstream(endpoint=UPSTREAM, slots=4, failure_domain="ke-1")}
-    apply_configuration(PLACE, build_configuration(upstreams_by_name=upstreams))
+    apply_configuration(VM_ADDRESSES, build_configuration(upstreams_by_name=upstreams))
     wait_until(
-        lambda: call(PLACE.caller, target="/v1/services/registry/x").status == 200,
+        lambda: (
+            call(VM_ADDRESSES.caller, target="/v1/services/registry/x").status == 200
+        ),
         what="a request is served",
     )
     return folder
@@ -206,114 +214,127 @@
     call(UPSTREAM, "POST", "/control", body=json.dumps(wanted).encode())
 
 
-def test_a_request_rejected_under_load_is_explained(serving: Path) -> None:
+def test_rejection_under_load_is_explained(serving: Path) -> None:
     control_upstream(service_ms=2_000)
     with ThreadPoolExecutor(12) as pool:
         limit = (header_names.TIMEOUT, b"3000")
-        asked = [
-            pool.submit(ask, "GET", "/v1/services/registry/x", limit) for _ in range(12)
+        futures = [
+            pool.submit(send_request, "GET", "/v1/services/registry/x", limit)
+            for _ in range(12)
         ]
-        answers = [each.result() for each in asked]
+        answers = [each.result() for each in futures]
     rejected = [each for each in answers if each.status == 503]
     assert rejected, [each.status for each in answers]
-    printed = follow(serving, "Rejected under load", log_id_of(rejected[0]))
+    printed = run_documented_commands(
+        serving, "Rejected under load", log_id_in(rejected[0])
+    )
     assert "It was rejected as too-late, and was not run" in printed
     assert '"too-late":' in printed
 
 
-def test_an_answer_lost_at_an_upstream_is_explained(serving: Path) -> None:
+def test_lost_answer_of_upstream_is_explained(serving: Path) -> None:
     control_upstream(mode="close-after-run")
-    lost = ask("POST", "/v1/services/registry/x", BRONZE)
+    lost = send_request("POST", "/v1/services/registry/x", BRONZE)
     assert lost.status == 502
     heading = "Answer lost, and the request must not repeat"
-    printed = follow(serving, heading, log_id_of(lost))
+    printed = run_documented_commands(serving, heading, log_id_in(lost))
     assert "Attempt 1 at u ended after" in printed
     assert "It may have run. It was not sent again" in printed
     assert "must not run twice" in printed
 
 
-def test_a_request_that_waited_for_a_slow_platform_is_explained(serving: Path) -> None:
+def test_wait_for_slow_platform_is_explained(serving: Path) -> None:
     faults = json.dumps({"faults": {"delay_ms": 5_000}}).encode()
     call(PLATFORM, "POST", "/control", body=faults)
     key = (header_names.IDEMPOTENCY_KEY, b"k-1")
-    late = ask("POST", "/v1/services/registry/x", BRONZE, key)
+    late = send_request("POST", "/v1/services/registry/x", BRONZE, key)
     assert late.status == 503
     heading = "Late because the platform is slow or cut off"
-    printed = follow(serving, heading, log_id_of(late))
+    printed = run_documented_commands(serving, heading, log_id_in(late))
     assert "lies between request_routed and claim_decided" in printed
     assert "platform: away" in printed
 
 
-def test_a_request_that_is_held_back_is_explained_and_released(serving: Path) -> None:
-    """An upstream ends under each try of one request, and is started again."""
+def test_quarantined_request_is_explained_and_released(serving: Path) -> None:
+    """The upstream crashes under each attempt of one request, and is restarted."""
     target = "/v1/services/registry/crash"
     upstream = f"u={UPSTREAM}=4"
     restarted = Processes(folder=serving)
     try:
         for _ in range(QUARANTINE_AFTER_CRASHES):
             control_upstream(crash_path="/crash")
-            assert ask("GET", target).status in (502, 503)
+            assert send_request("GET", target).status in (502, 503)
             time.sleep(UNNUMBERED_INCARNATION_S)
             module = "plankspindle_testkit.upstream_stand_in"
             restarted.start_module("restarted", module, upstream)
             wait_until(
                 lambda: call(UPSTREAM, target="/load").status == 200, what="upstream"
             )
-        wait_until(lambda: bool(held_back()), what="a request is held back")
-        held = ask("GET", target)
+        wait_until(
+            lambda: bool(quarantined_identities()), what="a request is held back"
+        )
+        held = send_request("GET", target)
         assert held.status == 503
         heading = "Held back since upstreams crashed under it"
-        printed = follow(serving, heading, log_id_of(held))
+        printed = run_documented_commands(serving, heading, log_id_in(held))
         assert "It was held back" in printed
-        assert f"{held_back()[0]}: held back for" in printed
-        run(serving, f"quarantine --lift {held_back()[0]}")
-        wait_until(lambda: ask("GET", target).status == 200, what="it is served again")
+        assert f"{quarantined_identities()[0]}: held back for" in printed
+        run(serving, f"quarantine --lift {quarantined_identities()[0]}")
+        wait_until(
+            lambda: send_request("GET", target).status == 200, what="it is served again"
+        )
     finally:
         restarted.close()
 
 
 @pytest.fixture
 def depot(serving: Path) -> Path:
-    """Put a workspace with a tiny quota in force, whose key routes need."""
+    """Apply a configuration with a tiny quota for the workspace of the route's key."""
     upstreams = {"u": build_upstream(endpoint=UPSTREAM, slots=4, failure_domain="ke-1")}
     configuration = build_configuration(
         upstreams_by_name=upstreams,
-        routes_by_name={"plates": build_route(host=PLACE.host, path_prefix="/plates/")},
+        routes_by_name={
+            "plates": build_route(host=VM_ADDRESSES.host, path_prefix="/plates/")
+        },
         workspaces_by_name={"depot": build_workspace(DEPOT_KEY, rate_per_s=0.001)},
     )
-    apply_configuration(PLACE, configuration)
-    wait_until(lambda: ask("GET", "/plates/1").status == 401, what="the workspace")
+    apply_configuration(VM_ADDRESSES, configuration)
+    wait_until(
+        lambda: send_request("GET", "/plates/1").status == 401, what="the workspace"
+    )
     return serving
 
 
-def test_a_request_over_its_quota_is_explained(depot: Path) -> None:
+def test_refusal_over_quota_is_explained(depot: Path) -> None:
     key = (header_names.AUTHORIZATION, f"Bearer {DEPOT_KEY}".encode())
     refused = []
 
     def is_over_quota() -> bool:
-        refused[:] = [ask("GET", "/plates/1", key)]
+        refused[:] = [send_request("GET", "/plates/1", key)]
         return refused[0].status == 429
 
     wait_until(is_over_quota, what="429")
     assert find_header(refused[0].headers, header_names.RETRY_AFTER) is not None
-    printed = follow(depot, "Refused by its quota", log_id_of(refused[0]))
+    printed = run_documented_commands(
+        depot, "Refused by its quota", log_id_in(refused[0])
+    )
     assert "Workspace depot had used its quota, and the request was not run" in printed
     assert "depot: 0.001/s" in printed
-    assert f"tokens come from {PLACE.name}" in printed
+    assert f"tokens come from {VM_ADDRESSES.name}" in printed
 
 
-def test_a_request_with_an_unknown_key_is_explained(depot: Path) -> None:
+def test_refusal_of_unknown_key_is_explained(depot: Path) -> None:
     key = (header_names.AUTHORIZATION, b"Bearer k-nobody")
-    refused = ask("GET", "/plates/1", key)
+    refused = send_request("GET", "/plates/1", key)
     assert refused.status == 401
-    printed = follow(depot, "Refused for its key", log_id_of(refused))
+    printed = run_documented_commands(depot, "Refused for its key", log_id_in(refused))
     assert "It was refused (401): this API key is not known." in printed
-    assert "k-nobody" not in log_of(depot).read_text()
+    assert "k-nobody" not in log_path(depot).read_text()
 
 
-def held_back() -> list[str]:
-    return list(read_state(PLACE)["quarantine"]["requests"])
+def quarantined_identities() -> list[str]:
+    return list(read_state(VM_ADDRESSES)["quarantine"]["requests"])
 
 
-def digests() -> int:
-    return int(read_state(PLACE)["failure_domains"]["ke-1"]["heard_vms"])
+def heard_vm_count() -> int:
+    return int(read_state(VM_ADDRESSES)["failure_domains"]["ke-1"]["heard_vms"])
