--- a/conftest.py
+++ b/conftest.py
@@ -1,7 +1,7 @@
-"""Tests that are red for a known fault, as ``KNOWN-RED.txt`` lists them.
+"""Expect failures of the tests listed in ``KNOWN-RED.txt``, which have a known fault.
 
-Each line is ``TEST | CAUSE | ISSUE``. Such a test runs and is told in the summary; it
-fails the run when it passes, so that the line is taken away with the fault.
+Each line is ``TEST | CAUSE | ISSUE``. A listed test runs and is printed in the summary.
+The run fails if it passes, so that its line is removed when the fault is fixed.
 """
 
 from __future__ import annotations
@@ -15,25 +15,25 @@
     from collections.abc import Iterable
 
 KNOWN_RED = "KNOWN-RED.txt"
-PARTS = 3
+FIELDS_PER_LINE = 3
 
 
 def read_known_red(text: str) -> dict[str, str]:
-    """Read the causes and issues of red tests by their node ids.
+    """Parse the list into causes and issues by the node ids of the tests.
 
     Raises
     ------
     ValueError
-        If a line is not of three parts, or names a test again.
+        If a line does not have three fields, or a test is listed twice.
     """
     reasons_by_test: dict[str, str] = {}
     for number, line in enumerate(text.splitlines(), start=1):
         if not line.strip():
             continue
-        parts = [part.strip() for part in line.split(" | ")]
-        if len(parts) != PARTS or not all(parts):
+        fields = [part.strip() for part in line.split(" | ")]
+        if len(fields) != FIELDS_PER_LINE or not all(fields):
             raise ValueError(f"{KNOWN_RED}:{number}: not TEST | CAUSE | ISSUE")
-        test, cause, issue = parts
+        test, cause, issue = fields
         if test in reasons_by_test:
             raise ValueError(f"{KNOWN_RED}:{number}: {test} is named twice")
         reasons_by_test[test] = f"{cause} ({issue})"
@@ -43,7 +43,7 @@
 def pytest_collection_modifyitems(
     config: pytest.Config, items: Iterable[pytest.Item]
 ) -> None:
-    """Expect the tests of the list to fail, and all of them."""
+    """Mark all listed tests as strictly expected failures."""
     path = Path(config.rootpath) / KNOWN_RED
     if not path.exists():
         return
@@ -55,5 +55,5 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Print the red tests at the end of each run."""
+    """Print expected failures at the end of each run."""
     config.option.reportchars += "x"
--- a/packages/conftest.py
+++ b/packages/conftest.py
@@ -1,4 +1,4 @@
-"""Settings of all tests: hypothesis gives the same verdict every time."""
+"""Settings of all tests: hypothesis uses the same examples in every run."""
 
 from __future__ import annotations
 
--- a/packages/testkit/src/plankspindle_testkit/builders.py
+++ b/packages/testkit/src/plankspindle_testkit/builders.py
@@ -1,4 +1,4 @@
-"""Builders of configurations and settings for tests, demo and benchmarks."""
+"""Builders of configurations, settings and daemon parts for tests and demo."""
 
 from __future__ import annotations
 
@@ -78,14 +78,14 @@
     upstreams_by_name : dict of str to Upstream, optional
         One upstream with two slots if not given.
     services_by_name : dict of str to Service, optional
-        The registry if not given.
+        The service ``registry`` if not given.
     **fields : object
         Any other field of the configuration.
 
     Returns
     -------
     Configuration
-        Valid as long as the given fields are.
+        Valid if the given fields are.
     """
     defaults: dict[str, Any] = {
         "failure_domains_by_name": {
@@ -152,16 +152,16 @@
 
 @frozen(kw_only=True)
 class VmAddresses:
-    """An entry VM and its addresses on loopback.
+    """Name, failure domain and loopback addresses of an entry VM.
 
     Parameters
     ----------
     name, failure_domain : str
-        The VM and where it stands.
+        The VM, and the failure domain in which it is located.
     host : str
-        Loopback number.
+        Loopback address.
     base_port : int
-        Port of the caller listener; operator and peer use the next two.
+        Port of the caller listener; operator and peer listeners use the next two.
     """
 
     name: str
@@ -185,7 +185,7 @@
         return Endpoint(self.host, self.base_port + 2)
 
     def list_entry(self, *, leaving: bool = False) -> dict[str, Any]:
-        """Give its line in the platform's list of VMs."""
+        """Return its entry in the platform's list of VMs."""
         return {
             "name": self.name,
             "kind": "entry",
@@ -206,14 +206,14 @@
     addresses : VmAddresses
         The VM.
     platform : Endpoint
-        The platform.
+        Address of the platform.
     **sections : object
         Further sections, such as ``timing``.
 
     Returns
     -------
     dict
-        To be written as YAML.
+        Content of the YAML file.
     """
     return {
         "vm": addresses.name,
@@ -230,7 +230,7 @@
 
 
 def build_ticket(number: int, **fields: Any) -> Ticket:
-    """Build a ticket of the most important class with ten seconds to go."""
+    """Build a ticket of the highest priority class with deadline 10 s."""
     defaults: dict[str, Any] = {
         "rank": 0,
         "operation": "GET /",
@@ -243,7 +243,7 @@
 def build_dispatcher(
     *, slots_by_upstream: dict[str, int], queue_limit: int = 100, vm: str = "a"
 ) -> Dispatcher:
-    """Build a dispatcher with warm upstreams whose slots are all its own share.
+    """Build a dispatcher with warm upstreams, whose share is all of their slots.
 
     Parameters
     ----------
@@ -275,12 +275,12 @@
 
 
 def build_reported_slots_dispatcher(*names: str) -> Dispatcher:
-    """Build a dispatcher of upstreams of one slot that any entry VM may use.
+    """Build a dispatcher with upstreams that report their slots, one slot each.
 
     Parameters
     ----------
     *names : str
-        The upstreams, all in the home domain.
+        Names of the upstreams, all in the home domain.
     """
     dispatcher = build_dispatcher(slots_by_upstream={})
     distances = DomainDistances(home_domain="ba-1")
@@ -297,12 +297,12 @@
 
 
 def build_membership(vm: str, *, all_domains: bool = False) -> Membership:
-    """Build the membership of an entry VM that knows nobody yet.
+    """Build the membership of an entry VM, without members.
 
     Parameters
     ----------
     vm : str
-        The VM.
+        Name of the VM.
     all_domains : bool
         Whether entry VMs of all failure domains are members.
     """
@@ -326,9 +326,9 @@
     Parameters
     ----------
     name, failure_domain : str
-        Its name, and where it stands.
+        Its name and failure domain.
     last_heartbeat_at : float, optional
-        Monotonic time of its newest heartbeat, in seconds.
+        Monotonic time of its last heartbeat, in seconds.
     """
     return Member(
         name=name,
@@ -340,14 +340,14 @@
 
 
 def build_reader_group(vm: str, names: Iterable[str]) -> ReaderGroup:
-    """Build the group of an entry VM and others of its failure domain.
+    """Build the reader group of an entry VM in its failure domain.
 
     Parameters
     ----------
     vm : str
-        The VM.
+        Name of the VM.
     names : iterable of str
-        All of the domain, the VM included.
+        All entry VMs of the failure domain; the VM itself may be included.
     """
     membership = build_membership(vm)
     for name in names:
@@ -371,7 +371,7 @@
 def build_reported_slots_upstream(
     name: str, *, slots: int = 4, **fields: Any
 ) -> UpstreamState:
-    """Build a warm upstream that any entry VM may use.
+    """Build a warm upstream that reports its slots, so any entry VM may use it.
 
     Parameters
     ----------
@@ -380,7 +380,7 @@
     slots : int
         Its slots.
     **fields : object
-        Fields of its declaration.
+        Fields of the upstream in the configuration.
     """
     return UpstreamState(
         name=name,
--- a/packages/testkit/src/plankspindle_testkit/call_count.py
+++ b/packages/testkit/src/plankspindle_testkit/call_count.py
@@ -1,4 +1,4 @@
-"""Counts the function calls of a piece of work: a measure that repeats exactly."""
+"""Count function calls: a measure of work that is the same in every run."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 
 def count_calls(work: Callable[[], object]) -> int:
-    """Run a piece of work, and give the number of Python functions it called.
+    """Run a function, and return the number of Python function calls it made.
 
     Notes
     -----
-    Processor time differs from run to run and from machine to machine; this does not.
-    One call stands for some 0.1 microseconds and more.
+    CPU time varies between runs and machines; the number of calls does not. One call
+    takes about 0.1 us or more.
     """
     calls = 0
 
-    def note(frame: FrameType, event: str, argument: Any) -> None:
+    def count_call(frame: FrameType, event: str, argument: Any) -> None:
         nonlocal calls
         del frame, argument
         calls += event == "call"
 
     before = sys.getprofile()
-    sys.setprofile(note)
+    sys.setprofile(count_call)
     try:
         work()
     finally:
--- a/packages/testkit/src/plankspindle_testkit/demo.py
+++ b/packages/testkit/src/plankspindle_testkit/demo.py
@@ -1,4 +1,4 @@
-"""The demo: a small installation on loopback, from look-up to confirmed shift."""
+"""Demo of a small deployment on loopback, from a lookup to a confirmed shift."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 def main() -> None:
-    """Run the demo; it ends its own processes."""
+    """Run the demo, and stop its processes at the end."""
     with tempfile.TemporaryDirectory() as folder:
         processes = Processes(folder=Path(folder))
         try:
@@ -62,8 +62,8 @@
             _show_transfer()
             _show_shift()
             _show_requests("after the shift")
-            _show_meter()
-            _show_race()
+            _show_shift_progress()
+            _show_conflicting_plans()
             _show_drain()
         finally:
             processes.close()
@@ -78,12 +78,12 @@
     processes.start_module(
         "upstreams", "plankspindle_testkit.upstream_stand_in", *upstreams
     )
-    for place in VMS:
-        processes.start_daemon(place, platform=PLATFORM)
-        wait_for_operator_listener(place)
+    for addresses in VMS:
+        processes.start_daemon(addresses, platform=PLATFORM)
+        wait_for_operator_listener(addresses)
     version = apply_configuration(VMS[0], _configuration())
-    for place in VMS:
-        _wait_for_version(place, version)
+    for addresses in VMS:
+        _wait_for_version(addresses, version)
     print(f"started {len(VMS)} entry VMs, version {version} is in force on each")
 
 
@@ -100,13 +100,13 @@
 
 
 def _wait_for_version(addresses: VmAddresses, version: int) -> None:
-    def has_it() -> bool:
+    def is_adopted() -> bool:
         found = read_state(addresses)
         upstreams = found["services"].get("registry", {}).get("upstreams", {})
         in_force = bool(found["configuration"]["version"] >= version)
         return in_force and all(each["share"] for each in upstreams.values())
 
-    wait_until(has_it, what=f"version {version} at {addresses.name}")
+    wait_until(is_adopted, what=f"version {version} at {addresses.name}")
 
 
 def _show_lookup() -> None:
@@ -119,10 +119,10 @@
 def _show_requests(title: str) -> None:
     served: Counter[str] = Counter()
     for number in range(REQUESTS):
-        place = VMS[number % 2]
+        addresses = VMS[number % 2]
         key = b"Bearer " + _dealer_key(number % DEALERS).encode()
         answer = call(
-            place.caller, target=PLATE, headers=[(header_names.AUTHORIZATION, key)]
+            addresses.caller, target=PLATE, headers=[(header_names.AUTHORIZATION, key)]
         )
         name = find_header(answer.headers, header_names.SERVED_BY) or b"nobody"
         served[name.decode()] += 1
@@ -135,9 +135,9 @@
     issued = call(VMS[0].caller, "POST", "/v1/request-ids")
     request_id = json.loads(issued.body)["request_ids"][0]
     print("one transfer with an issued request id, sent three times to two VMs:")
-    for place in (VMS[0], VMS[0], VMS[1]):
+    for addresses in (VMS[0], VMS[0], VMS[1]):
         answer = call(
-            place.caller,
+            addresses.caller,
             "POST",
             "/v1/services/registry/transfers",
             headers=[
@@ -149,7 +149,7 @@
         outcome = find_header(answer.headers, header_names.OUTCOME) or b""
         replayed = find_header(answer.headers, header_names.REPLAYED) is not None
         how = "replayed" if replayed else "run"
-        print(f"  {place.name}: {answer.status} {outcome.decode()} ({how})")
+        print(f"  {addresses.name}: {answer.status} {outcome.decode()} ({how})")
     runs = sum(_count_runs(each.endpoint) for each in UPSTREAMS.values())
     print(f"  executions at the upstreams: {runs}")
 
@@ -173,12 +173,12 @@
         },
     }
     version = confirm_intent(VMS[0], intent)
-    for place in VMS:
-        _wait_for_version(place, version)
+    for addresses in VMS:
+        _wait_for_version(addresses, version)
     print(f"20 percent shift to Košice: confirmed, version {version} is in force")
 
 
-def _show_race() -> None:
+def _show_conflicting_plans() -> None:
     print("two operators plan on the same version; both confirm:")
     plans = [
         _plan({"kind": "class", "caller": "dealer-0", "priority_class": name})
@@ -188,14 +188,14 @@
         target = f"/v1/plans/{plan['id']}/confirm"
         answer = call(VMS[0].operator, "POST", target)
         content = json.loads(answer.body)
-        said = content.get("error", "accepted")
-        print(f"  {plan['effects'][0]}: {said}")
+        result = content.get("error", "accepted")
+        print(f"  {plan['effects'][0]}: {result}")
 
 
 def _plan(intent: dict[str, Any]) -> dict[str, Any]:
     body = json.dumps(intent).encode()
-    made = call(VMS[0].operator, "POST", "/v1/plans", body=body)
-    plan: dict[str, Any] = json.loads(made.body)
+    answer = call(VMS[0].operator, "POST", "/v1/plans", body=body)
+    plan: dict[str, Any] = json.loads(answer.body)
     return plan
 
 
@@ -217,20 +217,20 @@
 
 
 def _only_kosice_is_resolved() -> bool:
-    named = {
+    found_vms = {
         vm["vm"]
-        for place in VMS
+        for addresses in VMS
         for vm in json.loads(
-            call(place.caller, target="/v1/lookup?service=registry").body
+            call(addresses.caller, target="/v1/lookup?service=registry").body
         )["vms"]
     }
-    return named == {"ke-1-a"}
+    return found_vms == {"ke-1-a"}
 
 
-def _show_meter() -> None:
-    for place in VMS[:2]:
-        shift = read_state(place)["shifts"]["relief"]
-        print(f"  {place.name}: moved {shift['moved']} of {shift['total']}")
+def _show_shift_progress() -> None:
+    for addresses in VMS[:2]:
+        shift = read_state(addresses)["shifts"]["relief"]
+        print(f"  {addresses.name}: moved {shift['moved']} of {shift['total']}")
 
 
 if __name__ == "__main__":
--- a/packages/testkit/src/plankspindle_testkit/fleet_node.py
+++ b/packages/testkit/src/plankspindle_testkit/fleet_node.py
@@ -1,4 +1,4 @@
-"""Builder of one entry VM of a large fleet, for tests and benchmarks."""
+"""Builders of an entry VM's node in a large fleet, for tests and benchmarks."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 FAILURE_DOMAINS_PER_REGION = 3
 SLOTS = 9
 UPSTREAMS_PER_SMALL_SERVICE_UPSTREAM = 8
-"""Of so many upstreams one is of the smaller of two services."""
+"""One of this many upstreams belongs to the smaller of the two services."""
 WALL_TIME_S = 1_000.0
 
 
@@ -40,23 +40,23 @@
     Parameters
     ----------
     vms, upstreams : int
-        How many there are, evenly over the failure domains.
+        Numbers of entry VMs and upstreams, spread evenly over the failure domains.
     """
 
     vms: int
     upstreams: int
 
     def failure_domain(self, number: int) -> str:
-        """Give the failure domain of the VM or upstream of a number."""
+        """Return the failure domain of a VM or upstream by its number."""
         region = REGIONS[number % len(REGIONS)]
         return f"{region}-{number // len(REGIONS) % FAILURE_DOMAINS_PER_REGION}"
 
     def vm_name(self, number: int) -> str:
-        """Name an entry VM."""
+        """Return the name of an entry VM."""
         return f"vm-{number:04}"
 
     def live_list(self) -> list[ListedVm]:
-        """Give the platform's list of upstreams and entry VMs."""
+        """Return the platform's list of upstreams and entry VMs."""
         return [
             *(self._listed_upstream(number) for number in range(self.upstreams)),
             *(self.listed_entry_vm(number) for number in range(self.vms)),
@@ -78,7 +78,7 @@
         )
 
     def listed_entry_vm(self, number: int) -> ListedVm:
-        """Give the entry of an entry VM in the platform's list."""
+        """Return the entry of an entry VM in the platform's list."""
         host = f"10.0.{number // 250}.{number % 250 + 1}"
         return ListedVm(
             name=self.vm_name(number),
@@ -91,7 +91,7 @@
     def heartbeat(
         self, number: int, *, sequence: int, is_watched: bool = False
     ) -> Heartbeat:
-        """Give a heartbeat of an entry VM."""
+        """Build a heartbeat of an entry VM."""
         listed = self.listed_entry_vm(number)
         assert listed.caller_endpoint is not None
         assert listed.peer_endpoint is not None
@@ -110,7 +110,7 @@
         )
 
     def membership(self, number: int) -> Membership:
-        """Build the membership of an entry VM that knows nobody yet."""
+        """Build the membership of an entry VM, without members."""
         return Membership(
             options=MembershipOptions(
                 vm=self.vm_name(number),
@@ -123,7 +123,7 @@
         )
 
     def configuration(self) -> Configuration:
-        """Give the configuration: two services whose upstreams tell their load."""
+        """Build a configuration of two services whose upstreams report their load."""
         return Configuration(
             failure_domains_by_name={
                 self.failure_domain(number): FailureDomain(region=REGIONS[number % 3])
@@ -145,7 +145,7 @@
 
 
 def build_empty_node(fleet: Fleet) -> Node:
-    """Build entry VM 0 of a fleet, which has just started."""
+    """Build the node of entry VM 0 of a fleet, just started."""
     own = fleet.listed_entry_vm(0)
     assert own.caller_endpoint is not None
     assert own.peer_endpoint is not None
@@ -175,12 +175,12 @@
 
 
 def build_fleet_node(fleet: Fleet, *, now: float) -> Node:
-    """Build entry VM 0 of a fleet, which knows and hears all others.
+    """Build the node of entry VM 0 of a fleet, with heartbeats from all other VMs.
 
     Parameters
     ----------
     fleet : Fleet
-        The deployment.
+        Size of the deployment.
     now : float
         Monotonic seconds.
     """
--- a/packages/testkit/src/plankspindle_testkit/loopback_network.py
+++ b/packages/testkit/src/plankspindle_testkit/loopback_network.py
@@ -1,10 +1,10 @@
-"""A loopback network of its own for each run of the tests or of a soak.
+"""Separate loopback networks for simultaneous runs of tests and soaks.
 
 Notes
 -----
-Each process that asks for a host claims one network ``127.N.0.0/16`` and keeps it until
-it ends, so that runs on one machine never meet on an address. Linux routes all of
-127.0.0.0/8 to loopback; nothing needs to be set up.
+Each process that needs a host claims one network ``127.N.0.0/16`` and keeps it until it
+exits, so that runs on one machine never use the same address. Linux routes all of
+127.0.0.0/8 to loopback; no setup is needed.
 """
 
 from __future__ import annotations
@@ -17,22 +17,23 @@
 from attrs import field
 
 OCTETS = range(1, 255)
-"""Networks that can be claimed; 127.0 is left to demo, benchmarks and others."""
+"""Networks that can be claimed; 127.0 is used by the demo, benchmarks and others."""
 GUARD_PORT = 19_999
-"""Port of a claim, below 32768: from there on the kernel gives ports to connections."""
+"""Port bound for a claim; from 32768 on the kernel uses ports for connections."""
 _GUARD_HOST = (255, 254)
 
 
 @define(kw_only=True)
 class LoopbackNetwork:
-    """A network that belongs to one process.
+    """A network claimed by one process.
 
     Parameters
     ----------
     octet : int
         Second octet of its addresses.
     guard : socket.socket
-        Holds the claim. The kernel closes it when the process ends, however it ends.
+        Bound socket that is the claim. The kernel closes it when the process exits for
+        any reason.
     """
 
     octet: int
@@ -40,18 +41,17 @@
 
     @classmethod
     def claim(cls, *, guard_port: int = GUARD_PORT) -> LoopbackNetwork:
-        """Claim the first network that is free.
+        """Claim the first free network.
 
         Parameters
         ----------
         guard_port : int
-            Port that is bound for the claim; claims on different ports don't see one
-            another.
+            Port that is bound for the claim; claims on different ports are independent.
 
         Raises
         ------
         RuntimeError
-            If all are claimed.
+            If all networks are claimed.
         """
         for octet in OCTETS:
             guard = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -69,22 +69,22 @@
         )
 
     def host(self, third: int, last: int) -> str:
-        """Give one of its addresses by its last two octets."""
+        """Return the address with the given last two octets."""
         return _host(self.octet, third, last)
 
     def close(self) -> None:
-        """Give the network back."""
+        """Release the claim."""
         self.guard.close()
 
 
 @cache
 def process_network() -> LoopbackNetwork:
-    """Give the network of this process; it is claimed when it is first asked for."""
+    """Return the network of this process, claimed at the first call."""
     return LoopbackNetwork.claim()
 
 
 def loopback_host(third: int, last: int) -> str:
-    """Give an address in the network of this process by its last two octets."""
+    """Return the address in this process's network with the given last two octets."""
     return process_network().host(third, last)
 
 
--- a/packages/testkit/src/plankspindle_testkit/membership_fleet.py
+++ b/packages/testkit/src/plankspindle_testkit/membership_fleet.py
@@ -1,4 +1,4 @@
-"""Memberships of many entry VMs on one fake clock, with datagrams that may be lost."""
+"""Simulated memberships of many entry VMs, with one clock and datagram loss."""
 
 from __future__ import annotations
 
@@ -34,19 +34,19 @@
 TICK_S = 0.25
 ONE_WAY_DELAY_S = 0.035
 START_SPREAD_S = 0.3
-"""Time within which all processes start, in seconds."""
+"""Time over which the starts of all processes are spread, in seconds."""
 
 
 @define(kw_only=True)
 class MembershipFleetVm:
-    """One entry VM.
+    """One entry VM of the simulation.
 
     Parameters
     ----------
     number : int
         Its number in the fleet.
     membership : Membership
-        The members as it counts them.
+        Its view of the members.
     """
 
     number: int
@@ -63,18 +63,18 @@
     Parameters
     ----------
     fleet : Fleet
-        How many there are, and where.
+        Size of the fleet.
     random : Random
-        Source of loss and start times.
+        Source of datagram loss and start times.
     loss_share : float
-        Part of the datagrams that are lost.
+        Share of the datagrams that are lost, 0 to 1.
 
     Attributes
     ----------
     now : float
         Seconds since the start.
     is_blocked : callable
-        Tells whether datagrams from one VM to another are lost, by their numbers.
+        Returns whether all datagrams from one VM to another are lost, by their numbers.
     """
 
     fleet: Fleet
@@ -101,7 +101,7 @@
             )
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock."""
         until = self.now + seconds
         while self._events and self._events[0][0] <= until:
             self.now, _, number, event = heapq.heappop(self._events)
@@ -113,18 +113,18 @@
         self.now = until
 
     def stop(self, numbers: Iterable[int]) -> None:
-        """Let VMs die, or freeze."""
+        """Stop or freeze VMs: they process no events."""
         for number in numbers:
             self.vms[number].is_running = False
 
     def resume(self, number: int) -> None:
-        """Let a frozen VM go on."""
+        """Resume a frozen VM."""
         vm = self.vms[number]
         vm.is_running = True
         self._perform(vm, vm.membership.handle(ProcessPaused(), self.now))
 
     def suspected_by(self, number: int) -> set[str]:
-        """Name the members that a VM takes for silent."""
+        """Return the names of the members that a VM suspects."""
         membership = self.vms[number].membership
         suspect_after_s = membership.suspect_after_s()
         return {
@@ -134,14 +134,17 @@
         }
 
     def seconds_until(self, condition: Callable[[], bool], *, limit_s: float) -> float:
-        """Let time pass until something is so; give the time that it took."""
+        """Advance the clock until a condition holds; return the seconds it took.
+
+        Stops after ``limit_s`` if the condition does not hold by then.
+        """
         began = self.now
         while not condition() and self.now - began < limit_s:
             self.run(TICK_S)
         return self.now - began
 
     def all_suspect(self, numbers: Iterable[int]) -> bool:
-        """Tell whether every running VM takes just some members for silent."""
+        """Return whether every running VM suspects exactly the given members."""
         names = {self.fleet.vm_name(number) for number in numbers}
         running = [each.number for each in self.vms if each.is_running]
         return all(self.suspected_by(number) == names for number in running)
--- a/packages/testkit/src/plankspindle_testkit/processes.py
+++ b/packages/testkit/src/plankspindle_testkit/processes.py
@@ -1,4 +1,4 @@
-"""Daemons and stand-ins as processes on loopback, for demo, tests and benchmarks."""
+"""Run daemons and stand-ins as processes on loopback, for demo, tests, benchmarks."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
 
 @define(kw_only=True)
 class Processes:
-    """Processes started here, ended by :meth:`close`.
+    """Child processes, all stopped by :meth:`close`.
 
     Parameters
     ----------
     folder : Path
-        Where settings and logs go.
+        Folder of their settings and logs.
     """
 
     folder: Path
@@ -54,11 +54,11 @@
     def start_platform(
         self, endpoint: Endpoint, entry_vms: Sequence[VmAddresses]
     ) -> None:
-        """Start the platform stand-in and have it list entry VMs."""
+        """Start the platform stand-in, and set its list of entry VMs."""
         module = "plankspindle_testkit.platform_stand_in"
         self.start_module("platform", module, str(endpoint))
         wait_until(lambda: call(endpoint, target="/vms").status == 200, what="platform")
-        vms = {"vms": [place.list_entry() for place in entry_vms]}
+        vms = {"vms": [addresses.list_entry() for addresses in entry_vms]}
         call(endpoint, "POST", "/control", body=json.dumps(vms).encode())
 
     def start_daemon(
@@ -70,7 +70,7 @@
         prelude: str = "",
         **sections: Any,
     ) -> None:
-        """Start a daemon, writing its settings first.
+        """Write the settings of a daemon and start it.
 
         Parameters
         ----------
@@ -79,17 +79,18 @@
         platform : Endpoint
             The platform stand-in.
         log_to_file : bool
-            Whether anybody reads what it writes; otherwise the pipe runs full.
+            Whether standard output goes to the log file; otherwise it goes to a pipe
+            that nobody reads and that fills up.
         prelude : str
-            Statements that run before the daemon, to change it.
+            Python statements that run before the daemon, to patch it.
         **sections : object
             Sections of the settings.
         """
         mapping = build_settings_mapping(addresses, platform=platform, **sections)
         path = self.folder / f"{addresses.name}.yaml"
         path.write_text(yaml.safe_dump(mapping), encoding="utf-8")
-        entry = "from plankspindle_daemon.console.entry_point import main; main()"
-        command = [sys.executable, "-c", f"{prelude}\n{entry}", "run", str(path)]
+        start_code = "from plankspindle_daemon.console.entry_point import main; main()"
+        command = [sys.executable, "-c", f"{prelude}\n{start_code}", "run", str(path)]
         self._start(addresses.name, command, log_to_file=log_to_file)
 
     def _start(
@@ -108,15 +109,15 @@
         self.process_by_name[name].send_signal(number)
 
     def wait_for_exit(self, name: str, *, timeout_s: float = EXIT_TIMEOUT_S) -> int:
-        """Wait for the end of a process and give its exit status."""
+        """Wait for a process to exit, and return its exit status."""
         return self.process_by_name[name].wait(timeout_s)
 
     def read_log(self, name: str) -> str:
-        """Give what a process wrote."""
+        """Return the log of a process."""
         return (self.folder / f"{name}.log").read_text(encoding="utf-8")
 
     def close(self) -> None:
-        """End every process that still runs."""
+        """Kill every process that still runs, also stopped ones."""
         running = [
             each for each in self.process_by_name.values() if each.poll() is None
         ]
@@ -136,12 +137,12 @@
     body: bytes = b"",
     timeout_s: float = 10.0,
 ) -> HttpAnswer:
-    """Make one HTTP call from outside a curio kernel.
+    """Make one HTTP call from code that does not run in a curio kernel.
 
     Raises
     ------
     ConnectionError
-        If no complete answer came.
+        If no complete answer was received.
     """
 
     async def run() -> Any:
@@ -157,19 +158,19 @@
     answer = curio.run(run)
     if answer.is_err():
         raise ConnectionError(f"{endpoint}{target}: {answer.unwrap_err()}")
-    found: HttpAnswer = answer.unwrap()
-    return found
+    complete_answer: HttpAnswer = answer.unwrap()
+    return complete_answer
 
 
 def wait_until(
     condition: Callable[[], bool], *, what: str, timeout_s: float = 15.0
 ) -> None:
-    """Wait until a check holds; a refused connection counts as not yet.
+    """Wait until a condition holds; on a connection error, check again.
 
     Raises
     ------
     TimeoutError
-        If it does not hold in time.
+        If the condition does not hold in time.
     """
     end = time.monotonic() + timeout_s
     while time.monotonic() < end:
@@ -183,7 +184,7 @@
 
 
 def wait_for_operator_listener(addresses: VmAddresses) -> None:
-    """Wait until a daemon serves operators, which it does last when it starts."""
+    """Wait for the operator listener of a daemon, the last one to start."""
     wait_until(
         lambda: call(addresses.operator, target="/health").status == 200,
         what=addresses.name,
@@ -197,24 +198,24 @@
 
 
 def apply_configuration(addresses: VmAddresses, configuration: Configuration) -> int:
-    """Plan and confirm a whole configuration through one daemon.
+    """Plan and confirm a complete configuration through one daemon.
 
     Returns
     -------
     int
-        The version it became.
+        Version of the configuration.
     """
     mapping = configuration_to_mapping(configuration)
     return confirm_intent(addresses, {"kind": "apply", "configuration": mapping})
 
 
 def confirm_intent(addresses: VmAddresses, intent: dict[str, Any]) -> int:
-    """Plan and confirm an intent, and give the version it became."""
-    made = call(
+    """Plan and confirm an intent, and return the resulting version."""
+    created = call(
         addresses.operator, "POST", "/v1/plans", body=json.dumps(intent).encode()
     )
-    plan = json.loads(made.body)
-    if made.status != 201:
+    plan = json.loads(created.body)
+    if created.status != 201:
         raise ConnectionError(f"no plan: {plan}")
     confirmed = call(addresses.operator, "POST", f"/v1/plans/{plan['id']}/confirm")
     if confirmed.status != 200:
--- a/packages/testkit/src/plankspindle_testkit/quota_fleet.py
+++ b/packages/testkit/src/plankspindle_testkit/quota_fleet.py
@@ -1,4 +1,4 @@
-"""Quotas of many entry VMs on one fake clock, with messages that may be lost."""
+"""Simulated quotas of many entry VMs, with one clock and message loss."""
 
 from __future__ import annotations
 
@@ -41,20 +41,20 @@
 TICK_S = 0.1
 LOCAL_DELAY_S = 0.0005
 REMOTE_DELAY_S = 0.035
-"""One-way delays within a region and between two, in seconds."""
+"""One-way delays within a region and between regions, in seconds."""
 FALSE_SUSPICION_S = 0.7
-"""Time for which a wrong belief lasts, in seconds."""
+"""Duration of a false suspicion, in seconds."""
 UPSTREAM_ANSWER_S = 0.001
 """Time from a request to an upstream to its answer, in seconds."""
 DETECTION_S = 1.0
-"""Time after which a VM that cannot be reached counts as silent, in seconds."""
+"""Time after which an unreachable VM counts as silent, in seconds."""
 REGIONS = ("bratislava", "zilina", "kosice")
 _PORT = 7000
 
 
 @define(kw_only=True)
 class FakeMembership:
-    """Members as one VM counts them: those that it could reach lately."""
+    """View of one VM: the members, and those of them that are silent."""
 
     fleet: QuotaFleet
     vm: str
@@ -63,13 +63,13 @@
     listed_by_name: dict[str, ListedVm] = Factory(dict)
 
     def is_silent(self, member: Member, now: float) -> bool:
-        """Tell whether a member was out of reach for long."""
+        """Return whether a member counts as silent."""
         return self.fleet.is_silent(self.vm, member.name, now)
 
 
 @define(kw_only=True)
 class QuotaFleetVm:
-    """One entry VM of the fleet."""
+    """One entry VM of the simulation."""
 
     name: str
     region: str
@@ -81,39 +81,39 @@
 
 @define(kw_only=True)
 class QuotaFleet:
-    """Entry VMs that keep quotas together.
+    """Entry VMs that enforce quotas together.
 
     Parameters
     ----------
     random : Random
         Source of all random choices.
     workspaces_by_name : dict of str to Workspace
-        The quotas.
+        Workspaces with their quotas.
     slack_requests : float
-        What the fleet admits beyond a burst.
+        Requests that the fleet may admit beyond a burst.
     loss_share : float
-        Part of the messages that are lost.
+        Share of the messages that are lost, 0 to 1.
     regions : tuple of str
-        Regions among which VMs are divided.
+        Regions of the VMs, assigned in turn.
 
     Attributes
     ----------
     is_reachable : callable
-        Tells whether messages of one VM reach another.
+        Returns whether messages of one VM reach another, by their names.
     max_extra_delay_s : float
         Longest additional delay of a message, in seconds.
     false_suspicion_share : float
-        Part of the others that each VM takes for silent, without reason.
+        Share of the running members that each VM falsely takes for silent.
     admitted_at_by_workspace, refused_at_by_workspace : dict of str to list of float
-        When requests got a token, and when they got none.
+        Times at which requests got a token or were refused one, in seconds.
     refusals : list of TokenRefused
-        Each refusal.
+        All refusals.
     sent_by_kind : Counter of str
-        Messages that were sent.
+        Sent messages by class name.
     limit_by_incarnation : dict of str to float
-        Limits that upstreams name now, in requests a second.
+        Limits that upstreams currently announce, in requests per second.
     arrived_at_by_incarnation : dict of str to list of float
-        When requests of VMs reached an upstream that had told them of its limit.
+        Times at which an upstream got requests from VMs that knew its limit.
     """
 
     random: Random
@@ -139,7 +139,7 @@
     _waiting_by_vm_and_incarnation: Counter[tuple[str, str]] = field(factory=Counter)
 
     def add_vms(self, vm_count: int) -> None:
-        """Start some more VMs."""
+        """Start additional VMs."""
         first = len(self.vms_by_name)
         for index in range(first, first + vm_count):
             self._start(f"vm-{index}", self.regions[index % len(self.regions)])
@@ -147,35 +147,33 @@
             self._update_members(vm)
 
     def restart(self, name: str) -> None:
-        """End a VM's process and start another."""
+        """Restart a VM's process."""
         self._start(name, self.vms_by_name[name].region)
         self._update_members(self.vms_by_name[name])
 
     def apply_workspaces(self, workspaces_by_name: dict[str, Workspace]) -> None:
-        """Put other quotas in force at all VMs that run."""
+        """Apply other quotas at all VMs."""
         self.workspaces_by_name = workspaces_by_name
         for vm in self.vms_by_name.values():
             vm.quotas.update_configuration(self._configuration())
 
     def partition(self, is_reachable: Callable[[str, str], bool]) -> None:
-        """Say from now on which VM reaches which."""
+        """Partition the network: set which VM reaches which from now on."""
         self.is_reachable = is_reachable
         self._partitioned_since = self.now
 
     def heal(self) -> None:
-        """Let all VMs reach each other."""
+        """End a partition: all VMs reach each other."""
         self.is_reachable = lambda one, other: True
         self._partitioned_since = None
 
     def is_silent(self, vm: str, other: str, now: float) -> bool:
-        """Tell whether one VM has noticed that it does not hear another."""
+        """Return whether one VM has detected that another is silent."""
         if not self.vms_by_name[other].is_running:
             return True
         if self.false_suspicion_share > 0.0:
-            guess = (
-                stable_hash(f"{vm} {other} {int(now / FALSE_SUSPICION_S)}") / 2.0**64
-            )
-            return guess < self.false_suspicion_share
+            draw = stable_hash(f"{vm} {other} {int(now / FALSE_SUSPICION_S)}") / 2.0**64
+            return draw < self.false_suspicion_share
         since = self._partitioned_since
         return (
             since is not None
@@ -184,7 +182,7 @@
         )
 
     def receive_request(self, vm: str, workspace: str) -> None:
-        """Let a request of a workspace come to a VM."""
+        """Let a VM receive a request of a workspace."""
         ticket = next(self._numbers)
         self._workspace_by_ticket[ticket] = workspace
         running = self.vms_by_name[vm]
@@ -194,46 +192,46 @@
             )
 
     def send_to_upstream(self, vm: str, incarnation: str) -> None:
-        """Let a request come to a VM that wants to go on to an upstream."""
+        """Let a VM receive a request that it sends on to an upstream, if it may."""
         running = self.vms_by_name[vm]
         if not running.is_running:
             return
-        gate = running.quotas.limits.limiter_by_incarnation.get(incarnation)
-        if gate is not None and not gate.has_token(self.now):
+        limiter = running.quotas.limits.limiter_by_incarnation.get(incarnation)
+        if limiter is not None and not limiter.has_token(self.now):
             self._waiting_by_vm_and_incarnation[vm, incarnation] += 1
-            if gate.may_request_token(self.now):
-                gate.record_token_request(self.now)
-                wanted = running.quotas.request_upstream_token(
+            if limiter.may_request_token(self.now):
+                limiter.record_token_request(self.now)
+                effects = running.quotas.request_upstream_token(
                     incarnation, incarnation, self.now
                 )
-                self._perform(running, wanted)
+                self._perform(running, effects)
         else:
             self._arrive(running, incarnation)
 
     def _arrive(self, vm: QuotaFleetVm, incarnation: str) -> None:
-        """Let a request reach an upstream, and its answer come at once."""
-        gate = vm.quotas.limits.limiter_by_incarnation.get(incarnation)
-        if gate is not None:
-            gate.use_token(self.now)
+        """Deliver a request to an upstream, and its answer immediately."""
+        limiter = vm.quotas.limits.limiter_by_incarnation.get(incarnation)
+        if limiter is not None:
+            limiter.use_token(self.now)
             self.arrived_at_by_incarnation.setdefault(incarnation, []).append(self.now)
         statement = UpstreamStatement(
             limit_per_s=self.limit_by_incarnation.get(incarnation)
         )
-        # An answer is later than its request, by which a limit is seen to be lifted.
-        told = vm.quotas.limits.apply_statement(
+        # The answer must be later than its request, or a lifted limit goes unnoticed.
+        messages = vm.quotas.limits.apply_statement(
             incarnation, statement, sent_at=self.now - UPSTREAM_ANSWER_S, now=self.now
         )
-        self._perform(vm, [*told])
+        self._perform(vm, [*messages])
 
     def _serve_waiting(self, vm: QuotaFleetVm, incarnation: str) -> None:
-        """Send what waits for a token that came; the rest goes to other upstreams."""
+        """Send one waiting request with a received token; others go elsewhere."""
         waiting = self._waiting_by_vm_and_incarnation.pop((vm.name, incarnation), 0)
-        gate = vm.quotas.limits.limiter_by_incarnation.get(incarnation)
-        if waiting and gate is not None and gate.has_token(self.now):
+        limiter = vm.quotas.limits.limiter_by_incarnation.get(incarnation)
+        if waiting and limiter is not None and limiter.has_token(self.now):
             self._arrive(vm, incarnation)
 
     def run(self, seconds: float, load: Callable[[float], None] | None = None) -> None:
-        """Let time pass, with a load that is called every tenth of a second."""
+        """Advance the clock, calling ``load`` every 0.1 s."""
         until = self.now + seconds
         while self.now < until:
             if load is not None:
@@ -244,11 +242,11 @@
                     self._perform(vm, self._tick(vm))
 
     def max_admitted(self, workspace: str, window_s: float) -> int:
-        """Give the most requests that were admitted in any window."""
+        """Return the highest number of requests admitted in any window."""
         return max_in_window(self.admitted_at_by_workspace.get(workspace, []), window_s)
 
     def max_arrived(self, incarnation: str, window_s: float, since: float = 0.0) -> int:
-        """Give the most requests that reached an upstream in any window."""
+        """Return the highest number of requests at an upstream in any window."""
         arrived = [
             at
             for at in self.arrived_at_by_incarnation.get(incarnation, [])
@@ -283,8 +281,8 @@
                     refused = self.refused_at_by_workspace.setdefault(workspace, [])
                     refused.append(self.now)
                     self.refusals.append(effect)
-                case FleetLimiterChanged(service=life):
-                    self._serve_waiting(vm, life)
+                case FleetLimiterChanged(service=incarnation):
+                    self._serve_waiting(vm, incarnation)
 
     def _send(self, vm: QuotaFleetVm, message: QuotaMessage, to: Endpoint) -> None:
         self.sent_by_kind[type(message).__name__] += 1
@@ -345,10 +343,10 @@
 
 
 def max_in_window(times: list[float], window_s: float) -> int:
-    """Give the most of rising times that lie within a window, in seconds."""
-    most = first = 0
+    """Return the highest number of ascending times within a window, in seconds."""
+    maximum = first = 0
     for index, at in enumerate(times):
         while times[first] < at - window_s:
             first += 1
-        most = max(most, index - first + 1)
-    return most
+        maximum = max(maximum, index - first + 1)
+    return maximum
--- a/packages/testkit/src/plankspindle_testkit/serving.py
+++ b/packages/testkit/src/plankspindle_testkit/serving.py
@@ -1,4 +1,4 @@
-"""Running stand-ins as processes of their own."""
+"""Run stand-ins as separate processes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Startable(Protocol):
-    """Something with an explicit start and close."""
+    """A server with an explicit start and close."""
 
     async def start(self) -> None:
         """Start."""
@@ -24,7 +24,7 @@
 
 
 async def serve_until_killed(servers: Sequence[Startable]) -> None:
-    """Start servers and keep them until the process is ended, at most an hour."""
+    """Start servers and serve until the process is killed, at most an hour."""
     for server in servers:
         await server.start()
     try:
--- a/packages/testkit/tests/test_loopback_network.py
+++ b/packages/testkit/tests/test_loopback_network.py
@@ -1,4 +1,4 @@
-"""Claims of loopback networks, by this process and by others."""
+"""Tests of claiming loopback networks in this process and in others."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
     from collections.abc import Iterator
 
 FIRST, SECOND = OCTETS[:2]
-RUN = """
+OTHER_RUN_CODE = """
 from plankspindle_testkit.loopback_network import LoopbackNetwork
 network = LoopbackNetwork.claim(guard_port={})
 print(network.octet, flush=True)
 input()
 """
-"""A run that claims a network, tells it, and ends when it is told to."""
+"""Claims a network, prints its octet, and exits after a line of input."""
 
 
 @pytest.fixture
 def guard_port() -> int:
-    """Give a port for claims that no run beside this one uses."""
+    """Return a claim port that no simultaneous test run uses."""
     return 19_000 + process_network().octet
 
 
 @pytest.fixture
 def other_run(guard_port: int) -> Iterator[subprocess.Popen[str]]:
     with subprocess.Popen(
-        [sys.executable, "-c", RUN.format(guard_port)],
+        [sys.executable, "-c", OTHER_RUN_CODE.format(guard_port)],
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
         text=True,
@@ -44,12 +44,12 @@
         process.kill()
 
 
-def octet_of(run: subprocess.Popen[str]) -> int:
+def read_octet(run: subprocess.Popen[str]) -> int:
     assert run.stdout is not None
     return int(run.stdout.readline())
 
 
-def test_two_claims_at_once_differ(guard_port: int) -> None:
+def test_simultaneous_claims_get_different_networks(guard_port: int) -> None:
     first = LoopbackNetwork.claim(guard_port=guard_port)
     second = LoopbackNetwork.claim(guard_port=guard_port)
     assert (first.octet, second.octet) == (FIRST, SECOND)
@@ -58,7 +58,7 @@
     first.close()
 
 
-def test_a_network_that_was_given_back_is_free(guard_port: int) -> None:
+def test_closed_network_can_be_claimed_again(guard_port: int) -> None:
     for _ in range(2):
         network = LoopbackNetwork.claim(guard_port=guard_port)
         assert network.octet == FIRST
@@ -66,24 +66,24 @@
 
 
 @pytest.mark.parametrize("is_killed", [False, True])
-def test_another_run_has_its_own_network_until_it_ends(
+def test_other_process_keeps_its_network_until_it_ends(
     other_run: subprocess.Popen[str], guard_port: int, is_killed: bool
 ) -> None:
-    assert octet_of(other_run) == FIRST
-    beside = LoopbackNetwork.claim(guard_port=guard_port)
-    assert beside.octet == SECOND
-    beside.close()
+    assert read_octet(other_run) == FIRST
+    concurrent = LoopbackNetwork.claim(guard_port=guard_port)
+    assert concurrent.octet == SECOND
+    concurrent.close()
     if is_killed:
         other_run.kill()
     else:
         other_run.communicate("\n")
     other_run.wait(10.0)
-    after = LoopbackNetwork.claim(guard_port=guard_port)
-    assert after.octet == FIRST
-    after.close()
+    later = LoopbackNetwork.claim(guard_port=guard_port)
+    assert later.octet == FIRST
+    later.close()
 
 
-def test_all_hosts_of_a_run_are_of_one_network() -> None:
+def test_hosts_of_one_process_share_one_network() -> None:
     octet = process_network().octet
     assert octet in OCTETS
     assert [loopback_host(7, 9), loopback_host(12, 1)] == [
@@ -92,7 +92,7 @@
     ]
 
 
-def test_without_a_free_network_the_error_tells_what_to_end(
+def test_error_names_remedy_when_no_network_is_free(
     monkeypatch: pytest.MonkeyPatch, guard_port: int
 ) -> None:
     module = "plankspindle_testkit.loopback_network.OCTETS"
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""A test of the list may fail, no other may, and none of the list may pass."""
+"""Tests of the list of expected failures, ``KNOWN-RED.txt``."""
 
 from __future__ import annotations
 
@@ -18,29 +18,31 @@
     (folder / "KNOWN-RED.txt").write_text(listed)
     (folder / "pytest.ini").write_text("[pytest]\n")
     command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"]
-    ended = subprocess.run(command, cwd=folder, capture_output=True, text=True)
-    return ended.returncode, ended.stdout + ended.stderr
+    completed = subprocess.run(command, cwd=folder, capture_output=True, text=True)
+    return completed.returncode, completed.stdout + completed.stderr
 
 
-def test_a_listed_test_may_fail_and_is_printed(tmp_path: Path) -> None:
-    status, told = run(tmp_path, "test_them.py::test_red | it can't yet | issue 1\n")
+def test_listed_failure_passes_and_is_printed(tmp_path: Path) -> None:
+    status, output = run(tmp_path, "test_them.py::test_red | it can't yet | issue 1\n")
     assert status == 0
-    assert "XFAIL test_them.py::test_red - it can't yet (issue 1)" in told
+    assert "XFAIL test_them.py::test_red - it can't yet (issue 1)" in output
 
 
-def test_a_test_that_is_not_listed_may_not_fail(tmp_path: Path) -> None:
+def test_unlisted_failure_fails_the_run(tmp_path: Path) -> None:
     assert run(tmp_path, "")[0] == 1
 
 
-def test_a_listed_test_may_not_pass(tmp_path: Path) -> None:
+def test_listed_test_that_passes_fails_the_run(tmp_path: Path) -> None:
     red = "test_them.py::test_red | it can't yet | issue 1\n"
-    status, told = run(tmp_path, red + "test_them.py::test_green | mended | issue 2\n")
+    status, output = run(
+        tmp_path, red + "test_them.py::test_green | mended | issue 2\n"
+    )
     assert status == 1
-    assert "test_green" in told
+    assert "test_green" in output
 
 
 @pytest.mark.parametrize("line", ["test", "test | cause", "a | b | ", "a | b | c | d"])
-def test_a_line_that_says_too_little_ends_the_run(tmp_path: Path, line: str) -> None:
-    status, told = run(tmp_path, line + "\n")
+def test_malformed_line_fails_the_run(tmp_path: Path, line: str) -> None:
+    status, output = run(tmp_path, line + "\n")
     assert status != 0
-    assert "KNOWN-RED.txt:1: not TEST | CAUSE | ISSUE" in told
+    assert "KNOWN-RED.txt:1: not TEST | CAUSE | ISSUE" in output
