--- a/tests/fleet/soak/__main__.py
+++ b/tests/fleet/soak/__main__.py
@@ -54,7 +54,7 @@
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     end = time.monotonic() + 60 * minutes
     counts: Counter[str] = Counter()
-    struck: Counter[str] = Counter()
+    injected_by_kind: Counter[str] = Counter()
     failed = []
     faults = None if schedule is None else tuple(read_schedule(schedule.read()))
     for number in count(seed):
@@ -66,23 +66,23 @@
             faults=faults,
             module=module,
         )
-        verdict = _run(plan)
-        counts += verdict.counts
-        struck += verdict.injected_by_kind
-        state = "broken" if verdict.violations else "held"
-        click.echo(f"{state}: seed={number} vms={vms} logs: {verdict.folder}")
-        kinds = Counter(each.check for each in verdict.violations)
-        if verdict.violations:
+        result = _run(plan)
+        counts += result.counts
+        injected_by_kind += result.injected_by_kind
+        state = "broken" if result.violations else "held"
+        click.echo(f"{state}: seed={number} vms={vms} logs: {result.folder}")
+        kinds = Counter(each.check for each in result.violations)
+        if result.violations:
             failed.append(number)
-            click.echo(f"  {_text(kinds)}")
-            for each in verdict.violations[:MAX_PRINTED_VIOLATIONS]:
+            click.echo(f"  {_format_counts(kinds)}")
+            for each in result.violations[:MAX_PRINTED_VIOLATIONS]:
                 click.echo(f"  {each.check} at {each.at:.3f}: {each.detail}")
             if shrink:
-                _shrink(plan, verdict)
+                _shrink(plan, result)
         if time.monotonic() > end or (failed and not keep_going):
             break
     click.echo(f"seeds {seed} to {number}, failed: {failed or 'none'}")
-    click.echo(f"{_text(counts)}\nfaults: {_text(struck)}")
+    click.echo(f"{_format_counts(counts)}\nfaults: {_format_counts(injected_by_kind)}")
     sys.exit(bool(failed))
 
 
@@ -91,22 +91,22 @@
     return run_and_close(soak.run, soak.fault_injector.processes)
 
 
-def _shrink(plan: SoakPlan, verdict: SoakResult) -> None:
-    """Leave out one fault after the other while what broke first breaks."""
-    check = verdict.violations[0].check
-    path = verdict.folder / "schedule.jsonl"
+def _shrink(plan: SoakPlan, result: SoakResult) -> None:
+    """Remove faults one by one while the check of the first violation still fails."""
+    check = result.violations[0].check
+    path = result.folder / "schedule.jsonl"
     faults = read_schedule(path.read_text(encoding="utf-8"))
 
-    def breaks(fewer: tuple[SoakFault, ...]) -> bool:
-        found = _run(evolve(plan, faults=fewer)).violations
-        return any(each.check == check for each in found)
+    def still_fails(fewer_faults: tuple[SoakFault, ...]) -> bool:
+        violations = _run(evolve(plan, faults=fewer_faults)).violations
+        return any(each.check == check for each in violations)
 
-    needed = minimize_faults(faults, breaks)
+    needed = minimize_faults(faults, still_fails)
     click.echo(f"needed to break {check!r}, {len(needed)} of {len(faults)} faults:")
     click.echo(write_schedule(needed))
 
 
-def _text(counted: Counter[str]) -> str:
+def _format_counts(counted: Counter[str]) -> str:
     return ", ".join(f"{name} {times}" for name, times in sorted(counted.items()))
 
 
--- a/tests/fleet/soak/callers.py
+++ b/tests/fleet/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a soak, each on a kept connection to one entry VM."""
+"""Callers of a soak, each with a persistent connection to one entry VM."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 ANSWER_TIMEOUT_S = 4.0
 CONNECT_TIMEOUT_S = 1.0
 KEYED_SHARE = 0.75
-"""Keys spread requests over all upstreams; without, few are used while little runs."""
+"""Keys spread requests over all upstreams; without them low load uses only a few."""
 SURPLUS_AFTER_ANSWER = "bytes came after an answer"
 PAUSE_S = (0.08, 0.25)
 MAX_BODY_BYTES = 100_000
@@ -45,21 +45,21 @@
     Parameters
     ----------
     vm : str
-        The VM.
+        Name of the VM.
     endpoint : Endpoint
-        Its address.
+        Address of the VM.
     incarnation : callable
-        Gives the number of the process that runs there.
+        Returns the number of the process that runs on the VM.
     checks : Checks
-        What judges the answers.
+        Gets the observed requests.
     upstreams : Upstreams
-        What knows where requests ran.
+        The upstreams, with the executions of requests.
     random : Random
-        Source of choices.
+        Source of random choices.
     pause_factor : float
-        Factor on the pauses.
+        Factor on the pauses between requests.
     keyed_share : float
-        Part of its requests that carry an affinity key, a new one each.
+        Share of the requests that have an affinity key, a new one each.
     """
 
     vm: str
@@ -101,7 +101,7 @@
         request = f"{self.random.getrandbits(64):016x}"
         prefix = self.checks.history.draw_prefix(self.random)
         has_key = self.random.random() < self.keyed_share
-        life, sent_at = self.incarnation(), monotonic()
+        incarnation, sent_at = self.incarnation(), monotonic()
         status, surplus, self._surplus = None, self._surplus, ""
         with suppress(TaskTimeout):
             status = await timeout_after(
@@ -112,11 +112,11 @@
             if status is not None and _has_bytes(self._connection):
                 self._surplus = SURPLUS_AFTER_ANSWER
             await self._close()
-        told = ObservedRequest(
+        observed = ObservedRequest(
             request=request,
             vm=self.vm,
             prefix=prefix,
-            incarnation=life if life == self.incarnation() else None,
+            incarnation=incarnation if incarnation == self.incarnation() else None,
             sent_at=sent_at,
             ended_at=ended_at,
             status=status,
@@ -126,7 +126,7 @@
         )
         self._surplus = ""
         self.checks.record_request(
-            told, self.upstreams.runs_by_id.setdefault(request, [])
+            observed, self.upstreams.runs_by_id.setdefault(request, [])
         )
 
     async def _exchange(self, request: str, prefix: str, has_key: bool) -> int | None:
@@ -160,7 +160,7 @@
 
 
 def _has_bytes(connection: ClientConnection) -> bool:
-    """Tell whether more came on a connection that rests, other than its end."""
+    """Return whether an idle connection has received data, not only its close."""
     if connection._protocol.trailing_data[0]:
         return True
     with suppress(OSError):
--- a/tests/fleet/soak/checks.py
+++ b/tests/fleet/soak/checks.py
@@ -1,4 +1,4 @@
-"""What must hold, checked from what callers and upstreams saw."""
+"""Checks of invariants from the observations of callers and upstreams."""
 
 from __future__ import annotations
 
@@ -18,39 +18,42 @@
 from soak.upstreams import Run
 
 ALLOWED_ROLLBACK_S = 0.25
-"""Time in which an older version may still be seen after a newer one, in seconds."""
+"""Time in which an older version may still be observed after a newer one, in s."""
 CLOSE_CROSSING_S = 0.2
 """Time in which a request may cross the close of its connection, in seconds."""
 CALLER_GAVE_UP_S = 3.9
-"""Time from which on a caller gave up, and the connection was not closed on it."""
+"""Duration of a request from which on its caller timed out, in seconds.
+
+Shorter ones without an answer were lost by a close of the connection.
+"""
 MAX_STALL_S = 0.5
 MIN_SERVED_SHARE = 0.9
 NOT_FOUND_STATUS = 404
 OK = 200
 UNDUE_STATUSES = (401, 429)
-"""Answers that are never due to a known key whose workspace is below its quota."""
+"""Statuses that are never correct for a known key and a workspace below its quota."""
 
 
 @frozen(kw_only=True)
 class ObservedRequest:
-    """One request and what its caller saw.
+    """One request as observed by its caller.
 
     Parameters
     ----------
     request, vm, prefix : str
-        Its id, where it was sent, and its route.
+        Id of the request, entry VM that got it, and its route.
     incarnation : int
-        Which process of the VM took it; None if that was not one alone.
+        Number of the process that ran on the VM; None if it was restarted meanwhile.
     sent_at, ended_at : float
         Monotonic seconds.
     status : int or None
-        Status of a whole answer.
+        Status of the answer if that was complete.
     is_lost : bool
-        Whether its connection was made, but ended or stayed silent without an answer.
+        Whether its connection was established, but closed or timed out without answer.
     has_key : bool
-        Whether it carried an affinity key.
+        Whether it had an affinity key.
     surplus : str
-        What came that was no answer to it, if something did.
+        Description of received data that is no answer to it; empty if there was none.
     """
 
     request: str
@@ -67,16 +70,16 @@
 
 @frozen(kw_only=True)
 class Violation:
-    """Something that must hold and did not.
+    """Violation of an invariant.
 
     Parameters
     ----------
     check : str
-        Which check found it.
+        Name of the check that detected it.
     detail : str
-        What was seen.
+        Description of the observations.
     at : float
-        When, monotonic seconds.
+        Time of the violation, monotonic seconds.
     """
 
     check: str
@@ -86,25 +89,25 @@
 
 @define(kw_only=True)
 class Checks:
-    """All checks.
+    """Checks of requests against configurations, bounds and disturbances.
 
     Parameters
     ----------
     bounds : Bounds
-        Times allowed.
+        Times within which changes must take effect.
     history : History
-        What was put in force.
+        Configurations and evacuations.
     disturbances : Disturbances
-        What was disturbed.
+        Disturbances and CPU stalls.
 
     Attributes
     ----------
     violations : list of Violation
-        What was found.
+        Detected violations.
     counts : Counter of str
-        Requests and how many of them each check could judge.
-    requests_with_runs : list of tuple of Told and list of Run
-        Requests and where they ran; runs that begin later join.
+        Number of requests, and number of those that each check applied to.
+    requests_with_runs : list of tuple of ObservedRequest and list of Run
+        Requests and their executions; later executions are added to the lists.
     """
 
     bounds: Bounds
@@ -120,99 +123,109 @@
     )
 
     def fail(self, check: str, detail: str, at: float) -> None:
-        """Note that something does not hold."""
+        """Record a violation."""
         self.violations.append(Violation(check=check, detail=detail, at=at))
 
     def record_request(self, request: ObservedRequest, runs: list[Run]) -> None:
-        """Take a request that has ended.
+        """Record a completed request.
 
         Parameters
         ----------
-        request : Told
-            What its caller saw.
+        request : ObservedRequest
+            The request as observed by its caller.
         runs : list of Run
-            Where it ran.
+            Its executions at upstreams.
         """
         self.requests.append(request)
         self.requests_with_runs.append((request, runs))
         self._waiting.append((request, runs))
 
     def evaluate(self, before: float = inf) -> None:
-        """Judge what ended before some time, until when all is known."""
+        """Check the requests that ended before a time, by when all is recorded."""
         while self._waiting and self._waiting[0][0].ended_at < before:
             self._evaluate(*self._waiting.popleft())
 
-    def _evaluate(self, told: ObservedRequest, runs: list[Run]) -> None:
+    def _evaluate(self, request: ObservedRequest, runs: list[Run]) -> None:
         self.counts["requests"] += 1
         for run in runs:
-            self._check_handled(told, run.at.service, run.arrived_at)
-            self._check_upstream(told, run)
+            self._check_version(request, run.at.service, run.arrived_at)
+            self._check_upstream(request, run)
             if not run.hides_key:
-                self.fail("key and workspace", f"{told}: {run}", run.arrived_at)
-        if told.status in UNDUE_STATUSES:
-            self.fail("good key refused", f"{told}", told.ended_at)
-        if told.status == NOT_FOUND_STATUS:
-            self._check_handled(told, NO_SERVICE, told.ended_at)
+                self.fail("key and workspace", f"{request}: {run}", run.arrived_at)
+        if request.status in UNDUE_STATUSES:
+            self.fail("good key refused", f"{request}", request.ended_at)
+        if request.status == NOT_FOUND_STATUS:
+            self._check_version(request, NO_SERVICE, request.ended_at)
         self.counts["judged for running once"] += (
-            told.prefix in RUN_ONCE_PREFIXES and bool(runs)
+            request.prefix in RUN_ONCE_PREFIXES and bool(runs)
         )
-        if told.prefix in RUN_ONCE_PREFIXES and len(runs) > 1:
-            self.fail("once", f"{told} ran {len(runs)} times", told.ended_at)
-        if told.surplus:
-            detail = f"{told}: {told.surplus}"
-            self.fail("answered twice", detail, told.ended_at)
-        self._check_lost(told, runs)
+        if request.prefix in RUN_ONCE_PREFIXES and len(runs) > 1:
+            self.fail("once", f"{request} ran {len(runs)} times", request.ended_at)
+        if request.surplus:
+            detail = f"{request}: {request.surplus}"
+            self.fail("answered twice", detail, request.ended_at)
+        self._check_lost(request, runs)
 
-    def _check_handled(
-        self, told: ObservedRequest, ran_at: str, seen_at: float
+    def _check_version(
+        self, request: ObservedRequest, service: str, seen_at: float
     ) -> None:
         possible = [
             number
             for number, version in enumerate(self.history.versions)
-            if version.sent_at <= seen_at and version.allows(told.prefix, ran_at)
+            if version.sent_at <= seen_at and version.allows(request.prefix, service)
         ]
-        handled = f"{told}: handled at {seen_at:.3f} by {ran_at or 'no route'}"
+        description = f"{request}: handled at {seen_at:.3f} by {service or 'no route'}"
         if not possible:
-            self.fail("allowed", handled, seen_at)
+            self.fail("allowed", description, seen_at)
             return
-        if self.disturbances.is_undisturbed(told.vm, told.sent_at, seen_at):
+        if self.disturbances.is_undisturbed(request.vm, request.sent_at, seen_at):
             self.counts["judged for lateness"] += 1
-            due = self._due_version(told.sent_at)
+            due = self._due_version(request.sent_at)
             if possible[-1] < due:
-                late = f"{handled}, version {possible[-1]} at most; {due} was due"
+                late = f"{description}, version {possible[-1]} at most; {due} was due"
                 self.fail("in force", late, seen_at)
-        if told.incarnation is not None:
-            self._check_rollback(told, told.incarnation, possible, seen_at, handled)
+        if request.incarnation is not None:
+            self._check_rollback(
+                request, request.incarnation, possible, seen_at, description
+            )
 
     def _due_version(self, now: float) -> int:
-        later, apply = self.disturbances.extended_deadline, self.bounds.config_apply
+        extended_deadline, apply_s = (
+            self.disturbances.extended_deadline,
+            self.bounds.config_apply,
+        )
         for number in range(len(self.history.versions) - 1, 0, -1):
-            if later(self.history.versions[number].acked_at, apply, now) < now:
+            if (
+                extended_deadline(self.history.versions[number].acked_at, apply_s, now)
+                < now
+            ):
                 return number
         return 0
 
     def _check_rollback(
         self,
-        told: ObservedRequest,
-        life: int,
+        request: ObservedRequest,
+        incarnation: int,
         possible: list[int],
         seen_at: float,
-        handled: str,
+        description: str,
     ) -> None:
-        floors = self._floors_by_incarnation.setdefault((told.vm, life), [])
-        before = told.sent_at - ALLOWED_ROLLBACK_S
+        floors = self._floors_by_incarnation.setdefault((request.vm, incarnation), [])
+        before = request.sent_at - ALLOWED_ROLLBACK_S
         before -= self.disturbances.stalled_s(before, seen_at)
         floor = max((number for at, number in floors if at < before), default=0)
         self.counts["judged for going back"] += floor > 0
-        least = min((each for each in possible if each >= floor), default=None)
-        if least is None:
-            self.fail("goes back", f"{handled}, {floor} was in force before", seen_at)
-        elif not floors or least > floors[-1][1]:
-            floors.append((seen_at, least))
+        lowest = min((each for each in possible if each >= floor), default=None)
+        if lowest is None:
+            self.fail(
+                "goes back", f"{description}, {floor} was in force before", seen_at
+            )
+        elif not floors or lowest > floors[-1][1]:
+            floors.append((seen_at, lowest))
 
-    def _check_upstream(self, told: ObservedRequest, run: Run) -> None:
+    def _check_upstream(self, request: ObservedRequest, run: Run) -> None:
         if not self.disturbances.is_undisturbed(
-            told.vm, run.arrived_at, run.arrived_at
+            request.vm, run.arrived_at, run.arrived_at
         ):
             return
         late_s = run.arrived_at - run.at.left_at
@@ -223,51 +236,55 @@
             run.at.left_at, self.bounds.drain, run.arrived_at
         )
         if run.arrived_at > due:
-            detail = f"{told} reached {run.at.name} {late_s:.3f} s after it left"
+            detail = f"{request} reached {run.at.name} {late_s:.3f} s after it left"
             self.fail("left", detail, run.arrived_at)
         for evacuation in self.history.evacuations:
             late_s = run.arrived_at - evacuation.acked_at
             due = self.disturbances.extended_deadline(
                 evacuation.acked_at, self.bounds.evacuate, run.arrived_at
             )
-            is_due = due < run.arrived_at < evacuation.undone_at
-            self.counts["judged for evacuations"] += is_due
-            if is_due and run.at.zone == evacuation.zone:
-                detail = f"{told} reached {run.at.name} {late_s:.3f} s after evacuation"
+            must_hold = due < run.arrived_at < evacuation.undone_at
+            self.counts["judged for evacuations"] += must_hold
+            if must_hold and run.at.zone == evacuation.zone:
+                detail = (
+                    f"{request} reached {run.at.name} {late_s:.3f} s after evacuation"
+                )
                 self.fail("evacuated", detail, run.arrived_at)
 
-    def _check_lost(self, told: ObservedRequest, runs: list[Run]) -> None:
-        took_s = told.ended_at - told.sent_at
-        held_s = self.disturbances.stalled_s(told.sent_at, told.ended_at)
-        if not told.is_lost or not (runs or took_s > CLOSE_CROSSING_S + held_s):
+    def _check_lost(self, request: ObservedRequest, runs: list[Run]) -> None:
+        took_s = request.ended_at - request.sent_at
+        stalled_s = self.disturbances.stalled_s(request.sent_at, request.ended_at)
+        if not request.is_lost or not (runs or took_s > CLOSE_CROSSING_S + stalled_s):
             return
         if any(run.is_aborted for run in runs):
             return
-        calm = self.disturbances.is_undisturbed(
-            told.vm, told.sent_at, told.ended_at, include_planned=False
+        is_undisturbed = self.disturbances.is_undisturbed(
+            request.vm, request.sent_at, request.ended_at, include_planned=False
         )
         self.counts["without an answer"] += 1
-        if calm and not (took_s > CALLER_GAVE_UP_S and held_s > MAX_STALL_S):
-            detail = f"{told} got no answer in {took_s:.3f} s; ran {len(runs)} times"
-            self.fail("answered", detail, told.ended_at)
+        if is_undisturbed and not (
+            took_s > CALLER_GAVE_UP_S and stalled_s > MAX_STALL_S
+        ):
+            detail = f"{request} got no answer in {took_s:.3f} s; ran {len(runs)} times"
+            self.fail("answered", detail, request.ended_at)
 
     def check_served(self, vms: list[str], since: float) -> None:
-        """Check that each VM serves what the newest version allows, once all is over.
+        """Check at the end that each VM serves the routes of the newest version.
 
         Parameters
         ----------
         vms : list of str
             All entry VMs.
         since : float
-            From when on requests count, monotonic seconds.
+            Only requests sent after this time count, monotonic seconds.
         """
         routes = self.history.versions[-1].service_by_prefix
         for vm in vms:
-            asked = [
+            sent = [
                 each
                 for each in self.requests
                 if each.vm == vm and each.sent_at > since and each.prefix in routes
             ]
-            served = sum(each.status == OK for each in asked)
-            if not asked or served < MIN_SERVED_SHARE * len(asked):
-                self.fail("served", f"{vm} served {served} of {len(asked)}", since)
+            served = sum(each.status == OK for each in sent)
+            if not sent or served < MIN_SERVED_SHARE * len(sent):
+                self.fail("served", f"{vm} served {served} of {len(sent)}", since)
--- a/tests/fleet/soak/crashing_requests.py
+++ b/tests/fleet/soak/crashing_requests.py
@@ -1,4 +1,4 @@
-"""Requests under which upstreams crash, sent again and again, and their check."""
+"""Requests under which upstreams crash, and checks that they are quarantined."""
 
 from __future__ import annotations
 
@@ -27,26 +27,26 @@
 from soak.upstreams import Upstreams
 
 QUARANTINE_CRASHES = 3
-"""Upstreams that end under a request before it is to be held back."""
+"""Crashed upstreams after which a request must be quarantined."""
 MAX_FORWARDED = 3
-"""How often it may be sent on in all, later than the bound after that."""
+"""Number of attempts that may still be forwarded later than the bound after that."""
 MEAN_ATTEMPT_GAP_S = 0.3
-"""Mean time between two tries of one request, in seconds."""
+"""Mean time between two attempts of one request, in seconds."""
 ANSWER_TIMEOUT_S = 4.0
 QUARANTINE_ANSWER_S = 0.5
-"""Time in which a request that is held back is answered, in seconds."""
+"""Time in which a quarantined request must be answered, in seconds."""
 DEADLINE_MS = 2_500
 NOT_RUN = 503
 
 
 @frozen(kw_only=True)
 class Attempt:
-    """One try.
+    """One attempt of a request.
 
     Parameters
     ----------
     request, vm : str
-        Its id, and where it was sent.
+        Id of the attempt, and entry VM that got it.
     sent_at, ended_at : float
         Monotonic seconds.
     status : int or None
@@ -62,20 +62,20 @@
 
 @define(kw_only=True)
 class CrashingRequests:
-    """Send requests under which upstreams crash, and check where they came to.
+    """Send requests under which upstreams crash, and check their quarantine.
 
     Parameters
     ----------
     checks : Checks
-        Where findings go, and what was disturbed.
+        Disturbances, and where violations are recorded.
     upstreams : Upstreams
-        What knows where requests ran.
+        The upstreams, with the executions of requests.
     front : callable
-        Gives the address of an entry VM.
+        Returns the caller listener of an entry VM.
     vms : list of str
         All entry VMs.
     seed : int
-        Source of choices, with the time of the fault: a replay makes the same.
+        Random seed, combined with the time of the fault, so that replays are equal.
     """
 
     checks: Checks
@@ -86,30 +86,35 @@
     attempts_by_path: dict[str, list[Attempt]] = Factory(dict)
 
     async def inject(self, at: float, for_s: float) -> None:
-        """Let one such request come for a while, at any entry VM."""
+        """Send one such request repeatedly for a while, to random entry VMs."""
         random = Random(f"crashing request of {self.seed} at {at}")
         prefix = random.choice(MAIN_PREFIXES)
         path = f"{prefix}{CRASHING_PATH_PREFIX}{len(self.attempts_by_path)}"
-        tries = self.attempts_by_path.setdefault(path, [])
+        attempts = self.attempts_by_path.setdefault(path, [])
         ends_at = monotonic() + for_s
         while monotonic() < ends_at:
             await spawn(
-                self._try, path, prefix in RUN_ONCE_PREFIXES, random, tries, daemon=True
+                self._send_attempt,
+                path,
+                prefix in RUN_ONCE_PREFIXES,
+                random,
+                attempts,
+                daemon=True,
             )
             await sleep(random.expovariate(1 / MEAN_ATTEMPT_GAP_S))
 
-    async def _try(
-        self, path: str, is_once: bool, random: Random, tries: list[Attempt]
+    async def _send_attempt(
+        self, path: str, runs_once: bool, random: Random, attempts: list[Attempt]
     ) -> None:
         vm, request = random.choice(self.vms), f"{random.getrandbits(64):016x}"
         connection = ClientConnection(endpoint=self.front(vm))
         sent_at, status = monotonic(), None
         with suppress(TaskTimeout):
             status = await timeout_after(
-                ANSWER_TIMEOUT_S, _exchange, connection, path, is_once, request
+                ANSWER_TIMEOUT_S, _exchange, connection, path, runs_once, request
             )
         await connection.close()
-        tries.append(
+        attempts.append(
             Attempt(
                 request=request,
                 vm=vm,
@@ -120,47 +125,55 @@
         )
 
     def check(self) -> None:
-        """Check all of them, at the end."""
-        for path, tries in self.attempts_by_path.items():
+        """Check all attempts, at the end of the soak."""
+        for path, attempts in self.attempts_by_path.items():
             crashed_at = sorted(self.upstreams.crashed_at_by_path.get(path, []))
             self.checks.counts["upstreams that crashed under requests"] += len(
                 crashed_at
             )
-            self._check_truth(path, tries)
+            self._check_not_run(path, attempts)
             if len(crashed_at) >= QUARANTINE_CRASHES:
-                self._check_held_back(path, tries, crashed_at[QUARANTINE_CRASHES - 1])
+                self._check_quarantine(
+                    path, attempts, crashed_at[QUARANTINE_CRASHES - 1]
+                )
 
-    def _check_truth(self, path: str, tries: list[Attempt]) -> None:
-        for each in tries:
+    def _check_not_run(self, path: str, attempts: list[Attempt]) -> None:
+        for each in attempts:
             runs = self.upstreams.runs_by_id.get(each.request, [])
             if each.status == NOT_RUN and runs:
                 detail = f"{path} at {each.vm} ran and was told as not run"
                 self.checks.fail("not run", detail, each.ended_at)
 
-    def _check_held_back(self, path: str, tries: list[Attempt], since: float) -> None:
-        contact_s, disturbed = self.checks.bounds.contact, self.checks.disturbances
+    def _check_quarantine(
+        self, path: str, attempts: list[Attempt], since: float
+    ) -> None:
+        contact_s, disturbances = self.checks.bounds.contact, self.checks.disturbances
         late = []
-        for each in tries:
+        for each in attempts:
             for run in self.upstreams.runs_by_id.get(each.request, []):
                 at = run.arrived_at
-                is_late = at > disturbed.extended_deadline(since, contact_s, at)
-                late += [each] * (is_late and disturbed.is_undisturbed(each.vm, at, at))
-        judged = [each for each in tries if each.sent_at > since + contact_s]
-        self.checks.counts["judged for crashing requests"] += len(judged)
+                is_late = at > disturbances.extended_deadline(since, contact_s, at)
+                late += [each] * (
+                    is_late and disturbances.is_undisturbed(each.vm, at, at)
+                )
+        checked = [each for each in attempts if each.sent_at > since + contact_s]
+        self.checks.counts["judged for crashing requests"] += len(checked)
         if len(late) > MAX_FORWARDED:
             detail = f"{path} came to upstreams {len(late)} times more, from {late[0]}"
             self.checks.fail("held back", detail, late[0].ended_at)
-        for each in judged:
+        for each in checked:
             took_s = each.ended_at - each.sent_at
-            took_s -= disturbed.stalled_s(each.sent_at, each.ended_at)
-            is_calm = disturbed.is_undisturbed(each.vm, each.sent_at, each.ended_at)
-            if each not in late and is_calm and took_s > QUARANTINE_ANSWER_S:
+            took_s -= disturbances.stalled_s(each.sent_at, each.ended_at)
+            is_undisturbed = disturbances.is_undisturbed(
+                each.vm, each.sent_at, each.ended_at
+            )
+            if each not in late and is_undisturbed and took_s > QUARANTINE_ANSWER_S:
                 detail = f"{path} at {each.vm} waited {took_s:.3f} s for {each.status}"
                 self.checks.fail("at once", detail, each.ended_at)
 
 
 async def _exchange(
-    connection: ClientConnection, path: str, is_once: bool, request: str
+    connection: ClientConnection, path: str, runs_once: bool, request: str
 ) -> int | None:
     if (await connection.start(timeout_s=1.0)).is_err():
         return None
@@ -170,10 +183,10 @@
         CREDENTIALS,
         (b"x-plankspindle-deadline-ms", str(DEADLINE_MS).encode()),
     ]
-    if is_once:
+    if runs_once:
         headers.append((b"content-length", b"0"))
     await connection.send_request(
-        method="POST" if is_once else "GET", target=path, headers=headers
+        method="POST" if runs_once else "GET", target=path, headers=headers
     )
     if (await connection.end_request()).is_err():
         return None
--- a/tests/fleet/soak/fault_injector.py
+++ b/tests/fleet/soak/fault_injector.py
@@ -1,4 +1,4 @@
-"""Carries out the faults of a soak on the fleet's platform, and ends them."""
+"""Inject the faults of a soak on the fleet's platform, and end them."""
 
 from __future__ import annotations
 
@@ -48,40 +48,45 @@
 PEER_KEY = "5a" * 16
 STORM_VERSIONS = 6
 RESTART_DELAY_S = 0.3
-"""Time from the end of a process to the start of the next, in seconds."""
+"""Time from the exit of a process to the start of the next, in seconds."""
 SIGNAL_POLL_S = 0.02
 IMPORT_S = 5.0
-"""Time in which a process may still import, and ends by SIGTERM at once."""
+"""Time in which a process may still import modules, so SIGTERM ends it at once."""
 LATE_EXIT_S = 1.0
-"""Time beyond the grace after which an end is late; the platform's SIGKILL follows."""
+"""Time beyond the grace period after which an exit is late, and SIGKILL follows."""
 
 
 @define(kw_only=True)
 class FaultInjector:
-    """Strike processes, the store, links and upstreams, and be the operator.
+    """Inject faults of processes, store, links and upstreams, and act as operator.
 
     Parameters
     ----------
     layout : Layout
         Addresses.
     processes : Processes
-        The entry VMs.
+        Processes of the entry VMs.
     store, upstreams, checks
-        The stand-ins, and what is told of what is disturbed.
+        The stand-ins, and the checks that record disturbances.
     lapse_injector : LapseInjector
-        What lets entries lapse.
+        Makes entries lapse.
     crashing_requests : CrashingRequests
-        What sends requests under which upstreams crash.
+        Sends requests under which upstreams crash.
     statements : Statements
-        What lets upstreams say things of themselves.
+        Makes upstreams send statements.
     process_pauses : ProcessPauses
-        When processes stood still.
+        Pauses of processes.
     proxies_by_vm : dict of str to LinkProxy
         Links to the store.
     random : Random
-        Source of choices.
+        Source of random choices.
     module : str
-        What runs on an entry VM.
+        Python module that runs on an entry VM.
+
+    Attributes
+    ----------
+    stopped : set of str
+        VMs whose process is exiting or not yet started again.
     """
 
     layout: Layout
@@ -104,7 +109,7 @@
     _operator: Lock = field(factory=Lock)
 
     async def inject(self, fault: SoakFault) -> None:
-        """Let one fault happen, wait for its length, and end it."""
+        """Inject one fault, wait for its duration, and end it."""
         self.injected_by_kind[fault.kind] += 1
         vms = fault.target.split(",") if fault.target else []
         match fault.kind:
@@ -118,20 +123,20 @@
                 await self.statements.inject(fault)
             case "forget":
                 self.checks.disturbances.begin(
-                    self._all(), monotonic()
+                    self._all_vms(), monotonic()
                 ).end = monotonic()
                 self.store.truncate_history()
             case "silence" | "reset-links":
-                self._inject_link_fault(fault.kind, vms or self._all())
+                self._inject_link_fault(fault.kind, vms or self._all_vms())
             case kind if kind in OPERATOR_KINDS:
-                await self._act_as_operator(fault)
+                await self._run_operator_fault(fault)
             case _:
                 await self._inject_vm_faults(
-                    fault.kind, vms or self._all(), fault.for_s
+                    fault.kind, vms or self._all_vms(), fault.for_s
                 )
 
-    async def _act_as_operator(self, fault: SoakFault) -> None:
-        """Do what the platform's operator does."""
+    async def _run_operator_fault(self, fault: SoakFault) -> None:
+        """Act as the platform's operator."""
         match fault.kind:
             case "change":
                 await self.change()
@@ -144,17 +149,17 @@
                 number = self.random.randrange(len(self.upstreams.current))
                 await self.upstreams.leave(number, is_announced=fault.kind == "leave")
 
-    def _all(self) -> list[str]:
+    def _all_vms(self) -> list[str]:
         return self.layout.names()
 
     async def _inject_store_fault(
         self, kind: str, vms: list[str], for_s: float
     ) -> None:
-        trouble = StoreFault(kind=kind, vms=frozenset(vms))
-        span = self.checks.disturbances.begin(vms or self._all(), monotonic())
-        self.store.faults.append(trouble)
+        store_fault = StoreFault(kind=kind, vms=frozenset(vms))
+        span = self.checks.disturbances.begin(vms or self._all_vms(), monotonic())
+        self.store.faults.append(store_fault)
         await sleep(for_s)
-        self.store.faults.remove(trouble)
+        self.store.faults.remove(store_fault)
         span.end = monotonic()
 
     def _inject_link_fault(self, kind: str, vms: list[str]) -> None:
@@ -164,11 +169,11 @@
             proxy.blackhole_open() if kind == "silence" else proxy.reset_open()
 
     async def change(self) -> None:
-        """Put another version in force."""
+        """Write another version of the configuration."""
         async with self._operator:
-            drawn = self.checks.history.draw(monotonic())
+            document = self.checks.history.draw(monotonic())
             version = self.checks.history.versions[-1]
-            version.acked_at = await self.store.write("op", "config", lambda: drawn)
+            version.acked_at = await self.store.write("op", "config", lambda: document)
 
     async def _evacuate(self, for_s: float) -> None:
         if self._is_evacuating:
@@ -201,7 +206,7 @@
             return
         process = self.processes.process_by_name[vm]
         if kind.startswith("hup"):
-            while process.poll() is None and not _takes_sighup(process.pid):
+            while process.poll() is None and not _handles_sighup(process.pid):
                 await sleep(SIGNAL_POLL_S)
             process.send_signal(signal.SIGHUP)
             return
@@ -209,63 +214,63 @@
         span = self.checks.disturbances.begin([vm], monotonic(), is_planned=is_planned)
         if kind in ("stop", "suspend"):
             process.send_signal(signal.SIGSTOP)
-            still = self.process_pauses.begin(vm, monotonic())
+            pause = self.process_pauses.begin(vm, monotonic())
             await sleep(for_s)
             if kind == "suspend":
-                self._add_suspended(vm, monotonic() - still.begin)
+                self._add_suspended(vm, monotonic() - pause.begin)
             process.send_signal(signal.SIGCONT)
-            still.end = monotonic()
+            pause.end = monotonic()
         else:
             self.stopped.add(vm)
             if kind == "kill":
                 process.kill()
                 await run_in_thread(process.wait)
             else:
-                await self._terminate(vm)
+                await self._stop_gracefully(vm)
             await sleep(RESTART_DELAY_S)
             self.start(vm)
         span.end = monotonic()
 
-    def _suspended(self, vm: str) -> Path:
+    def _suspended_file(self, vm: str) -> Path:
         return self.processes.folder / f"{vm}.suspended"
 
     def _add_suspended(self, vm: str, seconds: float) -> None:
-        """Lengthen the time for which the machine of a VM was suspended."""
-        path = self._suspended(vm)
+        """Add to the time for which the machine of a VM was suspended."""
+        path = self._suspended_file(vm)
         (before,) = SECONDS.unpack(path.read_bytes())
         with path.open("r+b") as file:
             file.write(SECONDS.pack(before + seconds))
 
-    async def _terminate(self, vm: str) -> None:
+    async def _stop_gracefully(self, vm: str) -> None:
         process = self.processes.process_by_name[vm]
-        asked_at, started_at = monotonic(), self.started_at_by_vm[vm]
-        still_s = self.process_pauses.total_s(vm, started_at, asked_at)
-        ran_s = asked_at - started_at - still_s
+        requested_at, started_at = monotonic(), self.started_at_by_vm[vm]
+        paused_s = self.process_pauses.total_s(vm, started_at, requested_at)
+        ran_s = requested_at - started_at - paused_s
         process.send_signal(signal.SIGTERM)
         try:
             status = await run_in_thread(process.wait, GRACE_S + LATE_EXIT_S)
         except subprocess.TimeoutExpired:
-            self._check_late_exit(vm, asked_at)
+            self._check_late_exit(vm, requested_at)
             process.kill()
             await run_in_thread(process.wait)
             return
         if status and not (status == -signal.SIGTERM and ran_s < IMPORT_S):
             self.checks.fail("ends", f"{vm} ended with {status}", monotonic())
 
-    def _check_late_exit(self, vm: str, asked_at: float) -> None:
-        """Fail a process that runs on, unless it stood still since it was asked."""
-        if self.process_pauses.total_s(vm, asked_at, monotonic()):
+    def _check_late_exit(self, vm: str, requested_at: float) -> None:
+        """Record a violation for a late exit, unless the process was paused since."""
+        if self.process_pauses.total_s(vm, requested_at, monotonic()):
             self.checks.counts["ends of processes that stood still"] += 1
             return
         self.checks.fail("ends", f"{vm} runs on after its grace", monotonic())
 
     def start(self, vm: str) -> None:
-        """Start a process on a VM."""
+        """Write the settings of a VM and start its process."""
         path = self.processes.folder / f"{vm}.yaml"
-        boot = self.layout.boot_document(vm, self.checks.bounds)
-        path.write_text(yaml.safe_dump(boot), encoding="utf-8")
-        self._suspended(vm).write_bytes(SECONDS.pack(0.0))
-        os.environ[SUSPENDED] = str(self._suspended(vm))
+        document = self.layout.boot_document(vm, self.checks.bounds)
+        path.write_text(yaml.safe_dump(document), encoding="utf-8")
+        self._suspended_file(vm).write_bytes(SECONDS.pack(0.0))
+        os.environ[SUSPENDED] = str(self._suspended_file(vm))
         os.environ["PLANKSPINDLE_BOOT"] = str(path)
         os.environ["PLANKSPINDLE_PEER_KEY"] = PEER_KEY
         self.incarnation_by_vm[vm] += 1
@@ -274,8 +279,8 @@
         self.processes.start_module(vm, self.module)
 
     def restart_ended(self) -> None:
-        """Find processes that ended by themselves, and start them again."""
-        for vm in self._all():
+        """Restart processes that exited by themselves, and record violations."""
+        for vm in self._all_vms():
             status = self.processes.process_by_name[vm].poll()
             if status is not None and vm not in self.stopped:
                 last = (self.processes.read_log(vm).splitlines() or [""])[-1]
@@ -283,10 +288,10 @@
                 self.start(vm)
 
 
-def _takes_sighup(pid: int) -> bool:
-    """Tell whether a process runs code of the product yet, not only its interpreter.
+def _handles_sighup(pid: int) -> bool:
+    """Return whether a process ignores or handles SIGHUP; true if it has exited.
 
-    Until then SIGHUP ends it whatever the product does. One that has ended takes it.
+    Until the product's code runs, SIGHUP ends the interpreter.
     """
     try:
         lines = Path(f"/proc/{pid}/status").read_text().splitlines()
--- a/tests/fleet/soak/faults.py
+++ b/tests/fleet/soak/faults.py
@@ -26,9 +26,9 @@
 STORE_S = (0.2, 12.0)
 STOP_S = (0.2, 5.0)
 CHANGE_OFFSETS_S = (-0.4, -0.05, 0.0, 0.05, 0.3, 0.7, 1.1, 1.4)
-"""When changes are made by the beginning and the end of each fault, in seconds."""
+"""Times of changes relative to the beginning and the end of a fault, in seconds."""
 GAPS_S = (5.0, 10.0, 16.0)
-"""Mean times between faults of the store, of which a seed has one."""
+"""Mean times between faults of the store, in seconds; each seed uses one of them."""
 VM_GAP_S = 9.0
 CHANGE_GAP_S = 1.5
 LAPSE_GAP_S = 14.0
@@ -36,23 +36,23 @@
 SUSPEND_S = (0.5, 9.0)
 CRASHING_GAP_S = 20.0
 CRASHING_S = (4.0, 14.0)
-"""Time for which a request under which upstreams crash comes again, in seconds."""
+"""Time for which a request under which upstreams crash is repeated, in seconds."""
 STATEMENT_GAP_S = 5.0
 STATEMENT_S = (1.0, 12.0)
-"""Time for which upstreams say something of themselves, in seconds."""
+"""Duration of upstream statements, in seconds."""
 LAPSE_S = (3.0, 7.0)
-"""Length of an outage in which entries lapse, in seconds."""
+"""Duration of an outage in which entries lapse, in seconds."""
 
 
 def draw(seed: int, *, seconds: float, vms: list[str]) -> list[SoakFault]:
-    """Draw faults, in the order of time.
+    """Draw faults, ordered by time.
 
     Parameters
     ----------
     seed : int
-        Source of chance.
+        Random seed.
     seconds : float
-        Time in which they begin.
+        Time in which the faults begin.
     vms : list of str
         All entry VMs.
     """
@@ -76,7 +76,11 @@
 
 
 def _draw_lapses(seed: int, seconds: float) -> list[SoakFault]:
-    """Draw outages with lapses from a source of their own: the others stay as drawn."""
+    """Draw outages with lapses.
+
+    They have a random source of their own, as have the three kinds below, so that a
+    seed draws the same faults of the other kinds as before.
+    """
     random = Random(f"lapses of fleet soak {seed}")
     return [
         _fault(at, random.uniform(*LAPSE_S), random.choice(LAPSE_KINDS), "")
@@ -85,7 +89,7 @@
 
 
 def _draw_crashing(seed: int, seconds: float) -> list[SoakFault]:
-    """Draw crashing requests from a source of their own, for the same reason."""
+    """Draw requests under which upstreams crash."""
     random = Random(f"crashing requests of fleet soak {seed}")
     return [
         _fault(at, random.uniform(*CRASHING_S), "crashing", "")
@@ -94,7 +98,7 @@
 
 
 def _draw_suspends(seed: int, seconds: float, vms: list[str]) -> list[SoakFault]:
-    """Draw machines that are suspended from a source of their own, too."""
+    """Draw suspensions of machines."""
     random = Random(f"suspends of fleet soak {seed}")
     faults = []
     for at in _times(random, SUSPEND_GAP_S, seconds):
@@ -105,7 +109,7 @@
 
 
 def _draw_statements(seed: int, seconds: float) -> list[SoakFault]:
-    """Draw what upstreams say of themselves from a source of its own, too."""
+    """Draw statements of upstreams."""
     random = Random(f"statements of fleet soak {seed}")
     return [
         _fault(at, random.uniform(*STATEMENT_S), random.choice(STATEMENT_KINDS), "")
--- a/tests/fleet/soak/fleet_soak.py
+++ b/tests/fleet/soak/fleet_soak.py
@@ -1,4 +1,4 @@
-"""One soak on the fleet's platform, from its start to its verdict."""
+"""One soak on the fleet's platform."""
 
 from __future__ import annotations
 
@@ -43,38 +43,38 @@
 
 POLL_S = 0.25
 MAX_STALL_S = 0.5
-"""Time held up by the machine, of the calm time, up to which the end is judged."""
+"""Highest CPU stall in the calm period for which the final check is made, in s."""
 START_TIMEOUT_S = 60.0
 CALM_S = 5.0
-"""Time at the end in which everything must be served."""
+"""Calm period at the end, in which everything must be served, in seconds."""
 MAX_CALM_WAIT_S = 8.0
 RECOVERY_S = 10.0
-"""Time after the last fault until then, in seconds."""
+"""Time from the last fault to the calm period, in seconds."""
 CALLERS_PER_VM = 2
 UPSTREAMS_PER_SERVICE_AND_ZONE = (3, 3, 2, 1)
-"""Upstreams of a service in a zone, by seed: the fleet has 2 to 4."""
+"""Upstreams of a service in a zone, by seed; the real fleet has 2 to 4."""
 LATE_CALLERS_PER_VM = 1
 LATE_PAUSE_FACTOR = 0.3
-"""Callers that join after the last fault, so that each upstream should be used soon."""
+"""Late callers join after the last fault, so that every upstream is soon used."""
 MAX_REQUESTS_PER_S = 100.0
-"""Requests a second that the soak's own process bears beside the store."""
+"""Highest load of all callers that the soak's process can handle beside the store."""
 MEAN_GAP_S = 0.25
 
 
 @frozen(kw_only=True)
 class SoakPlan:
-    """What a soak does.
+    """Parameters of a soak.
 
     Parameters
     ----------
     seed, vms, first_port : int
-        Source of chance, number of entry VMs, and where ports begin.
+        Random seed, number of entry VMs, and first port.
     seconds : float
         Time in which faults begin.
     faults : tuple of SoakFault, optional
-        Faults instead of those that the seed gives.
+        Faults to replay instead of those drawn from the seed.
     module : str
-        What runs on the entry VMs.
+        Python module that runs on the entry VMs.
     """
 
     seed: int
@@ -87,16 +87,16 @@
 
 @frozen(kw_only=True)
 class SoakResult:
-    """How a soak ended.
+    """Result of a soak.
 
     Parameters
     ----------
     violations : list of Violation
-        What did not hold, with times since the beginning.
+        Violations, with monotonic times in seconds.
     counts, injected_by_kind : Counter of str
-        What was judged, and what happened.
+        Number of checked requests by check, and of injected faults by kind.
     folder : Path
-        Where logs and the schedule are.
+        Folder of the logs and the schedule.
     """
 
     violations: list[Violation]
@@ -107,12 +107,12 @@
 
 @define(kw_only=True)
 class FleetSoak:
-    """A soak.
+    """One soak: entry VMs as processes, stand-ins in this process, and checks.
 
     Parameters
     ----------
     plan : SoakPlan
-        What it does.
+        Parameters of the soak.
     """
 
     plan: SoakPlan
@@ -128,7 +128,7 @@
         self.layout = Layout(vms=plan.vms, first_port=plan.first_port)
         self.checks = Checks(
             bounds=bounds,
-            # Its own, so that a seed has the same versions however requests fall.
+            # A separate source, so that versions do not depend on timing of requests.
             history=History(random=Random(f"versions of {plan.seed}")),
             disturbances=Disturbances(contact_s=bounds.contact),
         )
@@ -187,8 +187,8 @@
         )
 
     async def run(self) -> SoakResult:
-        """Run it; processes that it started are ended whatever happens."""
-        striker = self.fault_injector
+        """Run the soak; its processes are stopped in any case."""
+        injector = self.fault_injector
         try:
             await self._start()
             began_at = monotonic()
@@ -206,38 +206,38 @@
         finally:
             for task in self._tasks:
                 await task.cancel()
-            striker.processes.close()
-            for proxy in striker.proxies_by_vm.values():
+            injector.processes.close()
+            for proxy in injector.proxies_by_vm.values():
                 await proxy.close()
-            await striker.upstreams.close()
-            await striker.store.close()
+            await injector.upstreams.close()
+            await injector.store.close()
         self.checks.evaluate()
-        striker.lapse_injector.lapses.check(striker.upstreams.current, ended_at)
-        striker.crashing_requests.check()
-        striker.statements.check()
-        held_s = self.checks.disturbances.stalled_s(0.0, monotonic())
-        self.checks.counts["seconds held up by the machine"] += round(held_s)
+        injector.lapse_injector.lapses.check(injector.upstreams.current, ended_at)
+        injector.crashing_requests.check()
+        injector.statements.check()
+        stalled_s = self.checks.disturbances.stalled_s(0.0, monotonic())
+        self.checks.counts["seconds held up by the machine"] += round(stalled_s)
         self._write_history(wall)
         return SoakResult(
             violations=self.checks.violations,
             counts=self.checks.counts,
-            injected_by_kind=striker.injected_by_kind,
-            folder=striker.processes.folder,
+            injected_by_kind=injector.injected_by_kind,
+            folder=injector.processes.folder,
         )
 
     async def _start(self) -> None:
-        striker = self.fault_injector
-        for vm, proxy in striker.proxies_by_vm.items():
-            await striker.store.listen(vm, proxy.target)
+        injector = self.fault_injector
+        for vm, proxy in injector.proxies_by_vm.items():
+            await injector.store.listen(vm, proxy.target)
             await proxy.start()
-        await striker.upstreams.start()
-        await striker.change()
-        self._tasks.append(await spawn(striker.upstreams.send_heartbeats, daemon=True))
+        await injector.upstreams.start()
+        await injector.change()
+        self._tasks.append(await spawn(injector.upstreams.send_heartbeats, daemon=True))
         starting = self.checks.disturbances.begin(self.layout.names(), 0.0)
         for vm in self.layout.names():
-            striker.start(vm)
+            injector.start(vm)
         await self._start_callers("caller", CALLERS_PER_VM)
-        what = f"not all serve: {striker.processes.folder}"
+        what = f"not all serve: {injector.processes.folder}"
         await wait_for_start(
             self._all_serve, timeout_s=START_TIMEOUT_S, poll_s=POLL_S, message=what
         )
@@ -273,26 +273,29 @@
             self._tasks.append(await spawn(caller.run, daemon=True))
 
     async def _monitor(self) -> None:
-        """Look at the processes, and at what the machine holds up."""
-        waited_by_vm: dict[str, float] = {}
+        """Watch the processes, and record CPU stalls."""
+        previous_by_vm: dict[str, float] = {}
         while True:
             before = monotonic()
             await sleep(POLL_S)
-            held_s = monotonic() - before - POLL_S
-            waits = {
+            stalled_s = monotonic() - before - POLL_S
+            waited_s_by_vm = {
                 vm: cpu_wait_s(self.fault_injector.processes.process_by_name[vm].pid)
                 for vm in self.layout.names()
             }
-            grown = [waits[vm] - waited_by_vm.get(vm, waits[vm]) for vm in waits]
-            waited_by_vm = waits
+            increases = [
+                waited_s_by_vm[vm] - previous_by_vm.get(vm, waited_s_by_vm[vm])
+                for vm in waited_s_by_vm
+            ]
+            previous_by_vm = waited_s_by_vm
             self.checks.disturbances.record_stall(
-                monotonic(), held_s + max(0.0, *grown)
+                monotonic(), stalled_s + max(0.0, *increases)
             )
             self.checks.evaluate(before=before)
             self.fault_injector.restart_ended()
 
     async def _check_end(self) -> None:
-        """Check the end once little was held up for a while."""
+        """Make the final check after a calm period with few CPU stalls."""
         last = monotonic() + MAX_CALM_WAIT_S
         while monotonic() < last:
             since = monotonic()
@@ -304,20 +307,26 @@
 
     async def _inject_faults(self) -> None:
         plan, began_at = self.plan, monotonic()
-        drawn = draw(plan.seed, seconds=plan.seconds, vms=self.layout.names())
-        strikes = []
-        for fault in drawn if plan.faults is None else plan.faults:
+        drawn_faults = draw(plan.seed, seconds=plan.seconds, vms=self.layout.names())
+        injections = []
+        for fault in drawn_faults if plan.faults is None else plan.faults:
             await sleep(max(0.0, began_at + fault.at - monotonic()))
-            strikes.append(await spawn(self.fault_injector.inject, fault, daemon=True))
-        for strike in strikes:
-            await strike.join()
+            injections.append(
+                await spawn(self.fault_injector.inject, fault, daemon=True)
+            )
+        for injection in injections:
+            await injection.join()
 
     def _write_history(self, wall: float) -> None:
-        """Leave what is needed to trace a finding beside the logs."""
+        """Write data for analysing violations beside the logs."""
         folder, checks = self.fault_injector.processes.folder, self.checks
-        drawn = draw(self.plan.seed, seconds=self.plan.seconds, vms=self.layout.names())
+        drawn_faults = draw(
+            self.plan.seed, seconds=self.plan.seconds, vms=self.layout.names()
+        )
         (folder / "schedule.jsonl").write_text(
-            write_schedule(drawn if self.plan.faults is None else self.plan.faults)
+            write_schedule(
+                drawn_faults if self.plan.faults is None else self.plan.faults
+            )
         )
         lines = [f"wall = monotonic + {wall}"]
         lines += [f"{n} {each}" for n, each in enumerate(checks.history.versions)]
--- a/tests/fleet/soak/history.py
+++ b/tests/fleet/soak/history.py
@@ -1,4 +1,4 @@
-"""What the operator put in force, and what was disturbed when."""
+"""History of configurations and evacuations, and of disturbances."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
     from collections.abc import Iterable
 
 PROBE_ROUTE_VERSIONS = 4
-"""Versions for which a route that one of them added stays."""
+"""Number of versions for which a route that was added stays."""
 MAIN_PREFIXES = ("/m0/", "/m1/", "/m2/", "/m3/")
 RUN_ONCE_PREFIXES = ("/m2/", "/m3/")
-"""Routes whose requests may run once."""
+"""Routes whose requests may run at most once."""
 HOST = "desk.example"
 WORKSPACE = "depot"
 CREDENTIALS = (b"authorization", b"Token soak-key-of-depot")
 RATE_PER_S = 5_000
-"""Quota of the workspace, which callers stay far below even at one entry VM."""
+"""Quota of the workspace, far above the load of all callers on one entry VM."""
 NO_SERVICE = ""
-"""Stands in place of a service where there is no route."""
+"""Placeholder for the service where there is no route."""
 
 
 @define(kw_only=True)
@@ -39,18 +39,18 @@
     Parameters
     ----------
     service_by_prefix : dict of str to str
-        Its routes.
+        Services of its routes.
     sent_at, acked_at : float
-        When it was sent and acknowledged, monotonic seconds.
+        When it was written and when the store acknowledged it, monotonic seconds.
     """
 
     service_by_prefix: dict[str, str]
     sent_at: float
     acked_at: float = inf
 
-    def allows(self, prefix: str, ran_at: str) -> bool:
-        """Tell whether a request of a route may be handled so."""
-        return self.service_by_prefix.get(prefix, NO_SERVICE) == ran_at
+    def allows(self, prefix: str, service: str) -> bool:
+        """Return whether a request of a route may be handled by a service."""
+        return self.service_by_prefix.get(prefix, NO_SERVICE) == service
 
 
 @define(kw_only=True)
@@ -60,9 +60,9 @@
     Parameters
     ----------
     zone : str
-        Its name.
+        Name of the zone.
     acked_at, undone_at : float
-        When it was acknowledged and when its end was sent, monotonic seconds.
+        When the store acknowledged it and when its end was written, monotonic seconds.
     """
 
     zone: str
@@ -72,12 +72,12 @@
 
 @define(kw_only=True)
 class History:
-    """All versions, in order, and evacuations.
+    """All versions of the configuration in order, and all evacuations.
 
     Parameters
     ----------
     random : Random
-        Source of choices.
+        Source of random choices.
     """
 
     random: Random
@@ -85,23 +85,23 @@
     evacuations: list[Evacuation] = Factory(list)
 
     def draw(self, now: float) -> dict[str, Any]:
-        """Add a version and give its document."""
+        """Draw a version, add it, and return its document."""
         number = len(self.versions)
-        old = self.versions[-1].service_by_prefix if self.versions else {}
+        previous = self.versions[-1].service_by_prefix if self.versions else {}
         routes = {
             prefix: self.random.choice(SERVICES)
-            if prefix not in old or self.random.random() < 1 / 2
-            else old[prefix]
+            if prefix not in previous or self.random.random() < 1 / 2
+            else previous[prefix]
             for prefix in MAIN_PREFIXES
         }
         for probe in range(max(0, number + 1 - PROBE_ROUTE_VERSIONS), number + 1):
             prefix = f"/p{probe}/"
-            routes[prefix] = old.get(prefix) or self.random.choice(SERVICES)
+            routes[prefix] = previous.get(prefix) or self.random.choice(SERVICES)
         self.versions.append(Version(service_by_prefix=routes, sent_at=now))
         return _document(number, routes)
 
     def draw_prefix(self, random: Random) -> str:
-        """Choose a route that is there, was, or never will be."""
+        """Draw a route that exists or existed; some of them may have been removed."""
         if random.random() < 1 / 2:
             return random.choice(MAIN_PREFIXES)
         newest = len(self.versions) - 1
@@ -136,14 +136,14 @@
 
 @define(kw_only=True)
 class Span:
-    """A disturbance.
+    """Time span, such as that of a disturbance.
 
     Parameters
     ----------
     begin, end : float
-        When it was, monotonic seconds.
+        Monotonic seconds; an infinite end if it goes on.
     is_planned : bool
-        Whether it is planned work, during which nothing may be lost.
+        Whether it is planned work, during which no answer may be lost.
     """
 
     begin: float
@@ -153,25 +153,25 @@
 
 @define(kw_only=True)
 class Disturbances:
-    """When what was disturbed.
+    """Disturbances by VM, and CPU stalls of the machine.
 
     Parameters
     ----------
     contact_s : float
-        Time after each for which a VM isn't held to bounds.
+        Time after a disturbance in which no bounds apply to a VM, in seconds.
     """
 
     contact_s: float
     _spans_by_vm: dict[str, list[Span]] = Factory(dict)
     _stalls: list[tuple[float, float]] = Factory(list)
 
-    def record_stall(self, now: float, held_s: float) -> None:
-        """Note how long the machine gave no processor since the last note."""
+    def record_stall(self, now: float, stalled_s: float) -> None:
+        """Record how long processes got no CPU time since the last record."""
         before = self._stalls[-1][1] if self._stalls else 0.0
-        self._stalls.append((now, before + held_s))
+        self._stalls.append((now, before + stalled_s))
 
     def stalled_s(self, begin: float, end: float) -> float:
-        """Tell how long at most the machine gave no processor from then to then."""
+        """Return the longest total time without CPU time between two times."""
         if not self._stalls:
             return 0.0
         first = bisect_left(self._stalls, (begin, 0.0)) - 1
@@ -179,18 +179,18 @@
         return self._stalls[last][1] - (self._stalls[first][1] if first >= 0 else 0.0)
 
     def begin(self, vms: list[str], now: float, *, is_planned: bool = False) -> Span:
-        """Note that VMs are disturbed from now on."""
+        """Record that VMs are disturbed from now on."""
         span = Span(begin=now, is_planned=is_planned)
         for vm in vms:
             self._spans_by_vm.setdefault(vm, []).append(span)
         return span
 
     def spans_by_vm(self) -> Iterable[tuple[str, list[Span]]]:
-        """Give all disturbances by VM."""
+        """Return all disturbances by VM."""
         return self._spans_by_vm.items()
 
     def extended_deadline(self, since: float, bound_s: float, now: float) -> float:
-        """Give when a bound has passed, of the time that the machine gave."""
+        """Return when a bound has passed, extended by the CPU stalls until now."""
         if since + bound_s >= now:
             return since + bound_s
         return since + bound_s + self.stalled_s(since, now)
@@ -198,7 +198,7 @@
     def is_undisturbed(
         self, vm: str, begin: float, end: float, *, include_planned: bool = True
     ) -> bool:
-        """Tell whether a VM was in touch from one time to another."""
+        """Return whether the bounds applied to a VM all the time between two times."""
         return not any(
             span.begin <= end
             and begin <= self.extended_deadline(span.end, self.contact_s, begin)
--- a/tests/fleet/soak/lapse_injector.py
+++ b/tests/fleet/soak/lapse_injector.py
@@ -1,4 +1,4 @@
-"""Takes the store away, and entries of upstreams that live on with it."""
+"""Inject outages of the store in which entries of running upstreams lapse."""
 
 from __future__ import annotations
 
@@ -27,32 +27,35 @@
     "lapse-refused": ("refused", "resets"),
     "lapse-resets": ("resets",),
 }
-"""How the store is away; one that refuses ends the calls that wait, too."""
+"""Faults of the store by kind; a store that refuses also ends waiting calls."""
 SHARES = (0.1, 0.3, 0.6, 1.0)
-"""Parts of the entries that go, of which an outage has one.
+"""Shares of the entries that lapse; each outage uses one of them.
 
 VMs take more than a quarter for an outage of the platform, and less for upstreams that
-are gone.
+are really gone.
 """
 MAX_VANISHED = 2
 LAPSE_AT_SHARE = (0.1, 0.9)
-"""Part of the outage after which entries go, least and most."""
+"""Lowest and highest share of the outage after which entries lapse."""
 MAX_RELIST_S = 2.0
-"""Longest time from the store's return to an entry's, as the platform names it."""
+"""Longest time from the end of an outage to the return of an entry, in seconds.
+
+The platform states this time.
+"""
 
 
 @define(kw_only=True)
 class LapseInjector:
-    """Let entries lapse in an outage, come back after it, or stay away.
+    """Let entries lapse in an outage; after it most are listed again, some vanish.
 
     Parameters
     ----------
     store, upstreams, lapses
-        The stand-ins, and what is told of lapses.
+        The stand-ins, and the checks that record lapses.
     vms : list of str
         All entry VMs.
     seed : int
-        Source of choices, with the time of the fault: a replay makes the same.
+        Random seed, combined with the time of the fault, so that replays are equal.
     """
 
     store: SoakStore
@@ -62,44 +65,52 @@
     seed: int
 
     async def inject(self, fault: SoakFault) -> None:
-        """Let one outage happen, and all that follows from it."""
+        """Inject one outage, and let entries lapse and return."""
         random = Random(f"lapse of {self.seed} at {fault.at}")
         before_s = fault.for_s * random.uniform(*LAPSE_AT_SHARE)
-        lives = self.upstreams.current
+        upstreams = self.upstreams.current
         share = random.choice(SHARES)
-        chosen = random.sample(range(len(lives)), max(1, round(share * len(lives))))
+        chosen = random.sample(
+            range(len(upstreams)), max(1, round(share * len(upstreams)))
+        )
         vanishing = chosen[: random.randint(0, min(MAX_VANISHED, len(chosen) - 1))]
-        back_s = {number: random.uniform(0.0, MAX_RELIST_S) for number in chosen}
+        relist_after_s = {
+            number: random.uniform(0.0, MAX_RELIST_S) for number in chosen
+        }
 
         span = self.lapses.checks.disturbances.begin(self.vms, monotonic())
-        troubles = [StoreFault(kind=each) for each in STORE_FAULTS_BY_KIND[fault.kind]]
-        self.store.faults += troubles
+        store_faults = [
+            StoreFault(kind=each) for each in STORE_FAULTS_BY_KIND[fault.kind]
+        ]
+        self.store.faults += store_faults
         await sleep(before_s)
         lapsed, vanished = self._remove_entries(chosen, vanishing)
         await sleep(fault.for_s - before_s)
-        for trouble in troubles:
-            self.store.faults.remove(trouble)
+        for store_fault in store_faults:
+            self.store.faults.remove(store_fault)
         span.end = monotonic()
-        await self._relist_all(lapsed, vanished, back_s)
+        await self._relist_all(lapsed, vanished, relist_after_s)
 
     def _remove_entries(
         self, chosen: Iterable[int], vanishing: Iterable[int]
     ) -> tuple[list[int], list[int]]:
-        """Drop entries; those of upstreams that leave anyway stay as they are."""
-        usable = [each for each in chosen if self.upstreams.current[each].is_staying]
-        gone = [each for each in usable if each in vanishing]
-        for number in usable:
+        """Remove entries, except those of upstreams that leave anyway."""
+        eligible = [each for each in chosen if self.upstreams.current[each].is_staying]
+        gone = [each for each in eligible if each in vanishing]
+        for number in eligible:
             self.upstreams.remove_entry(number, is_gone=number in gone)
-        return [each for each in usable if each not in gone], gone
+        return [each for each in eligible if each not in gone], gone
 
     async def _relist_all(
-        self, lapsed: list[int], vanished: list[int], back_s: dict[int, float]
+        self, lapsed: list[int], vanished: list[int], relist_after_s: dict[int, float]
     ) -> None:
         await self.store.wait_until_back()
         lapse = Lapse(ended_at=monotonic())
         self.lapses.lapses.append(lapse)
         tasks = [
-            await spawn(self._relist, lapse, number, back_s[number], daemon=True)
+            await spawn(
+                self._relist, lapse, number, relist_after_s[number], daemon=True
+            )
             for number in lapsed
         ]
         tasks += [
@@ -117,6 +128,6 @@
             lapse.relisted_at.append((upstream, monotonic()))
 
     async def _replace_vanished(self, number: int) -> None:
-        """Serve on until requests would show that a VM still uses it."""
+        """Replace a vanished upstream, which serves long enough to detect late use."""
         await sleep(self.lapses.checks.bounds.contact)
         await self.upstreams.replace(number)
--- a/tests/fleet/soak/layout.py
+++ b/tests/fleet/soak/layout.py
@@ -20,21 +20,21 @@
     {"contact": 4000, "drain": 2500, "config_apply": 2500, "evacuate": 5000},
     {"contact": 3000, "drain": 2000, "config_apply": 2000, "evacuate": 5000},
 )
-"""Bounds of both of the fleet's sites, which seeds take in turn."""
+"""Bounds of the fleet's two sites, in milliseconds; seeds use them alternately."""
 GRACE_S = 6.0
 
 
 @frozen(kw_only=True)
 class Bounds:
-    """Times within which something must hold, in seconds.
+    """Times within which changes must take effect, in seconds.
 
     Parameters
     ----------
     contact : float
-        Time after a disturbance from which the others count.
+        Time after a disturbance from which the other bounds apply.
     drain, config_apply, evacuate : float
-        Time after the acknowledgement of an upstream that leaves, a configuration and
-        an evacuation.
+        Time after the acknowledgement of a leaving upstream, a configuration and an
+        evacuation.
     """
 
     contact: float
@@ -44,46 +44,50 @@
 
     @classmethod
     def of_seed(cls, seed: int) -> Bounds:
-        """Give the bounds of a seed."""
-        chosen = _BOUNDS_MS[seed % len(_BOUNDS_MS)]
-        return cls(**{name: ms / 1000 for name, ms in chosen.items()})
+        """Return the bounds of a seed."""
+        bounds_ms = _BOUNDS_MS[seed % len(_BOUNDS_MS)]
+        return cls(**{name: ms / 1000 for name, ms in bounds_ms.items()})
 
     def to_document(self) -> dict[str, str]:
-        """Give them as the settings file tells them."""
+        """Return the bounds in the form of the settings file."""
         names = ("contact", "drain", "config_apply", "evacuate")
         return {name: f"{getattr(self, name)}s" for name in names}
 
 
 @frozen(kw_only=True)
 class Layout:
-    """Who listens where; entry VMs and upstreams have addresses of their own.
+    """Addresses of listeners; each entry VM and upstream has its own host.
 
     Parameters
     ----------
     vms : int
-        Entry VMs.
+        Number of entry VMs.
     first_port : int
-        Where its ports begin; the network is chosen by it, too.
+        First port; it also determines the hosts.
     """
 
     vms: int
     first_port: int
 
     def names(self) -> list[str]:
-        """Name the entry VMs."""
+        """Return the names of the entry VMs."""
         return [f"edge-{number}" for number in range(self.vms)]
 
     def listener(self, vm: str, offset: int) -> Endpoint:
-        """Give one of the ports of a VM: front, ready, control, directory, store."""
+        """Return a listener of a VM by its port offset.
+
+        Offsets 0 to 3 are front (caller), ready, control (operator) and directory; the
+        link to the store and the store itself use higher ones.
+        """
         number = int(vm.rpartition("-")[2])
         return Endpoint(self._host(FIRST_VM + number), self.first_port + offset)
 
     def front(self, vm: str) -> Endpoint:
-        """Give where a VM takes requests."""
+        """Return the caller listener of a VM."""
         return self.listener(vm, 0)
 
     def upstream(self, number: int) -> Endpoint:
-        """Give the address of an upstream."""
+        """Return the address of an upstream."""
         return Endpoint(self._host(FIRST_UPSTREAM + number), self.first_port)
 
     def _host(self, last: int) -> str:
@@ -92,7 +96,7 @@
     def boot_document(self, vm: str, bounds: Bounds) -> dict[str, Any]:
         """Build the settings file of a VM."""
         zone = list(ZONES)[int(vm.rpartition("-")[2]) % len(ZONES)]
-        doors = ("front", "ready", "control", "directory")
+        listener_names = ("front", "ready", "control", "directory")
         seeds = self.names()[:SEEDS]
         return {
             "self": {
@@ -106,7 +110,8 @@
             },
             "network": {
                 "listen": {
-                    each: str(self.listener(vm, n)) for n, each in enumerate(doors)
+                    each: str(self.listener(vm, n))
+                    for n, each in enumerate(listener_names)
                 },
                 "port_range": [self.first_port + 5, self.first_port + 20],
                 "seeds": [str(self.listener(each, 2)) for each in seeds],
--- a/tests/fleet/soak/mutant.py
+++ b/tests/fleet/soak/mutant.py
@@ -1,6 +1,7 @@
-"""The daemon with one fault built in: ``PLANKSPINDLE_MUTANT`` names it.
+"""Run the daemon with one mutation, which ``PLANKSPINDLE_MUTANT`` names.
 
-For runs by hand that show that each check of a soak can fail: ``--module soak.mutant``.
+For manual runs that show that each check of a soak can fail: ``--module soak.mutant``.
+The values of the variable are the names of the functions of this module.
 """
 
 from __future__ import annotations
@@ -18,79 +19,81 @@
 from plankspindle_platform import operator_reader
 from plankspindle_platform import store_platform
 
-LATE_S = 6.0
-LIFE_S = 12.0
+READ_DELAY_S = 6.0
+EXIT_AFTER_S = 12.0
 
 
 def be_late() -> None:
-    """Read configurations some seconds late."""
+    """Read configurations 6 s late."""
     read = operator_reader.OperatorReader.read_newer
 
     async def read_late(self: Any, *arguments: Any) -> Any:
-        await sleep(LATE_S)
+        await sleep(READ_DELAY_S)
         return await read(self, *arguments)
 
     operator_reader.OperatorReader.read_newer = read_late  # type: ignore[method-assign]
 
 
 def go_back() -> None:
-    """Put the document of every third version in force again instead of the next."""
-    translate, kept, seen = operator_reader.translate_document, [], []
+    """Apply the document of two versions before instead of every third document."""
+    translate, kept_documents, seen_values = operator_reader.translate_document, [], []
 
-    def translate_old(document: Any, **rest: Any) -> Any:
-        seen.append(document)
-        if len(seen) % 3 == 1:
-            kept.append(document)
-        return translate(kept[-1] if len(seen) % 3 == 0 else document, **rest)
+    def translate_old(document: Any, **options: Any) -> Any:
+        seen_values.append(document)
+        if len(seen_values) % 3 == 1:
+            kept_documents.append(document)
+        return translate(
+            kept_documents[-1] if len(seen_values) % 3 == 0 else document, **options
+        )
 
     operator_reader.translate_document = translate_old
 
 
 def keep_upstreams() -> None:
-    """Overlook that an upstream leaves or is gone."""
-    take = store_platform.StorePlatform._apply_server_rows
+    """Ignore that upstreams leave or are removed."""
+    apply_rows = store_platform.StorePlatform._apply_server_rows
 
-    def take_kept(self: Any, rows: Any) -> None:
+    def apply_and_keep_known(self: Any, rows: Any) -> None:
         before = dict(self._servers_by_name)
-        take(self, rows)
+        apply_rows(self, rows)
         self._servers_by_name |= before
 
-    store_platform.StorePlatform._apply_server_rows = take_kept  # type: ignore[method-assign]
+    store_platform.StorePlatform._apply_server_rows = apply_and_keep_known  # type: ignore[method-assign]
 
 
 def lose_lapsed() -> None:
-    """Never list an upstream again whose entry was gone once."""
-    take = store_platform.StorePlatform._apply_server_rows
-    lost: set[str] = set()
-    seen: set[str] = set()
-
-    def take_unless_lost(self: Any, rows: Any) -> None:
-        take(self, rows)
-        seen.update(self._servers_by_name)
-        lost.update(seen - self._servers_by_name.keys())
-        for name in lost:
+    """Never list an upstream again whose entry was removed once."""
+    apply_rows = store_platform.StorePlatform._apply_server_rows
+    lost_names: set[str] = set()
+    seen_values: set[str] = set()
+
+    def apply_and_lose_lapsed(self: Any, rows: Any) -> None:
+        apply_rows(self, rows)
+        seen_values.update(self._servers_by_name)
+        lost_names.update(seen_values - self._servers_by_name.keys())
+        for name in lost_names:
             self._servers_by_name.pop(name, None)
 
     store_platform.StorePlatform._apply_server_rows = (  # type: ignore[method-assign]
-        take_unless_lost
+        apply_and_lose_lapsed
     )
 
 
 def keep_vanished() -> None:
-    """Keep upstreams that are gone also when the list is read whole."""
-    take = store_platform.StorePlatform._apply_server_rows
-    seen: dict[str, Any] = {}
+    """Keep removed upstreams, also after a full read of the list."""
+    apply_rows = store_platform.StorePlatform._apply_server_rows
+    seen_values: dict[str, Any] = {}
 
-    def take_and_keep(self: Any, rows: Any) -> None:
-        take(self, rows)
-        seen.update(self._servers_by_name)
-        self._servers_by_name |= seen
+    def apply_and_keep_all(self: Any, rows: Any) -> None:
+        apply_rows(self, rows)
+        seen_values.update(self._servers_by_name)
+        self._servers_by_name |= seen_values
 
-    store_platform.StorePlatform._apply_server_rows = take_and_keep  # type: ignore[method-assign]
+    store_platform.StorePlatform._apply_server_rows = apply_and_keep_all  # type: ignore[method-assign]
 
 
 def stay() -> None:
-    """Overlook evacuations."""
+    """Ignore evacuations."""
     translate = operator_reader.translate_document
     operator_reader.translate_document = lambda document, *, zones, boot: translate(
         document, zones=[], boot=boot
@@ -98,31 +101,33 @@
 
 
 def cut() -> None:
-    """End at once by SIGTERM."""
+    """Exit immediately on SIGTERM."""
     register = signal.signal
 
     def register_other(number: int, handler: Any) -> Any:
-        wanted = (lambda *_: os._exit(0)) if number == signal.SIGTERM else handler
-        return register(number, wanted)
+        chosen_handler = (
+            (lambda *_: os._exit(0)) if number == signal.SIGTERM else handler
+        )
+        return register(number, chosen_handler)
 
     signal.signal = register_other  # type: ignore[assignment]
 
 
 def end() -> None:
-    """End by itself after some time."""
-    timer = threading.Timer(LIFE_S, os._exit, [70])
+    """Exit by itself after some time."""
+    timer = threading.Timer(EXIT_AFTER_S, os._exit, [70])
     timer.daemon = True
     timer.start()
 
 
 def hear_nothing() -> None:
-    """Pass over all that upstreams say of themselves."""
-    nothing = lambda _status, _headers: NO_STATEMENT  # noqa: E731
-    object.__setattr__(dialect.DIALECT, "read_statement", nothing)
+    """Ignore all statements of upstreams."""
+    read_nothing = lambda _status, _headers: NO_STATEMENT  # noqa: E731
+    object.__setattr__(dialect.DIALECT, "read_statement", read_nothing)
 
 
 if __name__ == "__main__":
-    deeds = (
+    mutants = (
         be_late,
         go_back,
         keep_upstreams,
@@ -133,5 +138,5 @@
         end,
         hear_nothing,
     )
-    {each.__name__: each for each in deeds}[os.environ["PLANKSPINDLE_MUTANT"]]()
+    {each.__name__: each for each in mutants}[os.environ["PLANKSPINDLE_MUTANT"]]()
     runpy.run_module("plankspindle_platform", run_name="__main__")
--- a/tests/fleet/soak/soak_store.py
+++ b/tests/fleet/soak/soak_store.py
@@ -1,4 +1,4 @@
-"""The store of a soak: one listener a VM, and faults of all or some of them."""
+"""The platform's store in a soak: one listener per VM, and faults for some or all."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 POLL_S = 0.02
 SLOW_S = (0.2, 1.5)
 LOST_CALL_S = 30.0
-"""Time after which the connection of a lost call ends, in seconds: beyond any wait."""
+"""Time after which the connection of a lost call is closed, above any wait, in s."""
 ANSWER_S = 0.004
-"""Time of a call, as of the fleet's store, in seconds."""
+"""Duration of a call, as at the fleet's store, in seconds."""
 WRITE_BLOCKING_KINDS = ("away", "held", "refused", "resets")
-"""Troubles in which the operator and upstreams write nothing."""
+"""Faults during which the operator and upstreams write nothing."""
 
 
 @frozen(kw_only=True, eq=False)
@@ -41,9 +41,9 @@
     ----------
     kind : str
         ``away``, ``held``, ``refused``, ``resets``, ``slow`` or ``loses``. All but
-        ``refused`` concern calls that wait, too.
+        ``refused`` also affect calls that are waiting.
     vms : frozenset of str
-        Whom it concerns; all and the operator if empty.
+        Affected VMs; if empty, all VMs, the operator and upstreams.
     """
 
     kind: str
@@ -51,12 +51,12 @@
 
 
 class SoakStore(StoreStandIn):
-    """The store, which knows the VM that calls by the listener it calls at.
+    """The store, which identifies calling VMs by the listener.
 
     Parameters
     ----------
     random : Random
-        Source of choices.
+        Source of random choices.
     """
 
     def __init__(self, random: Random) -> None:
@@ -66,7 +66,7 @@
         self._servers: list[HttpServer] = []
 
     async def listen(self, vm: str, endpoint: Endpoint) -> None:
-        """Serve a VM."""
+        """Start a listener for a VM."""
         server = HttpServer(
             endpoint=endpoint,
             limits=HttpLimits(idle_timeout_s=LOST_CALL_S),
@@ -81,46 +81,48 @@
             await server.close()
 
     def has_fault(self, kind: str, vm: str) -> bool:
-        """Tell whether a kind of trouble concerns a VM now."""
+        """Return whether a kind of fault affects a VM now."""
         return any(
             each.kind == kind and (not each.vms or vm in each.vms)
             for each in self.faults
         )
 
     def truncate_history(self) -> None:
-        """Drop the history so far."""
+        """Discard the history of changes so far."""
         self.oldest_version = self.version
 
-    async def serve(self, vm: str, source: ServerExchange) -> None:
-        """Answer a call of a VM, as far as its troubles let it."""
-        body = await source.read_body(max_bytes=1_000_000) or b""
+    async def serve(self, vm: str, exchange: ServerExchange) -> None:
+        """Answer a call of a VM, subject to the faults that affect it."""
+        body = await exchange.read_body(max_bytes=1_000_000) or b""
         if self.has_fault("away", vm):
-            await self._lose(source)
+            await self._drop_call(exchange)
             return
         if self.has_fault("refused", vm):
-            await self._refuse(source)
+            await self._refuse(exchange)
             return
         if self.has_fault("resets", vm):
-            source.abort()
+            exchange.abort()
             return
         await self._slow_down(vm)
-        loses = self.has_fault("loses", vm) and self._random.random() < 1 / 2
-        if loses and self._random.random() < 1 / 2:
-            source.abort()
+        is_lost = self.has_fault("loses", vm) and self._random.random() < 1 / 2
+        if is_lost and self._random.random() < 1 / 2:
+            exchange.abort()
             return
-        answered = await self._answer_for(vm, source.target, body)
-        if answered is None and self.has_fault("resets", vm):
-            source.abort()
+        result = await self._answer_for(vm, exchange.target, body)
+        if result is None and self.has_fault("resets", vm):
+            exchange.abort()
             return
-        if answered is None or loses:
+        if result is None or is_lost:
             await (
-                self._lose(source) if answered is None else self._lose_answer(source)
+                self._drop_call(exchange)
+                if result is None
+                else self._lose_answer(exchange)
             )
             return
         while self.has_fault("held", vm):
             await sleep(POLL_S)
-        status, answer = answered
-        await source.answer(status=status, body=json.dumps(answer).encode())
+        status, answer = result
+        await exchange.answer(status=status, body=json.dumps(answer).encode())
 
     async def _answer_for(
         self, vm: str, target: str, body: bytes
@@ -138,12 +140,15 @@
 
     async def _wait_for(self, vm: str, fields: dict[str, str]) -> bool:
         """Wait for a change; False if the call is lost meanwhile."""
-        end, looked_at = monotonic() + int(fields["wait_ms"]) / 1000, -1
+        end, checked_version = monotonic() + int(fields["wait_ms"]) / 1000, -1
         while monotonic() < end:
             if self._drops_calls(vm):
                 return False
-            if looked_at != self.version or int(fields["after"]) < self.oldest_version:
-                looked_at = self.version
+            if (
+                checked_version != self.version
+                or int(fields["after"]) < self.oldest_version
+            ):
+                checked_version = self.version
                 status, found = self._feed(fields)
                 if status != 200 or found["rows"]:
                     return True
@@ -151,29 +156,29 @@
         return True
 
     def _drops_calls(self, vm: str) -> bool:
-        """Tell whether calls that have come get no answer."""
+        """Return whether calls that were received get no answer."""
         return self.has_fault("away", vm) or self.has_fault("resets", vm)
 
     async def _slow_down(self, vm: str) -> None:
         if self.has_fault("slow", vm):
             await sleep(self._random.uniform(*SLOW_S))
 
-    async def _refuse(self, source: ServerExchange) -> None:
+    async def _refuse(self, exchange: ServerExchange) -> None:
         status = self._random.choice((503, 429, 0))
         if status:
-            await source.answer(status=status, body=b"{}")
+            await exchange.answer(status=status, body=b"{}")
         else:
-            source.abort()
+            exchange.abort()
 
-    async def _lose_answer(self, source: ServerExchange) -> None:
+    async def _lose_answer(self, exchange: ServerExchange) -> None:
         if self._random.random() < 1 / 2:
-            source.abort()
+            exchange.abort()
         else:
-            await self._lose(source)
+            await self._drop_call(exchange)
 
-    async def _lose(self, source: ServerExchange) -> None:
+    async def _drop_call(self, exchange: ServerExchange) -> None:
         await sleep(LOST_CALL_S)
-        source.abort()
+        exchange.abort()
 
     async def wait_until_back(self) -> None:
         """Wait until the operator and upstreams can write."""
@@ -181,19 +186,19 @@
             await sleep(POLL_S)
 
     async def write(self, table: str, key: str, make: Callable[[], Any]) -> float:
-        """Write a row for the operator or an upstream, as often as needed.
+        """Write a row for the operator or an upstream, and retry until acknowledged.
 
         Parameters
         ----------
         table, key : str
             The row.
         make : callable
-            Gives its content at the moment of the write; None drops it.
+            Returns its content at the time of the write; None removes the row.
 
         Returns
         -------
         float
-            When it was acknowledged, monotonic seconds.
+            Time of the acknowledgement, monotonic seconds.
         """
         while True:
             await sleep(ANSWER_S)
--- a/tests/fleet/soak/statements.py
+++ b/tests/fleet/soak/statements.py
@@ -1,4 +1,4 @@
-"""What upstreams of a soak say of themselves, and whether entry VMs go by it."""
+"""Statements of upstreams in a soak, and checks that entry VMs comply with them."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 MAX_DURING_RETRY_AFTER = 2
 MAX_AFFECTED = 3
 WHOLE_SERVICE_SHARE = 0.2
-"""Part of the faults that strike all upstreams of a service."""
+"""Share of the faults that affect all upstreams of a service."""
 LIMITS_PER_S = (0.0, 0.5, 1.0, 2.0, 4.0)
 WHOLE_SERVICE_LIMITS_PER_S = (2.0, 4.0)
-"""Limits of a whole service, which end soon enough for its calm end to be judged."""
+"""Limits for a whole service, whose effect ends in time for the final check."""
 RETRY_AFTERS_S = (0.3, 1.0, 2.0, 4.0)
 MALFORMED_STATEMENTS = (
     (b"server-limit", b""),
@@ -58,7 +58,7 @@
 
 @frozen(kw_only=True)
 class ForwardedRequest:
-    """A request at an upstream, with the process that it came from.
+    """A request at an upstream, with the process that forwarded it.
 
     Parameters
     ----------
@@ -67,10 +67,10 @@
     sent_at : float
         When its caller sent it, monotonic seconds.
     arrival : Arrival
-        Where and when it arrived, and what was said in the answer.
+        Where and when it arrived, and the statement in its answer.
     relayed_at : float
-        When its caller had the whole answer, monotonic seconds; infinite if it did not
-        get that one, since the process had left the upstream before.
+        When its caller had the complete answer, monotonic seconds; infinite if the
+        caller did not get this answer, as the process had given up on the upstream.
     """
 
     sender: Sender
@@ -81,18 +81,18 @@
 
 @define(kw_only=True)
 class Statements:
-    """Let upstreams say things of themselves, and check what they get.
+    """Make upstreams send statements, and check the requests that they get.
 
     Parameters
     ----------
     checks : Checks
-        Where findings go.
+        Observations, and where violations are recorded.
     upstreams : Upstreams
         The upstreams.
     process_pauses : ProcessPauses
-        When processes stood still, which excuses them.
+        Pauses of processes; a paused process is excused.
     seed : int
-        Source of choices, with the time of the fault: a replay makes the same.
+        Random seed, combined with the time of the fault, so that replays are equal.
     """
 
     checks: Checks
@@ -101,23 +101,26 @@
     seed: int
 
     async def inject(self, fault: SoakFault) -> None:
-        """Let some upstreams say something for a while."""
+        """Make some upstreams send a statement for a while."""
         random = Random(f"statements of {self.seed} at {fault.at}")
-        struck = self._draw(random)
+        affected = self._draw(random)
         if fault.kind == "say-leave":
-            for number in struck:
+            for number in affected:
                 await spawn(self.upstreams.leave_by_header, number, daemon=True)
             return
-        lives = [self.upstreams.current[number] for number in struck]
+        upstreams = [self.upstreams.current[number] for number in affected]
         spans = []
-        for upstream in lives:
+        for upstream in upstreams:
             if fault.kind != "misspeak":
                 spans.append(self.upstreams.begin_withholding(upstream))
             _begin_statement(
-                upstream, fault.kind, random, is_whole=len(lives) > MAX_AFFECTED
+                upstream,
+                fault.kind,
+                random,
+                is_whole_service=len(upstreams) > MAX_AFFECTED,
             )
         await sleep(fault.for_s)
-        for upstream in lives:
+        for upstream in upstreams:
             _end_statement(upstream, fault.kind)
         for span in spans:
             span.end = monotonic()
@@ -130,68 +133,75 @@
         return random.sample(numbers, random.randint(1, MAX_AFFECTED))
 
     def check(self) -> None:
-        """Check all that was said, at the end."""
-        passed_by_upstream: dict[str, list[ForwardedRequest]] = {}
+        """Check the compliance with all statements, at the end of the soak."""
+        forwarded_by_upstream: dict[str, list[ForwardedRequest]] = {}
         for each in self._forwarded_requests():
             name = each.arrival.at.name
-            passed_by_upstream.setdefault(name, []).append(each)
-        for passed in passed_by_upstream.values():
-            upstream = passed[0].arrival.at
-            self._check_limits(upstream, passed)
-            self._check_leaving(upstream, passed)
-            self._check_rests(upstream, passed)
+            forwarded_by_upstream.setdefault(name, []).append(each)
+        for forwarded in forwarded_by_upstream.values():
+            upstream = forwarded[0].arrival.at
+            self._check_limits(upstream, forwarded)
+            self._check_leaving(upstream, forwarded)
+            self._check_retry_after(upstream, forwarded)
 
     def _forwarded_requests(self) -> Iterator[ForwardedRequest]:
-        """Give the requests of which it is known what process sent them on."""
-        told_by_request = {each.request: each for each in self.checks.requests}
+        """Yield the requests whose forwarding process is known."""
+        observed_by_request = {each.request: each for each in self.checks.requests}
         last_by_request = {each.request: each for each in self.upstreams.arrivals}
         for arrival in self.upstreams.arrivals:
-            told = told_by_request.get(arrival.request)
-            if told is None or told.incarnation is None:
+            observed = observed_by_request.get(arrival.request)
+            if observed is None or observed.incarnation is None:
                 continue
             is_last = last_by_request[arrival.request] is arrival
-            is_relayed = is_last and told.status is not None
+            is_relayed = is_last and observed.status is not None
             yield ForwardedRequest(
-                sender=Sender(vm=told.vm, incarnation=told.incarnation),
-                sent_at=told.sent_at,
+                sender=Sender(vm=observed.vm, incarnation=observed.incarnation),
+                sent_at=observed.sent_at,
                 arrival=arrival,
-                relayed_at=told.ended_at if is_relayed else inf,
+                relayed_at=observed.ended_at if is_relayed else inf,
             )
 
-    def _must_comply(self, sender: Sender, told_at: float, at: float) -> bool:
-        """Tell whether a process must go by what it was told, at a later moment."""
-        due = self.checks.disturbances.extended_deadline(told_at, STATEMENT_DELAY_S, at)
-        return at > due and not self.process_pauses.total_s(sender.vm, told_at, at)
+    def _must_comply(self, sender: Sender, known_at: float, at: float) -> bool:
+        """Return whether a process must comply at a time with a statement it knows.
 
-    def _check_limits(self, upstream: Upstream, passed: list[ForwardedRequest]) -> None:
+        It need not if it was paused since.
+        """
+        due = self.checks.disturbances.extended_deadline(
+            known_at, STATEMENT_DELAY_S, at
+        )
+        return at > due and not self.process_pauses.total_s(sender.vm, known_at, at)
+
+    def _check_limits(
+        self, upstream: Upstream, forwarded: list[ForwardedRequest]
+    ) -> None:
         by_limit: dict[float, list[float]] = {}
-        told_at: dict[Sender, float] = {}
-        named: float | None = None
-        for each in passed:
+        known_at: dict[Sender, float] = {}
+        announced: float | None = None
+        for each in forwarded:
             limit = each.arrival.limit_per_s
-            if limit != named:
-                named, told_at = limit, {}
+            if limit != announced:
+                announced, known_at = limit, {}
             if limit is None:
                 continue
             at = each.arrival.arrived_at
-            if self._must_comply(each.sender, told_at.get(each.sender, inf), at):
+            if self._must_comply(each.sender, known_at.get(each.sender, inf), at):
                 by_limit.setdefault(limit, []).append(at)
             if each.arrival.names_limit:
-                _record_knowledge(told_at, each)
+                _record_knowledge(known_at, each)
         for limit, times in by_limit.items():
             self.checks.counts["judged for limits"] += len(times)
-            most = max_in_window(times, WINDOW_S)
-            if most > max_allowed_requests(limit):
-                detail = f"{upstream.name} got {most} in {WINDOW_S} s, limit {limit}"
+            maximum = max_in_window(times, WINDOW_S)
+            if maximum > max_allowed_requests(limit):
+                detail = f"{upstream.name} got {maximum} in {WINDOW_S} s, limit {limit}"
                 self.checks.fail("limit", detail, times[-1])
 
     def _check_leaving(
-        self, upstream: Upstream, passed: list[ForwardedRequest]
+        self, upstream: Upstream, forwarded: list[ForwardedRequest]
     ) -> None:
-        told_at: dict[Sender, float] = {}
-        for each in passed:
+        known_at: dict[Sender, float] = {}
+        for each in forwarded:
             at, sender = each.arrival.arrived_at, each.sender
-            since = told_at.get(sender, inf)
+            since = known_at.get(sender, inf)
             if at > since:
                 self.checks.counts["judged for leavings that were said"] += 1
             due = self.checks.disturbances.extended_deadline(
@@ -201,38 +211,48 @@
                 detail = f"{upstream.name} had told {sender} {at - since:.3f} s before"
                 self.checks.fail("said leaving", detail, at)
             if each.arrival.is_leaving:
-                _record_knowledge(told_at, each)
+                _record_knowledge(known_at, each)
 
-    def _check_rests(self, upstream: Upstream, passed: list[ForwardedRequest]) -> None:
-        for asked in passed:
-            rest_s, since = asked.arrival.retry_after_s, asked.arrival.answered_at
-            if rest_s is None:
+    def _check_retry_after(
+        self, upstream: Upstream, forwarded: list[ForwardedRequest]
+    ) -> None:
+        for rejected in forwarded:
+            retry_after_s, since = (
+                rejected.arrival.retry_after_s,
+                rejected.arrival.answered_at,
+            )
+            if retry_after_s is None:
                 continue
             self.checks.counts["judged for rests"] += 1
-            came = [
+            arrived_at = [
                 each.arrival.arrived_at
-                for each in passed
-                if each.sender == asked.sender
-                and each.arrival.arrived_at < since + rest_s
+                for each in forwarded
+                if each.sender == rejected.sender
+                and each.arrival.arrived_at < since + retry_after_s
                 and self._must_comply(each.sender, since, each.arrival.arrived_at)
             ]
-            if len(came) > MAX_DURING_RETRY_AFTER:
-                detail = f"{upstream.name} got {len(came)} from {asked.sender} in rest"
-                self.checks.fail("rest", detail, came[-1])
+            if len(arrived_at) > MAX_DURING_RETRY_AFTER:
+                detail = (
+                    f"{upstream.name} got {len(arrived_at)} from"
+                    f" {rejected.sender} in rest"
+                )
+                self.checks.fail("rest", detail, arrived_at[-1])
 
 
-def _record_knowledge(told_at: dict[Sender, float], passed: ForwardedRequest) -> None:
-    """Note from when a process knows what an answer said that it relayed."""
-    if passed.relayed_at < told_at.get(passed.sender, inf):
-        told_at[passed.sender] = passed.relayed_at
+def _record_knowledge(
+    known_at: dict[Sender, float], forwarded: ForwardedRequest
+) -> None:
+    """Record the earliest time at which a process has relayed a statement."""
+    if forwarded.relayed_at < known_at.get(forwarded.sender, inf):
+        known_at[forwarded.sender] = forwarded.relayed_at
 
 
 def _begin_statement(
-    upstream: Upstream, kind: str, random: Random, *, is_whole: bool
+    upstream: Upstream, kind: str, random: Random, *, is_whole_service: bool
 ) -> None:
     match kind:
         case "limit":
-            limits = WHOLE_SERVICE_LIMITS_PER_S if is_whole else LIMITS_PER_S
+            limits = WHOLE_SERVICE_LIMITS_PER_S if is_whole_service else LIMITS_PER_S
             upstream.limit_per_s = random.choice(limits)
         case "rest":
             upstream.retry_after_s = random.choice(RETRY_AFTERS_S)
--- a/tests/fleet/soak/suspendable.py
+++ b/tests/fleet/soak/suspendable.py
@@ -1,8 +1,8 @@
-"""The daemon on a machine that may be suspended.
+"""Run the daemon as on a machine that may be suspended.
 
-The steady clock stands still while a machine is suspended; ``CLOCK_BOOTTIME`` goes on.
-A process that is only stopped sees both go on, so the time for which it was stopped is
-taken off its steady clock here.
+The monotonic clock stops while a machine is suspended; ``CLOCK_BOOTTIME`` does not. For
+a process that is only stopped both go on, so the time for which it was stopped is
+subtracted from its monotonic clock here.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 import time
 
 SUSPENDED = "PLANKSPINDLE_SUSPENDED"
-"""Names the file that holds the seconds for which the machine was suspended so far."""
+"""Variable with the path of the file that has the total suspended time in seconds."""
 SECONDS = struct.Struct("d")
 DAEMON = "plankspindle_platform"
 
 
 def exclude_suspended_time() -> None:
-    """Take the time for which the machine was suspended off the steady clock."""
+    """Subtract the suspended time from the monotonic clock of this process."""
     with open(os.environ[SUSPENDED], "r+b") as file:
         suspended = mmap.mmap(file.fileno(), SECONDS.size)
     steady = time.monotonic
--- a/tests/fleet/soak/upstreams.py
+++ b/tests/fleet/soak/upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams of a soak, which note each request that they begin."""
+"""Upstreams of a soak, which record all requests that they get."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 HEARTBEAT_S = 1.5
 LINGER_S = 2.0
-"""Time for which an upstream that left serves on after the bound, in seconds."""
+"""Time for which an upstream that left still serves after the bound, in seconds."""
 ID = b"x-plankspindle-request-id"
 INSTANCE = b"x-plankspindle-instance-id"
 SHORT_S = (0.002, 0.03)
@@ -46,41 +46,41 @@
 LEAVING = b"server-leaving"
 RETRY_AFTER = b"retry-after"
 OMITTED_LIMIT_SHARE = 0.05
-"""Part of the answers that leave the limit out, as answers to failed requests may."""
+"""Share of the answers without the limit, as answers to failed requests may be."""
 CRASHING_PATH_PREFIX = "crashing-"
-"""Begins the last part of the path of a request under which upstreams crash."""
+"""Prefix of the last path segment of requests under which upstreams crash."""
 CRASH_AFTER_S = (0.02, 0.15)
 DOWN_S = (1.0, 4.0)
-"""Time after which an upstream that crashed is back under another id, in seconds."""
+"""Time after which a crashed upstream is back with another id, in seconds."""
 MISSED_HEARTBEATS = 3
-"""Heartbeats that are missing when an entry goes."""
+"""Missed heartbeats after which an entry is removed."""
 
 
 @define(kw_only=True)
 class Upstream:
-    """One life of an upstream.
+    """One incarnation of an upstream.
 
     Parameters
     ----------
     name : str
         Its id.
     service, zone : str
-        What it serves and where.
+        Its service and location.
     endpoint : Endpoint
         Its address.
     left_at : float
-        When the store acknowledged that it leaves or is gone, monotonic seconds.
+        When the store acknowledged that it leaves or is removed, monotonic seconds.
     crashed_at : float
-        When it ended under a request, monotonic seconds.
+        When it crashed under a request, monotonic seconds.
     limit_per_s, retry_after_s : float, optional
-        Limit that it names, in requests a second, and rest that it asks for as it turns
-        requests away, in seconds.
+        Limit that it announces, in requests per second, and retry-after period with
+        which it rejects requests, in seconds.
     announces_leaving : bool
-        Whether it says in answers that it leaves.
+        Whether its answers announce that it leaves.
     malformed_statement : tuple of (bytes, bytes), optional
-        A statement in its answers that cannot be read.
+        Header of its answers that is a malformed statement.
     withheld_spans : list of Span
-        When it said something that keeps requests away.
+        When its statements withheld requests from it.
     """
 
     name: str
@@ -102,34 +102,34 @@
 
     @property
     def has_crashed(self) -> bool:
-        """Whether it ended under a request."""
+        """Whether it crashed under a request."""
         return self.crashed_at < inf
 
     @property
     def is_staying(self) -> bool:
-        """Whether it is listed and neither leaves nor is taken for gone."""
-        goes = self.is_draining or self.is_lapsed or self.has_crashed
-        return self.is_listed and not goes
+        """Whether it is listed and neither drains, nor has lapsed or crashed."""
+        is_ending = self.is_draining or self.is_lapsed or self.has_crashed
+        return self.is_listed and not is_ending
 
     def is_withheld(self, begin: float, end: float) -> bool:
-        """Tell whether it kept requests away between two moments."""
+        """Return whether it withheld requests at any time between two times."""
         return any(
             each.begin <= end and begin <= each.end for each in self.withheld_spans
         )
 
     def statements(self, *, names_limit: bool = True) -> HeaderList:
-        """Give what its answers say of it; some leave the limit out."""
-        said: HeaderList = []
+        """Return the statement headers of an answer, with or without the limit."""
+        statement_headers: HeaderList = []
         if self.limit_per_s is not None and names_limit:
-            said.append((LIMIT, str(self.limit_per_s).encode()))
+            statement_headers.append((LIMIT, str(self.limit_per_s).encode()))
         if self.announces_leaving or self.is_draining:
-            said.append((LEAVING, b"1"))
+            statement_headers.append((LEAVING, b"1"))
         if self.malformed_statement is not None:
-            said.append(self.malformed_statement)
-        return said
+            statement_headers.append(self.malformed_statement)
+        return statement_headers
 
     def row(self) -> dict[str, Any] | None:
-        """Give its entry in the store, or None if it is gone or has lapsed."""
+        """Return its entry in the store, or None if it is removed or has lapsed."""
         if not self.is_listed or self.is_lapsed:
             return None
         self.sequence += 1
@@ -151,22 +151,22 @@
 
 @frozen(kw_only=True)
 class Run:
-    """A request that an upstream began.
+    """Execution of a request at an upstream.
 
     Parameters
     ----------
     at : Upstream
-        Where.
+        The upstream.
     arrived_at : float
-        When, monotonic seconds.
+        When the request arrived, monotonic seconds.
     others_left : int
         Upstreams of the service that left longer ago than the bound and still serve.
     others_vanished : int
-        Those of them that vanished in an outage of the store.
+        Number of these that vanished in an outage of the store.
     is_aborted : bool
-        Whether its answer is lost by the upstream.
+        Whether the upstream aborts the connection instead of answering.
     hides_key : bool
-        Whether it told its caller's workspace and nothing of the key.
+        Whether the request had its caller's workspace and no API key.
     """
 
     at: Upstream
@@ -179,22 +179,22 @@
 
 @define(kw_only=True)
 class Arrival:
-    """A request that reached an upstream, and what was said in the answer.
+    """A request that reached an upstream, and the statement in its answer.
 
     Parameters
     ----------
     at : Upstream
-        Where.
+        The upstream.
     request : str
-        Its id.
+        Id of the request.
     arrived_at, answered_at : float
         Monotonic seconds.
     limit_per_s, retry_after_s : float, optional
-        Limit of that moment, in requests a second, and rest asked for, in seconds.
+        Limit at that time, in requests per second, and retry-after period, in seconds.
     names_limit : bool
-        Whether the answer names the limit.
+        Whether the answer includes the limit.
     is_leaving : bool
-        Whether the answer said that the upstream leaves.
+        Whether the answer announces that the upstream leaves.
     """
 
     at: Upstream
@@ -207,33 +207,37 @@
     is_leaving: bool = False
 
     def record_answer(self, now: float) -> None:
-        """Note what the upstream says of itself as it answers.
+        """Record the statement of the upstream at the time of the answer.
 
-        What is said twice, once so that it cannot be read, counts as not said.
+        A statement that is sent twice, once malformed, counts as not sent.
         """
-        spoilt = self.at.malformed_statement[0] if self.at.malformed_statement else None
+        malformed_name = (
+            self.at.malformed_statement[0] if self.at.malformed_statement else None
+        )
         self.answered_at = now
         self.limit_per_s = self.at.limit_per_s
-        self.names_limit = self.names_limit and spoilt != LIMIT
+        self.names_limit = self.names_limit and malformed_name != LIMIT
         is_leaving = self.at.announces_leaving or self.at.is_draining
-        self.is_leaving = is_leaving and spoilt != LEAVING
-        self.retry_after_s = None if spoilt == RETRY_AFTER else self.at.retry_after_s
+        self.is_leaving = is_leaving and malformed_name != LEAVING
+        self.retry_after_s = (
+            None if malformed_name == RETRY_AFTER else self.at.retry_after_s
+        )
 
 
 @define(kw_only=True)
 class Upstreams:
-    """All upstreams: as many of each service in each zone.
+    """All upstreams, the same number for each service in each zone.
 
     Parameters
     ----------
     layout : Layout
         Their addresses.
     store : SoakStore
-        Where they keep themselves.
+        Store of their entries.
     random : Random
-        Source of choices.
+        Source of random choices.
     drain_s : float
-        Time for which one that leaves must serve on, in seconds.
+        Time for which a leaving upstream must still serve, in seconds.
     per_service_and_zone : int
         Upstreams of each service in each zone.
     """
@@ -253,27 +257,27 @@
     _omission_random: Random = Factory(lambda: Random("limits left out"))
 
     async def start(self) -> None:
-        """Listen and enter all of them."""
-        places = [(service, zone) for service in SERVICES for zone in ZONES]
-        places *= self.per_service_and_zone
-        for number, (service, zone) in enumerate(places):
-            self.current.append(self._make(number, service, zone, incarnation=0))
+        """Start and list all upstreams."""
+        locations = [(service, zone) for service in SERVICES for zone in ZONES]
+        locations *= self.per_service_and_zone
+        for number, (service, zone) in enumerate(locations):
+            self.current.append(self._build(number, service, zone, incarnation=0))
             self._servers.append(await self._listen(number))
-            await self._enter(self.current[number])
+            await self._write_entry(self.current[number])
 
-    def _make(
+    def _build(
         self, number: int, service: str, zone: str, *, incarnation: int
     ) -> Upstream:
         endpoint = self.layout.upstream(number)
         name = f"i-{number}-{incarnation}"
         return Upstream(name=name, service=service, zone=zone, endpoint=endpoint)
 
-    async def _enter(self, upstream: Upstream) -> float:
+    async def _write_entry(self, upstream: Upstream) -> float:
         return await self.store.write(SERVER_TABLE, upstream.name, upstream.row)
 
     async def _listen(self, number: int) -> HttpServer:
-        async def handle(source: ServerExchange) -> None:
-            await self._handle(self.current[number], source)
+        async def handle(exchange: ServerExchange) -> None:
+            await self._handle(self.current[number], exchange)
 
         server = HttpServer(
             endpoint=self.layout.upstream(number),
@@ -289,31 +293,31 @@
             await server.close()
 
     async def send_heartbeats(self) -> None:
-        """Write the entries again and again."""
+        """Write the entries periodically."""
         while True:
             for number in range(len(self.current)):
                 await sleep(HEARTBEAT_S / len(self.current))
                 upstream = self.current[number]
                 is_silent = upstream.is_lapsed or upstream.has_crashed
                 if upstream.is_listed and not is_silent:
-                    await self._enter(upstream)
+                    await self._write_entry(upstream)
 
     async def leave(self, number: int, *, is_announced: bool) -> None:
-        """Let an upstream leave, and another life of it come at its address."""
+        """Let an upstream leave, and start its next incarnation at its address."""
         upstream = self.current[number]
         if not upstream.is_staying:
             return
         if is_announced:
             upstream.is_draining = True
-            upstream.left_at = await self._enter(upstream)
+            upstream.left_at = await self._write_entry(upstream)
             await sleep(self.drain_s + LINGER_S)
         upstream.is_listed = False
-        gone_at = await self._enter(upstream)
+        gone_at = await self._write_entry(upstream)
         upstream.left_at = min(upstream.left_at, gone_at)
         await self.replace(number)
 
     async def leave_by_header(self, number: int) -> None:
-        """Let an upstream say only in answers that it leaves, then let it go."""
+        """Let an upstream announce only in its answers that it leaves, then leave."""
         upstream = self.current[number]
         if not upstream.is_staying or upstream.announces_leaving:
             return
@@ -324,14 +328,14 @@
             await self.leave(number, is_announced=False)
 
     def begin_withholding(self, upstream: Upstream) -> Span:
-        """Note that an upstream keeps requests away by what it says from now on."""
+        """Record that an upstream withholds requests by a statement from now on."""
         span = Span(begin=monotonic())
         upstream.withheld_spans.append(span)
         self.restricted.append(upstream)
         return span
 
     def remove_entry(self, number: int, *, is_gone: bool) -> None:
-        """Drop an entry while the store is away, of one that lives on or is gone."""
+        """Remove an entry during an outage, of a running or a vanished upstream."""
         upstream = self.current[number]
         upstream.is_listed, upstream.is_lapsed = not is_gone, not is_gone
         if is_gone:
@@ -340,29 +344,29 @@
             self.store.remove(SERVER_TABLE, upstream.name)
 
     async def relist(self, upstream: Upstream) -> None:
-        """Enter one again whose entry has lapsed, unless it crashed meanwhile."""
+        """List an upstream again whose entry has lapsed, unless it has crashed."""
         upstream.is_lapsed = False
         if not upstream.has_crashed:
-            await self._enter(upstream)
+            await self._write_entry(upstream)
 
     async def replace(self, number: int) -> None:
-        """Let one that is gone serve on for a while, and another life of it come."""
+        """Let a removed upstream serve for a while, then start its next incarnation."""
         await sleep(self.drain_s + LINGER_S)
         await self._servers[number].close(drain_s=1.0)
         await self._start_incarnation(number)
 
     async def _start_incarnation(self, number: int) -> None:
-        """Start the next life of an upstream at its address."""
+        """Start the next incarnation of an upstream at its address."""
         upstream = self.current[number]
-        life = int(upstream.name.rpartition("-")[2]) + 1
-        self.current[number] = self._make(
-            number, upstream.service, upstream.zone, incarnation=life
+        incarnation = int(upstream.name.rpartition("-")[2]) + 1
+        self.current[number] = self._build(
+            number, upstream.service, upstream.zone, incarnation=incarnation
         )
         self._servers[number] = await self._listen(number)
-        await self._enter(self.current[number])
+        await self._write_entry(self.current[number])
 
     async def _crash(self, upstream: Upstream, path: str) -> None:
-        """End an upstream without a word, and all that runs there with it."""
+        """Crash an upstream with all requests that run there."""
         number = next(
             (n for n, each in enumerate(self.current) if each is upstream), None
         )
@@ -374,29 +378,31 @@
         self.crashed.append(upstream)
         await self._servers[number].close()
         await spawn(self._expire_entry, upstream, daemon=True)
-        # What leaves or has vanished is replaced in any case.
+        # Upstreams that leave or have vanished are replaced in any case.
         if upstream.is_listed and not upstream.is_draining:
             await sleep(self.random.uniform(*DOWN_S))
             await self._start_incarnation(number)
 
     async def _expire_entry(self, upstream: Upstream) -> None:
-        """Drop the entry of one that crashed, after some heartbeats of silence."""
+        """Remove the entry of a crashed upstream after some missed heartbeats."""
         await sleep(MISSED_HEARTBEATS * HEARTBEAT_S)
         if upstream.is_listed and not upstream.is_lapsed:
             upstream.is_listed = False
-            await self._enter(upstream)
+            await self._write_entry(upstream)
 
-    async def _handle(self, upstream: Upstream, source: ServerExchange) -> None:
+    async def _handle(self, upstream: Upstream, exchange: ServerExchange) -> None:
         arrived_at = monotonic()
-        await source.read_body(max_bytes=100_000)
-        request = find_header(source.headers, ID) or b""
-        own: HeaderList = [(ID, request), (INSTANCE, upstream.name.encode())]
-        wanted = find_header(source.headers, DIALECT.target_upstream or b"")
-        if wanted is not None and wanted.decode() != upstream.name:
-            await source.answer(status=421, headers=own)
+        await exchange.read_body(max_bytes=100_000)
+        request = find_header(exchange.headers, ID) or b""
+        own_headers: HeaderList = [(ID, request), (INSTANCE, upstream.name.encode())]
+        target = find_header(exchange.headers, DIALECT.target_upstream or b"")
+        if target is not None and target.decode() != upstream.name:
+            await exchange.answer(status=421, headers=own_headers)
             return
         if not request:
-            await source.answer(status=200, headers=[*own, *upstream.statements()])
+            await exchange.answer(
+                status=200, headers=[*own_headers, *upstream.statements()]
+            )
             return
         arrival = Arrival(
             at=upstream,
@@ -406,9 +412,9 @@
         )
         self.arrivals.append(arrival)
         if upstream.retry_after_s is not None:
-            await self._reject(upstream, arrival, source, own)
+            await self._reject(upstream, arrival, exchange, own_headers)
             return
-        left = [
+        departed = [
             each
             for each in self.current
             if each.left_at < arrived_at - self.drain_s
@@ -417,47 +423,49 @@
         run = Run(
             at=upstream,
             arrived_at=arrived_at,
-            others_left=len(left),
-            others_vanished=sum(each.has_vanished for each in left),
+            others_left=len(departed),
+            others_vanished=sum(each.has_vanished for each in departed),
             is_aborted=self.random.random() < ABORTED_SHARE,
-            hides_key=_hides_key(source.headers),
+            hides_key=_hides_key(exchange.headers),
         )
         self.runs_by_id.setdefault(request.decode(), []).append(run)
-        if CRASHING_PATH_PREFIX in source.target:
+        if CRASHING_PATH_PREFIX in exchange.target:
             await sleep(self.random.uniform(*CRASH_AFTER_S))
-            # Not by this task, which ends with its upstream.
-            await spawn(self._crash, upstream, source.target, daemon=True)
+            # In another task, as this one is cancelled with its upstream.
+            await spawn(self._crash, upstream, exchange.target, daemon=True)
             await sleep(inf)
         is_long = self.random.random() < LONG_SHARE
         await sleep(self.random.uniform(*(LONG_S if is_long else SHORT_S)))
         if run.is_aborted:
-            source.abort()
+            exchange.abort()
             return
-        signed = (b"x-plankspindle-response-signature", upstream.name.encode())
-        said = upstream.statements(names_limit=arrival.names_limit)
+        signature = (b"x-plankspindle-response-signature", upstream.name.encode())
+        statement_headers = upstream.statements(names_limit=arrival.names_limit)
         arrival.record_answer(monotonic())
         arrival.retry_after_s = None
-        headers = [*own, signed, *said]
-        await source.answer(status=200, headers=headers, body=b"done")
+        headers = [*own_headers, signature, *statement_headers]
+        await exchange.answer(status=200, headers=headers, body=b"done")
 
     async def _reject(
         self,
         upstream: Upstream,
         arrival: Arrival,
-        source: ServerExchange,
-        own: HeaderList,
+        exchange: ServerExchange,
+        own_headers: HeaderList,
     ) -> None:
-        """Answer that a request was not run, and ask for rest."""
-        said = upstream.statements(names_limit=arrival.names_limit)
+        """Answer 503 with retry-after, and that the request was not run."""
+        statement_headers = upstream.statements(names_limit=arrival.names_limit)
         arrival.record_answer(monotonic())
-        rest = [
+        rejection_headers = [
             (DIALECT.not_run, b"1"),
             (RETRY_AFTER, str(upstream.retry_after_s).encode()),
         ]
-        headers = [*own, *rest, *said]
-        await source.answer(status=503, headers=headers)
+        headers = [*own_headers, *rejection_headers, *statement_headers]
+        await exchange.answer(status=503, headers=headers)
 
 
 def _hides_key(headers: HeaderList) -> bool:
-    told = [value for name, value in headers if name == DIALECT.workspace]
-    return told == [WORKSPACE.encode()] and not find_header(headers, CREDENTIALS[0])
+    workspaces = [value for name, value in headers if name == DIALECT.workspace]
+    return workspaces == [WORKSPACE.encode()] and not find_header(
+        headers, CREDENTIALS[0]
+    )
