--- a/packages/daemon/src/plankspindle_daemon/dispatch/dispatcher.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/dispatcher.py
@@ -254,7 +254,7 @@
     def _check_limits(
         self, ticket: Ticket, available_at: float, now: float
     ) -> Reject | None:
-        """Reject a request if limits or Retry-After periods block all upstreams."""
+        """Reject a request if limits or retry-after periods block all upstreams."""
         if self.placement is not None and self.fleet_limiter_by_incarnation:
             choice_at = self.placement.available_at(ticket, self.upstreams_by_name, now)
             available_at = max(available_at, choice_at)
--- a/packages/daemon/src/plankspindle_daemon/dispatch/domain_distances.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/domain_distances.py
@@ -51,8 +51,8 @@
 
     def is_local(self, domain: str) -> bool:
         """Return whether a failure domain is in the region of this VM."""
-        is_near = self._is_local_by_domain.get(domain)
-        if is_near is None:
-            is_near = self.region_of(domain) == self.region_of(self.home_domain)
-            self._is_local_by_domain[domain] = is_near
-        return is_near
+        is_local = self._is_local_by_domain.get(domain)
+        if is_local is None:
+            is_local = self.region_of(domain) == self.region_of(self.home_domain)
+            self._is_local_by_domain[domain] = is_local
+        return is_local
--- a/packages/daemon/src/plankspindle_daemon/dispatch/messages.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/messages.py
@@ -63,7 +63,7 @@
         Time that a new connection took, in seconds.
     reported_load : int, optional
         Requests running and queued on the upstream, as reported in its response.
-    cpu_wait_s : float, optional
+    waited_s : float, optional
         Time spent waiting for the head of a response that never arrived, in seconds.
     incarnation : int
         Incarnation of the upstream that the attempt ran on; zero if unknown.
--- a/packages/daemon/src/plankspindle_daemon/dispatch/placement.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/placement.py
@@ -38,11 +38,10 @@
 """Load, as a share of the slots, up to which an upstream accepts affinity misses.
 
 A miss occupies an upstream several times as long as a hit and evicts one of the few
-keys that its cache holds. A fleet that sends misses anywhere once it is busy loses most
-of its capacity and stays overloaded for that reason, so a key never goes beyond the
-next two upstreams of its ranking. Compared with misses on any idle upstream, the bound
-raises the score of days with faults by 0.02 over three seeds, and that of the modelled
-loads by 0.03.
+keys in its cache. A fleet that sends misses anywhere once it is busy loses most of its
+capacity and stays overloaded by that, so a key uses only the next two upstreams of its
+ranking. Compared with misses on any idle upstream, this adds 0.02 to the earned worth
+of days with faults (over three seeds) and 0.03 to that of the modelled loads.
 """
 LOAD_COST_SHARE = 0.25
 """Cost of a full upstream over an idle one, as a share of the expected duration."""
@@ -126,7 +125,7 @@
         Returns
         -------
         PlacementChoice, NeedsToken or None
-            None if the request should wait, as for an upstream that has seen its key.
+            None if waiting is better, as for an upstream that has seen the key.
 
         Notes
         -----
@@ -256,7 +255,7 @@
     def available_at(
         self, ticket: Ticket, by_name: Mapping[str, UpstreamState], now: float
     ) -> float:
-        """Return when rate limits and Retry-After periods allow a request to be placed.
+        """Return when rate limits and retry-after periods allow a request to be placed.
 
         Parameters
         ----------
@@ -267,14 +266,10 @@
         now : float
             Monotonic time in seconds.
 
-        Returns
-        -------
-        float
-            Monotonic time in seconds; ``now`` if an upstream may be available already.
-
         Notes
         -----
-        Tokens are requested only for the upstream planned for a key. The other
+        The result is in monotonic seconds; ``now`` if an upstream may be available
+        already. Tokens are requested only for the upstream planned for a key. The other
         candidates of the key accept the request only if a token is already available.
         """
         if ticket.affinity is None:
@@ -331,8 +326,8 @@
     ) -> dict[str, bool]:
         """Return the usable upstreams of a key, and which one is planned for it.
 
-        The planned side is first. Only the first upstream of all is planned: all entry
-        VMs send the key there, so it is assumed to have seen it.
+        The planned side is first. Only the first upstream is planned: all entry VMs
+        that follow the plan send the key there, so it is assumed to have seen the key.
         """
         candidates: dict[str, bool] = {}
         for names in self.planned_rankings(ticket):
--- a/packages/daemon/src/plankspindle_daemon/dispatch/region_capacity.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/region_capacity.py
@@ -90,10 +90,11 @@
         self.limiter.set_capacity(usable_local, now)
 
     def _max_change(self, now: float) -> float:
-        """Return the maximum change of a plan; any change after a capacity loss.
+        """Return the maximum change of a plan's remote share in this update.
 
-        A plan that changed in one step would move many keys at once to upstreams that
-        have not seen them.
+        It is 1, so that any change is possible, at start-up and after a loss of local
+        capacity. Otherwise a change in one step would move many keys at once to
+        upstreams that have not seen them.
         """
         before, self._updated_at = self._updated_at, now
         if before is None or not self.limiter.is_limiting(now):
@@ -103,8 +104,8 @@
     def _count_slots(self, dispatcher: Dispatcher, now: float) -> _SlotCounts:
         """Count the slots of a service's upstreams that are to stay.
 
-        Upstreams that are backed off are included: a plan moves keys, and these
-        upstreams return.
+        Upstreams that are backed off are included: they return, and a plan without
+        them would move their keys.
         """
         local = remote = usable_local = 0
         is_local = self.distances.is_local
--- a/packages/daemon/src/plankspindle_daemon/dispatch/region_plan.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/region_plan.py
@@ -26,8 +26,8 @@
 
     The share does not follow the load that upstreams report: each VM receives different
     reports, so the VMs moved keys at different times and the keys were cached in two
-    places. That lowered the score of days with faults by 0.01, and gained nothing where
-    nine tenths of the callers of a modelled load were in one region.
+    places. That lowered the earned worth of days with faults by 0.01, and gained
+    nothing where nine tenths of the callers of a modelled load were in one region.
     """
 
     remote_share: float = 0.0
--- a/packages/daemon/src/plankspindle_daemon/dispatch/rejections.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/rejections.py
@@ -82,7 +82,7 @@
         if available_at is not None:
             wait = max(wait, (available_at - now) * self.random.uniform(1.0, 1.5))
         bounded = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait))
-        usual_s = self.durations.expected_total_s(
+        expected_s = self.durations.expected_total_s(
             operation=ticket.operation, declared_s=ticket.expected_s
         )
         step = Rejected(
@@ -91,7 +91,7 @@
             queued=len(self.queue),
             capacity=capacity,
             in_flight=in_flight,
-            usual_ms=round(usual_s * 1000),
+            usual_ms=round(expected_s * 1000),
             left_ms=round((ticket.deadline - now) * 1000),
         )
         return Reject(ticket=ticket, reason=reason, retry_after_s=bounded, step=step)
--- a/packages/daemon/src/plankspindle_daemon/dispatch/service_registry.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/service_registry.py
@@ -65,8 +65,8 @@
     probe_period_s : float
         Period at which load reports are read, in seconds.
     ramping_from : float
-        Monotonic time in seconds from which an added upstream counts as newly started,
-        and not as unknown so far because this VM just started.
+        Monotonic time in seconds. An upstream that is added earlier is assumed to be
+        new only to this VM, which just started; a later one has newly started.
 
     Attributes
     ----------
--- a/packages/daemon/src/plankspindle_daemon/dispatch/spillover_limiter.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/spillover_limiter.py
@@ -32,8 +32,8 @@
 
     Notes
     -----
-    Requests that flood from a busy region into the next overload that one too, and flow
-    back once it is busy. The share that spills over therefore follows demand at a
+    Requests that flood from a busy region into the next overload that one too, and then
+    flow back. The share that spills over therefore follows demand at a
     limited rate, in both directions. Each request adds the share to a credit, and each
     one that spills takes 1 from it. When upstreams of the local region fail or are
     drained, the limit is suspended for a while, and requests go wherever there is spare
--- a/packages/daemon/src/plankspindle_daemon/dispatch/unresponsive_hint_relay.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/unresponsive_hint_relay.py
@@ -13,7 +13,7 @@
     from plankspindle_daemon.upstreams.upstream_state import UpstreamState
 
 MAX_HINTS = 8
-"""Unresponsive upstreams named in a heartbeat, which takes about 100 bytes."""
+"""Maximum of unresponsive upstreams that a heartbeat names, in about 100 bytes."""
 
 
 @frozen(kw_only=True)
--- a/packages/daemon/src/plankspindle_daemon/dispatch/upstream_availability.py
+++ b/packages/daemon/src/plankspindle_daemon/dispatch/upstream_availability.py
@@ -1,4 +1,4 @@
-"""When upstreams with rate limits or Retry-After periods accept requests again."""
+"""When upstreams with rate limits or retry-after periods accept requests again."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     Returns
     -------
     float or None
-        Monotonic time in seconds; ``now`` unless limits or Retry-After periods
+        Monotonic time in seconds; ``now`` unless limits or retry-after periods
         block all upstreams that accept new work.
     """
     first: float | None = None
@@ -42,7 +42,7 @@
 
 
 def request_token(upstream: UpstreamState, now: float) -> RequestToken | None:
-    """Request a token of an upstream's rate limit, unless that is useless now."""
+    """Request a token of a rate limit, unless one is pending or none is available."""
     limiter = upstream.fleet_limiter()
     if limiter is None or not limiter.may_request_token(now):
         return None
--- a/packages/daemon/src/plankspindle_daemon/membership/failure_detector.py
+++ b/packages/daemon/src/plankspindle_daemon/membership/failure_detector.py
@@ -214,7 +214,7 @@
 
 
 def _is_current(member: Member, suspect: Suspect, now: float) -> bool:
-    """Return whether a suspicion refers to the latest heartbeat, or that one is old.
+    """Return whether a suspicion is of the latest heartbeat, or that heartbeat is old.
 
     A member may have sent this VM one heartbeat more than its watcher just before it
     failed.
--- a/packages/daemon/src/plankspindle_daemon/membership/membership.py
+++ b/packages/daemon/src/plankspindle_daemon/membership/membership.py
@@ -385,7 +385,7 @@
         return listed.caller_endpoint if listed is not None else None
 
     def _reset_silence(self, now: float) -> None:
-        """Restart the silence of all members, since this process was paused."""
+        """Restart measuring the silence of members, since this process was paused."""
         for member in self.members_by_name.values():
             if member.last_heartbeat_at is not None:
                 member.last_heartbeat_at = now
--- a/packages/daemon/src/plankspindle_daemon/membership/membership_options.py
+++ b/packages/daemon/src/plankspindle_daemon/membership/membership_options.py
@@ -24,7 +24,7 @@
     seeds : tuple of Endpoint
         Peers that always get heartbeats, whether they are known members or not.
     all_domains : bool
-        Whether entry VMs of all failure domains are members, not only those of the own.
+        Whether entry VMs of all failure domains are members, not only of this VM's.
     """
 
     vm: str
--- a/packages/daemon/src/plankspindle_daemon/node/configuration_follower.py
+++ b/packages/daemon/src/plankspindle_daemon/node/configuration_follower.py
@@ -14,7 +14,7 @@
 from plankspindle_daemon.platform.read_failure_log import ReadFailureLog
 
 CHECK_PERIOD_S = 0.5
-"""Longest time between checks whether this VM must read itself, in seconds.
+"""Longest time between checks whether this VM must read for itself, in seconds.
 
 Applies while other entry VMs read the configuration on its behalf.
 """
--- a/packages/daemon/src/plankspindle_daemon/node/effect_runner.py
+++ b/packages/daemon/src/plankspindle_daemon/node/effect_runner.py
@@ -95,7 +95,7 @@
     def _heartbeat(
         self, to: Endpoint, heartbeat_by_is_watched: dict[bool, Heartbeat]
     ) -> Heartbeat:
-        """Return the heartbeat for a member, built once for all alike recipients."""
+        """Return the heartbeat for a member: one for watchers, one for all others."""
         is_watched = self.node.membership.is_watched_by(to)
         heartbeat = heartbeat_by_is_watched.get(is_watched)
         if heartbeat is None:
@@ -196,10 +196,7 @@
         )
 
     async def send_final_heartbeats(self) -> None:
-        """Announce to all members that this process has left.
-
-        Sent several times, since a message may be lost and none follows.
-        """
+        """Announce to all members that nothing of this process runs any more."""
         for _ in range(FINAL_HEARTBEAT_COUNT):
             heartbeat = self.node.heartbeat(now=monotonic(), left=True)
             for endpoint in self.node.membership.peer_endpoints():
--- a/packages/daemon/src/plankspindle_daemon/node/list_follower.py
+++ b/packages/daemon/src/plankspindle_daemon/node/list_follower.py
@@ -154,8 +154,8 @@
 
         Infinity if none are retained.
         """
-        kept_until = self.node.services.listed.retained_until
-        return math.inf if kept_until is None else max(0.0, kept_until - now)
+        retained_until = self.node.services.listed.retained_until
+        return math.inf if retained_until is None else max(0.0, retained_until - now)
 
     async def _expire_retained(self) -> None:
         """Remove missing entries whose retention is over, while other VMs read."""
--- a/packages/daemon/src/plankspindle_daemon/node/node.py
+++ b/packages/daemon/src/plankspindle_daemon/node/node.py
@@ -318,7 +318,8 @@
             case membership.LeaveRequested(reason=reason):
                 return [BeginLeaving(reason)]
             case membership.ViewChanged():
-                # Lookups refresh in tick; here, each of 194 first heartbeats cost 4 ms.
+                # Lookups are refreshed in tick. Refreshed here, each of 194 first
+                # heartbeats at a start cost 4 ms.
                 return []
             case _:
                 return [effect]
--- a/packages/daemon/src/plankspindle_daemon/node/shared_slots.py
+++ b/packages/daemon/src/plankspindle_daemon/node/shared_slots.py
@@ -60,7 +60,7 @@
         )
 
     def invalidate(self, now: float) -> None:
-        """Release all shares until the peers are known again, as after a pause."""
+        """Wait for heartbeats of peers again, as after a pause of the process."""
         self._shares.restart_settling(now)
 
     def update_shares(
--- a/packages/daemon/src/plankspindle_daemon/quarantine/quarantine.py
+++ b/packages/daemon/src/plankspindle_daemon/quarantine/quarantine.py
@@ -76,9 +76,9 @@
 
     Notes
     -----
-    Attempts by a caller have ids of their own and arrive at any entry VM. A retry
-    budget bounds the retries of all requests together, so a request that crashes an
-    upstream each time would continue to the next one for as long as its caller retries.
+    An attempt shows nothing of earlier ones: it has its own id and arrives at any VM. A
+    retry budget bounds the retries of all requests together, so a request that crashes
+    an upstream each time would go on to the next for as long as its caller retries.
     """
 
     vm: str
--- a/packages/daemon/src/plankspindle_daemon/quotas/token_pool.py
+++ b/packages/daemon/src/plankspindle_daemon/quotas/token_pool.py
@@ -119,6 +119,6 @@
         burst = (max(1.0, self.rate_limit.burst) + self.slack_requests) * share
         if burst >= 1.0 or burst <= 0.0:
             return burst
-        # Rounded by hash, so that the sum over all holders is kept on average.
+        # Rounded by hash, so that rounding preserves the sum of all holders' bursts.
         fraction = stable_hash(f"{self.subject} {self.holder}") / _HASH_RANGE
         return math.floor(burst + fraction)
--- a/packages/daemon/src/plankspindle_daemon/sharing/list_history.py
+++ b/packages/daemon/src/plankspindle_daemon/sharing/list_history.py
@@ -18,7 +18,7 @@
 MAX_RECENT_CHANGES = 4
 """Changes that are sent again, so that a lost message costs its receiver no read."""
 COLD_END_TOLERANCE_S = 0.25
-"""Largest difference between two equal ends of a cold period, in seconds.
+"""Difference up to which two ends of a cold period count as equal, in seconds.
 
 Messages carry the remaining time, so the end that a receiver computes varies.
 """
--- a/packages/daemon/src/plankspindle_daemon/sharing/reader_group.py
+++ b/packages/daemon/src/plankspindle_daemon/sharing/reader_group.py
@@ -14,8 +14,7 @@
 """Fewest entry VMs of a failure domain that share reads.
 
 A reader polls about five times as often as a VM that reads only for itself, so that the
-other VMs notice in time when it becomes unresponsive. Sharing does not pay in smaller
-groups.
+other VMs notice in time when it becomes unresponsive.
 """
 MAX_GROUP_SIZE = 32
 """Most entry VMs of a group.
--- a/packages/daemon/src/plankspindle_daemon/sharing/shared_reads.py
+++ b/packages/daemon/src/plankspindle_daemon/sharing/shared_reads.py
@@ -27,7 +27,10 @@
 
 STALE_AFTER_PERIODS = 1.4
 STALE_MARGIN_S = 0.1
-"""Age at which an update is stale: the reader's period, delay and transfer time."""
+"""Age at which an update is stale: so many periods of the reader, plus the margin.
+
+It covers the period, a delayed message and the transfer time.
+"""
 RANK_DELAY_PERIODS = 0.1
 MAX_RANK_DELAY_PERIODS = 0.4
 """Additional delay per rank before a VM takes over from an unresponsive reader.
@@ -44,7 +47,7 @@
 """Time to fetch a version from a member before this VM reads it itself, in seconds."""
 MIN_CHECK_DELAY_S = 0.2
 MAX_CHECK_DELAY_S = 1.0
-"""Bounds of the time between checks whether this VM must read itself, in seconds.
+"""Bounds of the time between checks whether this VM must read for itself, in seconds.
 
 A follower checks when the last update becomes stale, and after the shorter time while
 it lacks a change. The longer time bounds how late it reacts to members that join or
@@ -58,7 +61,7 @@
 calls at each start.
 """
 MAX_OWN_READ_AGE_S = 60.0
-"""Age of a VM's own last read at which it reads itself once, in seconds.
+"""Age of a VM's own last read at which it reads for itself once, in seconds.
 
 This bounds how long a fault of the sharing can last, and finds VMs from which no
 heartbeat was received yet.
--- a/packages/daemon/src/plankspindle_daemon/upstreams/connection_pool.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/connection_pool.py
@@ -119,7 +119,7 @@
         """Close idle connections that the peer has closed or written to."""
         for endpoint, idle in list(self._idle_by_endpoint.items()):
             live, stale = _split_by_state(idle)
-            # Updated before the first await: another task may acquire meanwhile.
+            # Stale ones are removed before the first await, as others may acquire then.
             idle[:] = live
             if not idle:
                 self._idle_by_endpoint.pop(endpoint, None)
--- a/packages/daemon/src/plankspindle_daemon/upstreams/health.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/health.py
@@ -168,7 +168,7 @@
         self._back_off(now)
 
     def retry_at(self, now: float) -> float:
-        """Return the end of its retry-after period, monotonic seconds; now if none."""
+        """Return the end of the retry-after period, monotonic seconds; now if none."""
         return max(now, self._retry_at)
 
     def record_retry_after(self, until: float) -> None:
--- a/packages/daemon/src/plankspindle_daemon/upstreams/reported_slots.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/reported_slots.py
@@ -19,14 +19,15 @@
 
 Behind as many as its slots a request waits for one average duration at most. Elsewhere
 it is a cache miss, takes three times as long, and evicts a key of that upstream.
-Compared with a third of the slots this adds 0.03 to the worth of days with trouble (on
-three seeds) and 0.02 to that of modelled loads; twice the slots loses 0.06 where load
-stays high.
+Compared with a third of the slots this adds 0.03 to the earned worth of days with
+faults (over three seeds) and 0.02 to that of modelled loads; twice the slots loses 0.06
+where load stays high.
 """
 REPORT_DECAY_S = 1.5
 """Time constant of the decay of load of other VMs that an answer reported, in seconds.
 
-0.75 s does as well: mean worth of six days with and without trouble 0.623 and 0.627.
+0.75 s does as well: the mean earned worth of six days with and without faults is 0.623
+and 0.627.
 """
 FULL_AFTER_SHED_S = 0.4
 """Time for which an upstream that shed a request counts as full, in seconds."""
--- a/packages/daemon/src/plankspindle_daemon/upstreams/upstream_state.py
+++ b/packages/daemon/src/plankspindle_daemon/upstreams/upstream_state.py
@@ -116,7 +116,7 @@
         return 0 in (self.incarnation, incarnation) or self.incarnation == incarnation
 
     def rejects_new_work(self, now: float) -> bool:
-        """Return whether it is leaving, drained or misdirected."""
+        """Return whether the upstream is leaving, drained or misdirected."""
         drained = self.drained_at is not None and now >= self.drained_at
         return self.leaving or drained or self.is_misdirected
 
@@ -144,11 +144,11 @@
 
     @property
     def incarnation_id(self) -> str:
-        """Name of its current incarnation."""
+        """Name of the current incarnation, the same at all entry VMs."""
         return incarnation_id_of(self.name, self.incarnation)
 
     def apply_statement(self, statement: UpstreamStatement, now: float) -> None:
-        """Apply its statements in an answer."""
+        """Apply the statements of the upstream in an answer."""
         self.last_statement = statement
         if statement.is_leaving:
             self.statements.record_leaving(self.incarnation_id)
@@ -163,25 +163,25 @@
             self.record_evidence(f"retry-after of {statement.retry_after_s:.3g} s", now)
 
     def apply_earlier_statements(self, now: float) -> None:
-        """Apply what its incarnation stated before this state was created."""
+        """Apply what this incarnation stated before this state was created."""
         self.leaving = self.leaving or self.statements.is_leaving(self.incarnation_id)
         retry_at = self.statements.retry_at(self.incarnation_id)
         if retry_at > now:
             self.health.record_retry_after(retry_at)
 
     def fleet_limiter(self) -> FleetLimiter | None:
-        """Return the limiter of its announced limit; None if there is none."""
+        """Return the limiter of the announced limit; None if none is announced."""
         if not self.limiter_by_incarnation:
             return None
         return self.limiter_by_incarnation.get(self.incarnation_id)
 
     def lacks_token(self, now: float) -> bool:
-        """Return whether it announces a limit and this VM has no token for it."""
+        """Return whether a limit is announced for which this VM has no token."""
         limiter = self.fleet_limiter()
         return limiter is not None and not limiter.has_token(now)
 
     def available_at(self, now: float) -> float:
-        """Return when it accepts the next request, if known, monotonic seconds."""
+        """Return when the next request is accepted, as far as known, monotonic s."""
         limiter = self.fleet_limiter()
         retry_at = self.health.retry_at(now)
         return (
@@ -201,12 +201,12 @@
             limiter.use_token(now)
 
     def accepts_keys(self, now: float) -> bool:
-        """Return whether keys may be assigned to it: it is staying, and not cold."""
+        """Return whether keys may be assigned: the upstream stays and is not cold."""
         is_warm = self.cold_limiter is None or now >= self.cold_limiter.until
         return is_warm and not self.rejects_new_work(now)
 
     def is_usable(self, now: float) -> bool:
-        """Return whether it accepts new work at all, however busy it is."""
+        """Return whether new work is accepted at all, however busy the upstream is."""
         if self.is_unconfirmed or not self.accepts_keys(now):
             return False
         return self.health.usable_share(1, now) > 0
@@ -217,11 +217,11 @@
         self.evidence_at = now
 
     def status(self, now: float) -> UpstreamStatus:
-        """Return the most severe status that applies to it."""
+        """Return the most severe status that applies to the upstream."""
         return status_of(self, now)
 
     def report_age_ms(self, now: float) -> int | None:
-        """Return the age of the load that its answers reported, in ms; None if none."""
+        """Return the age of the load that answers reported, in ms; None if none."""
         match self.ledger:
             case ReportedSlots(reported_at=at) if at is not None:
                 return round(1000 * (now - at))
@@ -242,7 +242,7 @@
             self.ledger.record_reported_load(total_load, now)
 
     def record_shed(self, reported_load: int | None, now: float) -> None:
-        """Record that it shed a request: it is full, or needs a pause.
+        """Record that the upstream shed a request: it is full, or asks for a pause.
 
         Parameters
         ----------
@@ -256,7 +256,7 @@
         An upstream that sheds although it reports free slots does so for another
         reason. It still serves the remaining requests, whose keys are cache misses
         elsewhere: where all upstreams shed half of their requests, counting them as
-        full costs 0.02 of the worth of a day, and 0.09 of that of a modelled load.
+        full costs 0.02 of the earned worth of a day, and 0.09 under a modelled load.
         """
         match self.ledger:
             case ReportedSlots() as reported:
@@ -266,11 +266,11 @@
                 self.health.record_failure(now)
 
     def mark_misdirected(self) -> None:
-        """Record that another upstream answered at its address."""
+        """Record that another upstream answered at this upstream's address."""
         self.is_misdirected = True
 
     def record_connection_loss(self, now: float) -> None:
-        """Record that a connection to it was lost during a request."""
+        """Record that a connection was lost during a request."""
         match self.ledger:
             case ReportedSlots():
                 self.health.record_connection_loss(now)
@@ -278,17 +278,17 @@
                 self.health.record_failure(now)
 
     def record_hint(self, domain: str, now: float) -> None:
-        """Record a hint of a VM in a failure domain that it is unresponsive there."""
+        """Record a VM's hint that the upstream answers nobody in a failure domain."""
         self.unresponsive_hints.record_hint(domain, now)
 
     def should_send_hint(self, now: float) -> bool:
-        """Return whether to send other entry VMs a hint that it is unresponsive."""
+        """Return whether to hint to other VMs that the upstream is unresponsive."""
         is_backed_off = isinstance(self.health.state, BackedOff)
         unanswered_s = now - self.answered_at if is_backed_off else 0.0
         return max(unanswered_s, self._own_unresponsive_s(now)) > SEND_HINT_AFTER_S
 
     def unresponsive_s(self, now: float) -> float:
-        """Return the time for which it seems to answer no VM, in seconds."""
+        """Return the time for which the upstream seems to answer no VM, in seconds."""
         hinted_s = self.unresponsive_hints.hinted_unresponsive_s(self.answered_at, now)
         return max(self._own_unresponsive_s(now), hinted_s)
 
@@ -322,7 +322,7 @@
         return self.current_latency(now) * load * self._report_penalty(now)
 
     def current_latency(self, now: float) -> float:
-        """Return its latency relative to the average.
+        """Return the latency relative to the average.
 
         Notes
         -----
