--- a/packages/daemon/tests/control/test_plan_store.py
+++ b/packages/daemon/tests/control/test_plan_store.py
@@ -1,4 +1,4 @@
-"""Confirmation of plans with concurrent operators and refused platform answers."""
+"""Confirmation of plans with concurrent operators and lost platform answers."""
 
 from __future__ import annotations
 
--- a/packages/daemon/tests/dispatch/test_dispatcher_machine.py
+++ b/packages/daemon/tests/dispatch/test_dispatcher_machine.py
@@ -1,4 +1,4 @@
-"""State-machine test of the dispatcher: slots, priority, one decision each."""
+"""State-machine test of the dispatcher: slots, priority, leaving, one decision each."""
 
 from __future__ import annotations
 
--- a/packages/daemon/tests/idempotency/test_claim_sweeper.py
+++ b/packages/daemon/tests/idempotency/test_claim_sweeper.py
@@ -29,7 +29,7 @@
 
 
 class RangedPlatform(FakePlatform):
-    """Fake platform that reads rows from the start of a prefix."""
+    """Fake platform that reads the first rows with a key prefix."""
 
     async def read_range(
         self, *, prefix: str, after: str, limit: int
--- a/packages/daemon/tests/upstreams/test_connection_pool.py
+++ b/packages/daemon/tests/upstreams/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Tests of keep-alive connections, over loopback on one machine."""
+"""Tests of keep-alive connections, over loopback in one curio kernel."""
 
 from __future__ import annotations
 
--- a/packages/testkit/src/plankspindle_testkit/bench/slopes_bench.py
+++ b/packages/testkit/src/plankspindle_testkit/bench/slopes_bench.py
@@ -78,7 +78,7 @@
 
 
 def _build_reported_node(upstreams: int) -> Node:
-    """Build a node with slot sharing by reports and upstreams in three domains."""
+    """Build a node with upstreams in three domains that any entry VM may use."""
     node = TrialVm.start(_place(0), seeds=[], random=Random(1), now=0.0).node
     domains = ("ba-1", "ba-2", "ke-1")
     configuration = build_configuration(
--- a/packages/testkit/src/plankspindle_testkit/lab/__init__.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/__init__.py
@@ -1,3 +1,3 @@
-"""A lab for decisions: real dispatchers of many entry VMs on one fake clock."""
+"""Simulation lab: real dispatchers of many entry VMs on one simulated clock."""
 
 from __future__ import annotations
--- a/packages/testkit/src/plankspindle_testkit/lab/completions.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/completions.py
@@ -25,7 +25,7 @@
 
     Parameters
     ----------
-    handled : ActiveRequest
+    active : ActiveRequest
         The request.
     upstream : str
         Upstream of the attempt.
@@ -57,7 +57,7 @@
 
     Parameters
     ----------
-    handled : ActiveRequest
+    active : ActiveRequest
         The request.
     upstream : str
         Upstream that answered.
--- a/packages/testkit/src/plankspindle_testkit/lab/lab_run.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/lab_run.py
@@ -40,7 +40,7 @@
 REFRESH_PERIOD_S = 0.25
 """Periods of an entry VM, in seconds.
 
-They are those of checking waiting requests and of updating the region's capacity.
+Waiting requests are checked at each tick; a refresh updates the region's capacity.
 """
 LIST_PERIOD_S = 0.5
 """Period of reading the list of upstreams, in seconds."""
@@ -51,7 +51,7 @@
 MAX_RETRIES = 1
 """Retries of a refused caller."""
 MAX_WAIT_SHARE = 1 / 3
-"""Share of the remaining time that a caller waits at most for a Retry-After delay."""
+"""Longest wait for a Retry-After delay, as a share of the caller's remaining time."""
 
 
 @define(kw_only=True)
--- a/packages/testkit/src/plankspindle_testkit/lab/lab_vm.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/lab_vm.py
@@ -137,7 +137,7 @@
         self.registry.apply_drains(now=now, wall=now)
 
     def read_list(self, upstreams: Iterable[ModelledUpstream], now: float) -> None:
-        """Read the list of upstreams, which includes unresponsive ones."""
+        """Read the list of upstreams; unresponsive ones stay listed for a while."""
         listed = [_listed(each) for each in upstreams]
         self.registry.apply_list(listed, now=now, wall=now)
 
--- a/packages/testkit/src/plankspindle_testkit/lab/pattern.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/pattern.py
@@ -276,8 +276,8 @@
 
 def _structured(cls: type[Any], found: Any) -> Any:
     """Return an instance with the given fields; raise TypeError for an unknown one."""
-    known = {each.name for each in fields(cls)}
-    unknown = sorted(set(found) - known)
+    field_names = {each.name for each in fields(cls)}
+    unknown = sorted(set(found) - field_names)
     if unknown:
         raise TypeError(f"{cls.__name__} has no field {unknown[0]!r}")
     return cls(**found)
--- a/packages/testkit/src/plankspindle_testkit/lab/plot.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/plot.py
@@ -77,12 +77,12 @@
 ) -> str:
     points = [point for _, _, each in lines for point in each]
     last = max((x for x, _ in points), default=1.0) or 1.0
-    most = max((y for _, y in points), default=1.0) or 1.0
+    max_y = max((y for _, y in points), default=1.0) or 1.0
     drawn = [f'<text x="{MARGIN}" y="{top + MARGIN - 8}">{escape(title)}</text>']
     for number, (name, color, each) in enumerate(lines):
         places = " ".join(
             f"{MARGIN + WIDTH * x / last:.1f},"
-            f"{top + MARGIN + HEIGHT * (1 - y / most):.1f}"
+            f"{top + MARGIN + HEIGHT * (1 - y / max_y):.1f}"
             for x, y in each
         )
         drawn.append(f'<polyline fill="none" stroke="{color}" points="{places}"/>')
@@ -91,6 +91,6 @@
             f'<text x="{label_x}" y="{top + MARGIN - 8}" fill="{color}">'
             f"{escape(name)}</text>"
         )
-    axis = f"0 to {last:.0f} s, 0 to {most:.0f}"
+    axis = f"0 to {last:.0f} s, 0 to {max_y:.0f}"
     drawn.append(f'<text x="{MARGIN}" y="{top + MARGIN + HEIGHT + 14}">{axis}</text>')
     return "\n".join(drawn)
--- a/packages/testkit/src/plankspindle_testkit/lab/request_simulator.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/request_simulator.py
@@ -212,8 +212,8 @@
         )
         if work.crash is not None:
             self.crashes.record_sent(active.request.identity, self.clock.now)
-        reach = partial(self._arrive, active, upstream, work)
-        self.clock.schedule(trips * self._one_way_s(active, upstream), reach)
+        arrival = partial(self._arrive, active, upstream, work)
+        self.clock.schedule(trips * self._one_way_s(active, upstream), arrival)
 
     def _one_way_s(self, active: ActiveRequest, upstream: str) -> float:
         other = self.deployment.upstreams_by_name[upstream].domain
--- a/packages/testkit/src/plankspindle_testkit/lab/requests.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/requests.py
@@ -151,14 +151,14 @@
 
 def may_abandon(active: ActiveRequest, now: float) -> bool:
     """Return whether a request may abandon an unresponsive upstream."""
-    book, upstream = active.vm.registry, active.upstream
-    dispatcher = book.dispatchers_by_service[active.service]
+    registry, upstream = active.vm.registry, active.upstream
+    dispatcher = registry.dispatchers_by_service[active.service]
     state = dispatcher.upstreams_by_name.get(upstream or "")
     if state is not None and state.answered_at >= active.sent_at:
         return False
     return (
         upstream is not None
         and active.attempts < MAX_ATTEMPTS
-        and book.budgets_by_service[active.service].can_retry()
+        and registry.budgets_by_service[active.service].can_retry()
         and dispatcher.could_place_elsewhere(active.ticket, upstream, now)
     )
--- a/packages/testkit/src/plankspindle_testkit/lab/statement_record.py
+++ b/packages/testkit/src/plankspindle_testkit/lab/statement_record.py
@@ -118,10 +118,10 @@
         """Return the share of its limit that an upstream got after the first window."""
         since = self._limited_from[upstream] + WINDOW_S
         until = self._limited_until[upstream]
-        count = [
+        arrivals = [
             at for at, _ in self.arrivals_by_upstream[upstream] if since < at < until
         ]
-        return len(count) / (until - since) / self.limit_by_upstream[upstream]
+        return len(arrivals) / (until - since) / self.limit_by_upstream[upstream]
 
     def _max_share_at(self, upstream: str) -> float:
         until = self._limited_until.get(upstream, float("inf"))
--- a/packages/testkit/src/plankspindle_testkit/soak/fault_injector.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/fault_injector.py
@@ -38,8 +38,10 @@
     from plankspindle_testkit.soak.soak_fault import SoakFault
 
 STOP_TIMEOUT_S = 25.0
-"""Timeout of a graceful stop: settings allow 10 s to linger and 10 s for running
-requests."""
+"""Timeout of a graceful stop, in seconds.
+
+Settings allow 10 s to linger and 10 s for running requests.
+"""
 DISTURBED_AFTER_S = 6.0
 """Time after a fault for which its target still counts as disturbed, in seconds."""
 KILL_NOTICE_S = 1.0
@@ -50,8 +52,10 @@
 STUTTER_PAUSES = 4
 STUTTER_PAUSE_S = 0.09
 STUTTER_RUN_S = 0.005
-"""A stutter is a series of pauses between which a process runs only briefly, like one
-that has used up its CPU quota; after it the process runs freely for the gap.
+"""Parameters of a stutter; times in seconds.
+
+A stutter is a series of pauses between which a process runs only briefly, like one that
+has used up its CPU quota. After the series, the process runs freely for the gap.
 """
 PERIODS_MS = {"live_list_ms": 300, "configuration_ms": 200, "probe_ms": 300}
 STOP_TIMING_MS = {"linger_ms": 1_000, "leave_ms": 8_000}
--- a/packages/testkit/src/plankspindle_testkit/soak/link_proxy.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/link_proxy.py
@@ -129,8 +129,8 @@
     def _is_held(self, number: int, *, answers: bool) -> bool:
         if number in self._blackholed:
             return True
-        held = LinkState.HOLDS_ANSWERS if answers else LinkState.HOLDS_REQUESTS
-        return self.state is held
+        holding_state = LinkState.HOLDS_ANSWERS if answers else LinkState.HOLDS_REQUESTS
+        return self.state is holding_state
 
     async def _delay(self, size: int) -> None:
         if self.state is LinkState.DELAYS:
--- a/packages/testkit/src/plankspindle_testkit/soak/operators.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/operators.py
@@ -27,9 +27,9 @@
     from plankspindle_testkit.builders import VmAddresses
 
 DRAIN_EFFECT_S = 5.0
-"""Time after its confirmation from which on a drain must hold at every VM."""
+"""Time after its confirmation from which a drain must hold at every VM, in seconds."""
 POLL_PERIOD_S = 0.5
-"""Period of polling the runs of a drained upstream."""
+"""Period of polling the runs of a drained upstream, in seconds."""
 UNDO_TRIES = 3
 STORM_VERSIONS = 4
 CALL_TIMEOUT_S = 4.0
--- a/packages/testkit/src/plankspindle_testkit/soak/soak.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/soak.py
@@ -51,7 +51,7 @@
 START_POLL_S = 0.2
 RECOVERY_S = 15.0
 RECOVERED_WATCH_S = 5.0
-"""Time after recovery for which the guarantees are still checked."""
+"""Time after recovery for which the guarantees are still checked, in seconds."""
 CALLERS_PER_VM = 2
 
 
--- a/packages/testkit/src/plankspindle_testkit/soak/soak_caller.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/soak_caller.py
@@ -22,7 +22,7 @@
 MAX_PAUSE_S = 0.05
 MAX_TRIES = 4
 FETCH_TIMEOUT_S = TIMEOUT_MS / 1000 + 3.0
-"""Answer timeout of a caller; no answer comes after it."""
+"""Answer timeout of a caller, in seconds; no answer comes after it."""
 
 
 @define(kw_only=True)
--- a/packages/testkit/src/plankspindle_testkit/soak/soak_fault.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/soak_fault.py
@@ -68,8 +68,9 @@
     kind : str
         Kind of fault.
     target : str
-        VM, upstream or link (``LINK:NAME``); empty for a fault of all VMs or of the
-        platform, for other changes by operators, and for a drain of the first upstream.
+        VM, upstream or link (``LINK:NAME``). Empty for a fault of all VMs or of the
+        platform and for a change by operators; an empty target of a drain means the
+        first upstream.
     """
 
     at: float
--- a/packages/testkit/src/plankspindle_testkit/trial/fake_platform.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/fake_platform.py
@@ -54,8 +54,9 @@
     down : bool
         Whether all calls fail without effect.
     forced_write_fault : str
-        Only kind of fault for writes, with which reads do not fail: ``nothing``,
-        ``late`` or ``answer-lost``. Empty for a random kind, and for reads that fail.
+        Kind of all faults of writes: ``nothing`` (no effect), ``late`` or
+        ``answer-lost``. Reads then fail only while the platform is down. If empty, the
+        kind is random, and reads fail too.
     """
 
     random: Random
--- a/packages/testkit/src/plankspindle_testkit/trial/fake_upstream.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/fake_upstream.py
@@ -12,7 +12,7 @@
 
 
 class UpstreamMode(Enum):
-    """What an upstream does with requests."""
+    """How an upstream handles requests."""
 
     SERVE = "serve"
     SHED = "shed"
--- a/packages/testkit/src/plankspindle_testkit/trial/trial_claims.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/trial_claims.py
@@ -74,19 +74,19 @@
         """Close the oldest claim with a probability of one half."""
         if not self.closings or self.world.random.random() < 0.5:
             return
-        key, wanted = self.closings.pop(0)
+        key, closing_row = self.closings.pop(0)
         read = run_to_completion(self.world.platform.read_row(key))
         if read.is_err():
-            self.closings.append((key, wanted))
+            self.closings.append((key, closing_row))
             return
         row = read.unwrap()
-        if not needs_closing_write(row, wanted):
+        if not needs_closing_write(row, closing_row):
             return
         write = RowWrite(
-            key=key, expected_version=row.version, value=wanted.to_mapping()
+            key=key, expected_version=row.version, value=closing_row.to_mapping()
         )
         run_to_completion(self.world.platform.commit(Transaction(writes=[write])))
-        self.closings.append((key, wanted))
+        self.closings.append((key, closing_row))
 
 
 @define(kw_only=True)
--- a/packages/testkit/src/plankspindle_testkit/trial/trial_requests.py
+++ b/packages/testkit/src/plankspindle_testkit/trial/trial_requests.py
@@ -146,7 +146,7 @@
             self._start_request(vm, number, mark, record)
 
     def _repeat_as_other_caller(self, vm: TrialVm, text: str) -> None:
-        """Let another caller send an id that was used; it must learn nothing."""
+        """Let another caller send a used id; its outcome must not be revealed."""
         claim_verdict = vm.node.ids.begin(text, OTHER_CALLER, self.world.now)
         if isinstance(claim_verdict, Replay | InProgress | AnsweredUnrecorded):
             raise GuaranteeViolatedError(
--- a/packages/testkit/src/plankspindle_testkit/upstream_stand_in/behaviour.py
+++ b/packages/testkit/src/plankspindle_testkit/upstream_stand_in/behaviour.py
@@ -8,7 +8,7 @@
 
 
 class Mode(Enum):
-    """What an upstream stand-in does with a request."""
+    """How an upstream stand-in handles a request."""
 
     SERVE = "serve"
     SHED = "shed"
@@ -26,7 +26,7 @@
     Parameters
     ----------
     mode : Mode
-        What is done with requests.
+        How requests are handled.
     service_ms : float
         Duration of a request, in milliseconds.
     claims_idle : bool
--- a/packages/testkit/tests/lab/test_upstream_limits.py
+++ b/packages/testkit/tests/lab/test_upstream_limits.py
@@ -71,7 +71,7 @@
 
 
 def test_requests_beyond_all_limits_are_rejected_immediately() -> None:
-    """All upstreams state a limit of a quarter of their load."""
+    """All upstreams state a quarter of their load: most requests cannot be served."""
     base = build_pattern(9)
     affected = evolve(base, events=(evolve(base.events[0], share=1.0),))
     run = LabRun(pattern=affected, seed=1)
--- a/packages/testkit/tests/trial/test_fault_matrix.py
+++ b/packages/testkit/tests/trial/test_fault_matrix.py
@@ -1,4 +1,4 @@
-"""Tests of a part of the fault matrix: each fault once in each operation."""
+"""Tests of each fault once in each operation, and of a cell with a violation."""
 
 from __future__ import annotations
 
