--- a/packages/testkit/src/plankspindle_testkit/soak/guarantees.py
+++ b/packages/testkit/src/plankspindle_testkit/soak/guarantees.py
@@ -139,7 +139,7 @@
     unexpected_errors : list of (str, str)
         Unexpected errors: VM, line of the log.
     cut_off_by_stop : list of (str, int)
-        Number of requests that a graceful stop of a VM cut off.
+        VM, and number of requests that its graceful stop cut off.
     drained_runs : list of DrainedRuns
         Runs that a drained upstream started after the drain must be in effect.
     drains_watched : int
