--- a/conftest.py
+++ b/conftest.py
@@ -1,4 +1,4 @@
-"""Expect failures of the tests listed in ``KNOWN-RED.txt``, which have a known fault.
+"""Mark tests with a known fault, listed in ``KNOWN-RED.txt``, as expected to fail.
 
 Each line is ``TEST | CAUSE | ISSUE``. A listed test runs and is printed in the summary.
 The run fails if it passes, so that its line is removed when the fault is fixed.
--- a/packages/client/src/plankspindle_client/console/commands/config.py
+++ b/packages/client/src/plankspindle_client/console/commands/config.py
@@ -64,7 +64,7 @@
     present, wanted : object
         Plain values as in JSON.
     path : str
-        Path of the key whose values they are.
+        Path of the key whose values are compared; empty for whole documents.
 
     Returns
     -------
--- a/packages/client/src/plankspindle_client/explaining/request_trace.py
+++ b/packages/client/src/plankspindle_client/explaining/request_trace.py
@@ -126,7 +126,7 @@
         return completions[-1] if completions else None
 
     def last_event(self, event: str) -> LoggedEvent | None:
-        """Return the last step with an event name."""
+        """Return the last of the request's events with a given name."""
         found = [each for each in self.steps if each.event == event]
         return found[-1] if found else None
 
--- a/packages/client/src/plankspindle_client/operator_api.py
+++ b/packages/client/src/plankspindle_client/operator_api.py
@@ -22,16 +22,16 @@
 
 @frozen(kw_only=True)
 class ApiError:
-    """Error of a call.
+    """Failed call to the operator listener.
 
     Parameters
     ----------
     status : int
         HTTP status; zero if there was no answer.
     message : str
-        Message for the operator.
+        Error message, with what the operator can do if that is known.
     problems : tuple of str
-        Details, one per problem, such as those of a configuration.
+        The single problems if there are several, such as of a configuration.
     """
 
     status: int
--- a/packages/client/tests/test_operations_page.py
+++ b/packages/client/tests/test_operations_page.py
@@ -273,10 +273,10 @@
         wait_until(
             lambda: bool(quarantined_identities()), what="a request is held back"
         )
-        held = send_request("GET", target)
-        assert held.status == 503
+        blocked = send_request("GET", target)
+        assert blocked.status == 503
         heading = "Held back since upstreams crashed under it"
-        printed = run_documented_commands(serving, heading, log_id_in(held))
+        printed = run_documented_commands(serving, heading, log_id_in(blocked))
         assert "It was held back" in printed
         assert f"{quarantined_identities()[0]}: held back for" in printed
         run(serving, f"quarantine --lift {quarantined_identities()[0]}")
--- a/packages/core/tests/test_supervisor.py
+++ b/packages/core/tests/test_supervisor.py
@@ -49,7 +49,10 @@
 
 
 class Unprintable:
-    """Owner of a method; its repr is expensive, as it may contain a whole node."""
+    """Owner of a method, whose repr must not be computed for each call.
+
+    In the daemon the repr of an owner may contain a whole node.
+    """
 
     def __repr__(self) -> str:
         raise AssertionError("it was printed")
--- a/packages/core/tests/test_time_limit.py
+++ b/packages/core/tests/test_time_limit.py
@@ -21,7 +21,7 @@
 INNER_S = 0.2
 OUTER_S = 0.25
 BLOCKED_S = 0.07
-"""Duration of each of two blockings: past the inner timeout, and past the outer one."""
+"""Duration of each of two blocks of the loop, past the inner and the outer timeout."""
 LONG_TIMEOUT_S = 5.0
 PACKAGES = Path(plankspindle_core.__file__).parents[3]
 UNBLOCKED_S = 0.16
--- a/tests/fleet/soak/__main__.py
+++ b/tests/fleet/soak/__main__.py
@@ -106,8 +106,8 @@
     click.echo(write_schedule(needed))
 
 
-def _format_counts(counted: Counter[str]) -> str:
-    return ", ".join(f"{name} {times}" for name, times in sorted(counted.items()))
+def _format_counts(counts: Counter[str]) -> str:
+    return ", ".join(f"{name} {times}" for name, times in sorted(counts.items()))
 
 
 if __name__ == "__main__":
--- a/tests/fleet/soak/checks.py
+++ b/tests/fleet/soak/checks.py
@@ -141,7 +141,7 @@
         self._waiting.append((request, runs))
 
     def evaluate(self, before: float = inf) -> None:
-        """Check the requests that ended before a time, by when all is recorded."""
+        """Check requests that ended before a time up to which all data is recorded."""
         while self._waiting and self._waiting[0][0].ended_at < before:
             self._evaluate(*self._waiting.popleft())
 
--- a/tests/fleet/soak/crashing_requests.py
+++ b/tests/fleet/soak/crashing_requests.py
@@ -29,7 +29,7 @@
 QUARANTINE_CRASHES = 3
 """Crashed upstreams after which a request must be quarantined."""
 MAX_FORWARDED = 3
-"""Number of attempts that may still be forwarded later than the bound after that."""
+"""Attempts that may be forwarded after the bound for the quarantine has passed."""
 MEAN_ATTEMPT_GAP_S = 0.3
 """Mean time between two attempts of one request, in seconds."""
 ANSWER_TIMEOUT_S = 4.0
--- a/tests/fleet/soak/fault_injector.py
+++ b/tests/fleet/soak/fault_injector.py
@@ -51,9 +51,12 @@
 """Time from the exit of a process to the start of the next, in seconds."""
 SIGNAL_POLL_S = 0.02
 IMPORT_S = 5.0
-"""Time in which a process may still import modules, so SIGTERM ends it at once."""
+"""Time in which a process may still import, so that SIGTERM ends it, in seconds."""
 LATE_EXIT_S = 1.0
-"""Time beyond the grace period after which an exit is late, and SIGKILL follows."""
+"""Time beyond the grace period after which an exit is late, in seconds.
+
+The platform then sends SIGKILL.
+"""
 
 
 @define(kw_only=True)
@@ -291,7 +294,7 @@
 def _handles_sighup(pid: int) -> bool:
     """Return whether a process ignores or handles SIGHUP; true if it has exited.
 
-    Until the product's code runs, SIGHUP ends the interpreter.
+    While only the interpreter runs, SIGHUP ends the process whatever the daemon does.
     """
     try:
         lines = Path(f"/proc/{pid}/status").read_text().splitlines()
--- a/tests/fleet/soak/faults.py
+++ b/tests/fleet/soak/faults.py
@@ -78,8 +78,8 @@
 def _draw_lapses(seed: int, seconds: float) -> list[SoakFault]:
     """Draw outages with lapses.
 
-    They have a random source of their own, as have the three kinds below, so that a
-    seed draws the same faults of the other kinds as before.
+    Lapses, crashing requests, suspensions and statements are each drawn from a random
+    source of their own, so that none of them changes the other faults of a seed.
     """
     random = Random(f"lapses of fleet soak {seed}")
     return [
--- a/tests/fleet/soak/fleet_soak.py
+++ b/tests/fleet/soak/fleet_soak.py
@@ -142,14 +142,14 @@
                 plan.seed % len(UPSTREAMS_PER_SERVICE_AND_ZONE)
             ],
         )
-        crashers = CrashingRequests(
+        crashing_requests = CrashingRequests(
             checks=self.checks,
             upstreams=upstreams,
             front=self.layout.front,
             vms=self.layout.names(),
             seed=plan.seed,
         )
-        standstills = ProcessPauses()
+        process_pauses = ProcessPauses()
         self.fault_injector = FaultInjector(
             layout=self.layout,
             processes=Processes(folder=Path(tempfile.mkdtemp(prefix="fleet-soak-"))),
@@ -167,14 +167,14 @@
                 vms=self.layout.names(),
                 seed=plan.seed,
             ),
-            crashing_requests=crashers,
+            crashing_requests=crashing_requests,
             statements=Statements(
                 checks=self.checks,
                 upstreams=upstreams,
-                process_pauses=standstills,
+                process_pauses=process_pauses,
                 seed=plan.seed,
             ),
-            process_pauses=standstills,
+            process_pauses=process_pauses,
             proxies_by_vm={
                 vm: LinkProxy(
                     endpoint=self.layout.listener(vm, 30),
@@ -197,8 +197,8 @@
             await self._start_callers(
                 "late caller",
                 LATE_CALLERS_PER_VM,
-                pauses=LATE_PAUSE_FACTOR,
-                keyed_part=1.0,
+                pause_factor=LATE_PAUSE_FACTOR,
+                keyed_share=1.0,
             )
             await sleep(RECOVERY_S)
             await self._check_end()
@@ -237,9 +237,9 @@
         for vm in self.layout.names():
             injector.start(vm)
         await self._start_callers("caller", CALLERS_PER_VM)
-        what = f"not all serve: {injector.processes.folder}"
+        message = f"not all serve: {injector.processes.folder}"
         await wait_for_start(
-            self._all_serve, timeout_s=START_TIMEOUT_S, poll_s=POLL_S, message=what
+            self._all_serve, timeout_s=START_TIMEOUT_S, poll_s=POLL_S, message=message
         )
         starting.end = monotonic()
         self._tasks.append(await spawn(self._monitor, daemon=True))
@@ -251,13 +251,13 @@
     async def _start_callers(
         self,
         name: str,
-        callers_a_vm: int,
+        callers_per_vm: int,
         *,
-        pauses: float = 1.0,
-        keyed_part: float = KEYED_SHARE,
+        pause_factor: float = 1.0,
+        keyed_share: float = KEYED_SHARE,
     ) -> None:
-        callers = callers_a_vm * self.plan.vms
-        pauses *= max(1.0, callers / MEAN_GAP_S / MAX_REQUESTS_PER_S)
+        callers = callers_per_vm * self.plan.vms
+        pause_factor *= max(1.0, callers / MEAN_GAP_S / MAX_REQUESTS_PER_S)
         for number in range(callers):
             vm = self.layout.names()[number % self.plan.vms]
             caller = Caller(
@@ -267,8 +267,8 @@
                 checks=self.checks,
                 upstreams=self.fault_injector.upstreams,
                 random=Random(f"{name} {number} of {self.plan.seed}"),
-                pause_factor=pauses,
-                keyed_share=keyed_part,
+                pause_factor=pause_factor,
+                keyed_share=keyed_share,
             )
             self._tasks.append(await spawn(caller.run, daemon=True))
 
@@ -332,7 +332,9 @@
         lines += [f"{n} {each}" for n, each in enumerate(checks.history.versions)]
         lines += [str(each) for each in checks.history.evacuations]
         lines += [
-            f"{vm} {s}" for vm, all_ in checks.disturbances.spans_by_vm() for s in all_
+            f"{vm} {span}"
+            for vm, spans in checks.disturbances.spans_by_vm()
+            for span in spans
         ]
         lines += [
             str(each) for each in self.fault_injector.lapse_injector.lapses.lapses
@@ -340,10 +342,10 @@
         lines += self.fault_injector.lapse_injector.lapses.uses
         for (
             path,
-            tries,
+            attempts,
         ) in self.fault_injector.crashing_requests.attempts_by_path.items():
             crashed_at = self.fault_injector.upstreams.crashed_at_by_path.get(path, [])
-            lines += [f"{path} crashed upstreams at {crashed_at}", *map(str, tries)]
+            lines += [f"{path} crashed upstreams at {crashed_at}", *map(str, attempts)]
         lines += [str(each) for each in checks.violations]
         lines += [str(each) for each in checks.requests]
         (folder / "history.txt").write_text("\n".join(lines) + "\n")
--- a/tests/fleet/soak/history.py
+++ b/tests/fleet/soak/history.py
@@ -101,7 +101,7 @@
         return _document(number, routes)
 
     def draw_prefix(self, random: Random) -> str:
-        """Draw a route that exists or existed; some of them may have been removed."""
+        """Draw a main route or one of a recent version, which may be removed by now."""
         if random.random() < 1 / 2:
             return random.choice(MAIN_PREFIXES)
         newest = len(self.versions) - 1
@@ -171,7 +171,7 @@
         self._stalls.append((now, before + stalled_s))
 
     def stalled_s(self, begin: float, end: float) -> float:
-        """Return the longest total time without CPU time between two times."""
+        """Return an upper bound of the CPU stalls between two times, in seconds."""
         if not self._stalls:
             return 0.0
         first = bisect_left(self._stalls, (begin, 0.0)) - 1
--- a/tests/fleet/soak/lapse_checks.py
+++ b/tests/fleet/soak/lapse_checks.py
@@ -217,7 +217,7 @@
     def _served_requests(
         self, upstream: Upstream, begin: float, until: float
     ) -> Iterator[_ServedRequest]:
-        """Yield the requests of its service and region while it could be used."""
+        """Yield requests of an upstream's service and region while it was usable."""
         for request, runs in self.checks.requests_with_runs:
             for run in runs:
                 if (
--- a/tests/fleet/soak/lapse_injector.py
+++ b/tests/fleet/soak/lapse_injector.py
@@ -31,8 +31,8 @@
 SHARES = (0.1, 0.3, 0.6, 1.0)
 """Shares of the entries that lapse; each outage uses one of them.
 
-VMs take more than a quarter for an outage of the platform, and less for upstreams that
-are really gone.
+VMs treat a loss of more than a quarter of the entries as an outage of the platform, and
+a smaller loss as upstreams that are really gone.
 """
 MAX_VANISHED = 2
 LAPSE_AT_SHARE = (0.1, 0.9)
@@ -40,7 +40,7 @@
 MAX_RELIST_S = 2.0
 """Longest time from the end of an outage to the return of an entry, in seconds.
 
-The platform states this time.
+This is the time that the platform specifies.
 """
 
 
@@ -128,6 +128,6 @@
             lapse.relisted_at.append((upstream, monotonic()))
 
     async def _replace_vanished(self, number: int) -> None:
-        """Replace a vanished upstream, which serves long enough to detect late use."""
+        """Serve long enough to detect late use of the upstream, then replace it."""
         await sleep(self.lapses.checks.bounds.contact)
         await self.upstreams.replace(number)
--- a/tests/fleet/soak/mutant.py
+++ b/tests/fleet/soak/mutant.py
@@ -35,15 +35,15 @@
 
 
 def go_back() -> None:
-    """Apply the document of two versions before instead of every third document."""
-    translate, kept_documents, seen_values = operator_reader.translate_document, [], []
+    """Replace every third document by the one that was read two documents before."""
+    translate, kept, seen_documents = operator_reader.translate_document, [], []
 
     def translate_old(document: Any, **options: Any) -> Any:
-        seen_values.append(document)
-        if len(seen_values) % 3 == 1:
-            kept_documents.append(document)
+        seen_documents.append(document)
+        if len(seen_documents) % 3 == 1:
+            kept.append(document)
         return translate(
-            kept_documents[-1] if len(seen_values) % 3 == 0 else document, **options
+            kept[-1] if len(seen_documents) % 3 == 0 else document, **options
         )
 
     operator_reader.translate_document = translate_old
@@ -65,12 +65,12 @@
     """Never list an upstream again whose entry was removed once."""
     apply_rows = store_platform.StorePlatform._apply_server_rows
     lost_names: set[str] = set()
-    seen_values: set[str] = set()
+    seen_names: set[str] = set()
 
     def apply_and_lose_lapsed(self: Any, rows: Any) -> None:
         apply_rows(self, rows)
-        seen_values.update(self._servers_by_name)
-        lost_names.update(seen_values - self._servers_by_name.keys())
+        seen_names.update(self._servers_by_name)
+        lost_names.update(seen_names - self._servers_by_name.keys())
         for name in lost_names:
             self._servers_by_name.pop(name, None)
 
@@ -82,12 +82,12 @@
 def keep_vanished() -> None:
     """Keep removed upstreams, also after a full read of the list."""
     apply_rows = store_platform.StorePlatform._apply_server_rows
-    seen_values: dict[str, Any] = {}
+    seen_servers: dict[str, Any] = {}
 
     def apply_and_keep_all(self: Any, rows: Any) -> None:
         apply_rows(self, rows)
-        seen_values.update(self._servers_by_name)
-        self._servers_by_name |= seen_values
+        seen_servers.update(self._servers_by_name)
+        self._servers_by_name |= seen_servers
 
     store_platform.StorePlatform._apply_server_rows = apply_and_keep_all  # type: ignore[method-assign]
 
--- a/tests/fleet/soak/soak_store.py
+++ b/tests/fleet/soak/soak_store.py
@@ -92,7 +92,7 @@
         self.oldest_version = self.version
 
     async def serve(self, vm: str, exchange: ServerExchange) -> None:
-        """Answer a call of a VM, subject to the faults that affect it."""
+        """Answer a call of a VM, subject to the faults that affect the VM."""
         body = await exchange.read_body(max_bytes=1_000_000) or b""
         if self.has_fault("away", vm):
             await self._drop_call(exchange)
--- a/tests/fleet/soak/statements.py
+++ b/tests/fleet/soak/statements.py
@@ -70,7 +70,7 @@
         Where and when it arrived, and the statement in its answer.
     relayed_at : float
         When its caller had the complete answer, monotonic seconds; infinite if the
-        caller did not get this answer, as the process had given up on the upstream.
+        caller did not get this answer, as the process had left the upstream before.
     """
 
     sender: Sender
@@ -162,9 +162,9 @@
             )
 
     def _must_comply(self, sender: Sender, known_at: float, at: float) -> bool:
-        """Return whether a process must comply at a time with a statement it knows.
+        """Return whether a process must comply with a statement known to it.
 
-        It need not if it was paused since.
+        A process that was paused since it knew the statement need not comply.
         """
         due = self.checks.disturbances.extended_deadline(
             known_at, STATEMENT_DELAY_S, at
--- a/tests/fleet/soak/upstreams.py
+++ b/tests/fleet/soak/upstreams.py
@@ -46,7 +46,7 @@
 LEAVING = b"server-leaving"
 RETRY_AFTER = b"retry-after"
 OMITTED_LIMIT_SHARE = 0.05
-"""Share of the answers without the limit, as answers to failed requests may be."""
+"""Share of answers that omit the limit, as answers to failed requests may."""
 CRASHING_PATH_PREFIX = "crashing-"
 """Prefix of the last path segment of requests under which upstreams crash."""
 CRASH_AFTER_S = (0.02, 0.15)
@@ -62,10 +62,8 @@
 
     Parameters
     ----------
-    name : str
-        Its id.
-    service, zone : str
-        Its service and location.
+    name, service, zone : str
+        Its id, its service and its location.
     endpoint : Endpoint
         Its address.
     left_at : float
@@ -80,7 +78,7 @@
     malformed_statement : tuple of (bytes, bytes), optional
         Header of its answers that is a malformed statement.
     withheld_spans : list of Span
-        When its statements withheld requests from it.
+        Time spans in which its statements limited or stopped requests.
     """
 
     name: str
@@ -112,7 +110,7 @@
         return self.is_listed and not is_ending
 
     def is_withheld(self, begin: float, end: float) -> bool:
-        """Return whether it withheld requests at any time between two times."""
+        """Return whether its statements limited or stopped requests in a time span."""
         return any(
             each.begin <= end and begin <= each.end for each in self.withheld_spans
         )
--- a/tests/fleet/store_stand_in.py
+++ b/tests/fleet/store_stand_in.py
@@ -66,10 +66,10 @@
         self._connections: set[Any] = set()
         self.vm_replaced_before_write: str | None = None
 
-    async def handle(self, source: ServerExchange) -> None:
-        body = await source.read_body(max_bytes=1_000_000) or b""
-        path, _, query = source.target.partition("?")
-        connection = source._socket
+    async def handle(self, exchange: ServerExchange) -> None:
+        body = await exchange.read_body(max_bytes=1_000_000) or b""
+        path, _, query = exchange.target.partition("?")
+        connection = exchange._socket
         self._connections.add(connection)
         is_lost = self.is_unresponsive or connection in self._silenced
         if self.delays_answers:
@@ -82,9 +82,9 @@
         if self.is_unresponsive or is_lost or connection in self._silenced:
             await curio.Event().wait()
         if self.drops_answers:
-            source.abort()
+            exchange.abort()
             return
-        await source.answer(status=status, body=json.dumps(answer).encode())
+        await exchange.answer(status=status, body=json.dumps(answer).encode())
 
     def silence_connections(self) -> None:
         """Stop answering on all present connections; new ones work."""
--- a/tests/fleet/test_after_outage.py
+++ b/tests/fleet/test_after_outage.py
@@ -7,8 +7,8 @@
 next, begun while the platform was still unresponsive, 6 s after that; neither was
 answered, and nothing noticed that the platform was back. Two causes: the long-poll time
 was the bound on a change plus the time after a disturbance, while a change made at the
-end of the outage has only the latter; and the read after a failed one waited for
-changes as well.
+end of the outage must take effect within the latter alone; and the read after a failed
+one waited for changes as well.
 """
 
 from __future__ import annotations
--- a/tests/fleet/test_fleet_soak.py
+++ b/tests/fleet/test_fleet_soak.py
@@ -98,7 +98,7 @@
 
     Guards against forwarding such a request again and again: after it had crashed three
     upstreams, it was forwarded 16 more times, as it arrived each time at another entry
-    VM with a new id, and no VM remembered the crashes. Requests are now identified by
+    VM with a new id, and no VM remembered the crashes. A request is identified by its
     caller, path and body, and quarantined at all entry VMs after the third crash.
     """
     result = run_soak(monkeypatch, CRASHING_SCHEDULE, seed=4, first_port=28_500)
@@ -112,8 +112,9 @@
     """Machines are suspended for seconds, which the monotonic clock does not count.
 
     Guards against unnoticed suspensions: ages, leases, deadlines and timers used a
-    clock that stops in a suspension, so that leases stayed valid and every age was too
-    low by the suspended time. The pauses must be logged from a clock that does not.
+    clock that stops in a suspension, so that shares, leases and waits continued as if
+    no time had passed, and every age was too low by the suspended time. The pauses must
+    be logged from a clock that includes suspensions.
     """
     result = run_soak(monkeypatch, SUSPEND_SCHEDULE, seed=1, first_port=28_600)
     assert result.violations == []
--- a/tests/fleet/test_shared_reads.py
+++ b/tests/fleet/test_shared_reads.py
@@ -66,7 +66,7 @@
     return [vm.node.shared_reads.role(now).value for vm in vms]
 
 
-def test_changes_read_by_one_vm_reach_all(
+def test_changes_read_by_one_vm_reach_all_vms(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario(store: StoreStandIn, vms: list[FleetVm]) -> tuple[int, int]:
--- a/tests/fleet/test_statement_checks.py
+++ b/tests/fleet/test_statement_checks.py
@@ -135,7 +135,7 @@
     assert run.violations() == []
 
 
-def test_upstream_is_withheld_during_its_statement() -> None:
+def test_upstream_is_withheld_only_during_its_span() -> None:
     at = RecordedRun().at
     at.withheld_spans.append(Span(begin=NOW, end=NOW + 2.0))
     assert at.is_withheld(NOW + 1.0, NOW + 1.5)
--- a/tests/fleet/test_store.py
+++ b/tests/fleet/test_store.py
@@ -126,7 +126,7 @@
     assert run_with_store(scenario) == (True, True)
 
 
-def test_concurrent_calls_take_turns_on_one_connection() -> None:
+def test_concurrent_calls_are_serialized_on_one_connection() -> None:
     async def scenario(store: StoreStandIn, endpoint: Endpoint) -> list[bool]:
         rows = RowStore(endpoint=endpoint, calls=BoundedCalls(timeout_s=1.0))
         async with curio.TaskGroup() as group:
--- a/tests/fleet/test_values_from_store.py
+++ b/tests/fleet/test_values_from_store.py
@@ -87,7 +87,7 @@
 
 
 @given(document=with_one_change(DOCUMENT))
-def test_any_operator_document_is_a_version_or_an_error(document: Any) -> None:
+def test_any_operator_document_is_read_as_version_or_error(document: Any) -> None:
     with pytest.MonkeyPatch.context() as monkeypatch:
         rows = build_rows(build_row("config", 5, document), version=5)
         found = read(build_reader(monkeypatch, Ok(rows)), 0)
@@ -149,7 +149,7 @@
     assert parse_server_row(build_row("i-1", 5, document)).is_err()
 
 
-def test_start_time_of_server_is_its_incarnation() -> None:
+def test_incarnation_of_server_is_its_start_time() -> None:
     row = build_row("i-1", 5, {**SERVER_DOCUMENT, "born": 1_700_000_000_000})
     assert parse_server_row(row).unwrap().incarnation == 1_700_000_000_000
     assert (
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -22,7 +22,7 @@
     return completed.returncode, completed.stdout + completed.stderr
 
 
-def test_listed_failure_passes_and_is_printed(tmp_path: Path) -> None:
+def test_listed_failure_is_printed_and_does_not_fail_the_run(tmp_path: Path) -> None:
     status, output = run(tmp_path, "test_them.py::test_red | it can't yet | issue 1\n")
     assert status == 0
     assert "XFAIL test_them.py::test_red - it can't yet (issue 1)" in output
